--- a/crates/chestnutspur/tests/logs.rs
+++ b/crates/chestnutspur/tests/logs.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::time::Duration;
 
-use node::exchange::{self, Shelf};
+use node::exchange::{self, Cache};
 use node::store::List;
 use serde_json::{Value, json};
 use support::process::directory;
@@ -49,7 +49,13 @@
         .unwrap();
     let mut answered = 0;
     while answered < QUESTIONS {
-        match exchange::ask(peers, (List::Operators, 0.into(), 0.into()), &Shelf::default()).await {
+        match exchange::request_update(
+            peers,
+            (List::Operators, 0.into(), 0.into()),
+            &Cache::default(),
+        )
+        .await
+        {
             Ok(_) => answered += 1,
             Err(_) => tokio::time::sleep(LOOK).await,
         }
--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -96,7 +96,7 @@
 
     /// Takes a table of routes; false if it is not newer. An old one read from a stale list would
     /// bring back dropped routes and keys.
-    pub fn take_table(&self, table: Table) -> bool {
+    pub fn accept_table(&self, table: Table) -> bool {
         let mut inner = self.lock();
         if table.version <= inner.index.version {
             return false;
@@ -152,7 +152,7 @@
     }
 
     /// The list of backend servers was read whole.
-    pub fn set_roster_read(&self) {
+    pub fn set_backends_read(&self) {
         self.lock().has_roster = true;
     }
 
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -25,7 +25,7 @@
 use wire::store::Error;
 
 use crate::record::Snapshot;
-use crate::store::{List, News};
+use crate::store::{List, Update};
 
 /// Longest wait for a connection. Past it another host is asked.
 const CONNECT: Duration = Duration::from_millis(250);
@@ -41,7 +41,7 @@
 const PACKED_BYTES_MAX: u64 = 8 << 20;
 const LONG_BYTES_MAX: u64 = 64 << 20;
 /// All packed news that are kept together take so many bytes at most, but for the newest.
-const SHELF_BYTES_MAX: usize = 4 << 20;
+const CACHE_BYTES_MAX: usize = 4 << 20;
 /// Packed news kept: for those that start, and for those that know one of the last few revisions.
 const PACKED_MAX: usize = 6;
 /// Hosts that read from one host at once, beyond those that ask it first: some whose own sources are lost.
@@ -96,7 +96,8 @@
     /// What a host was given.
     pub enum Given {
         /// What it lacks.
-        News(News),
+        #[serde(rename = "News")]
+        Update(Update),
         /// Nothing yet.
         Later,
         /// Nothing.
@@ -109,7 +110,7 @@
     /// Whether this host knows a list at least up to a revision.
     fn holds(&self, list: List, least: Revision) -> Holds;
     /// What a host lacks that knows a list as of a revision.
-    fn news(&self, list: List, after: Revision) -> Option<News>;
+    fn update(&self, list: List, after: Revision) -> Option<Update>;
     /// How roll-outs stand.
     fn records(&self) -> Vec<Snapshot>;
 }
@@ -129,9 +130,9 @@
 
 /// What this host passes on.
 #[derive(Clone, Default)]
-pub struct Shelf(Arc<Mutex<Vec<Packed>>>);
+pub struct Cache(Arc<Mutex<Vec<Packed>>>);
 
-impl Shelf {
+impl Cache {
     /// What was packed for those who know a list as of a revision, if it reaches up to another one.
     fn find(&self, list: List, after: Revision, least: Revision) -> Option<Packed> {
         let held = lock(&self.0);
@@ -147,7 +148,7 @@
         let mut bytes = 0;
         held.retain(|packed| {
             bytes += packed.bytes.len();
-            bytes <= SHELF_BYTES_MAX || bytes == packed.bytes.len()
+            bytes <= CACHE_BYTES_MAX || bytes == packed.bytes.len()
         });
         held.truncate(PACKED_MAX);
     }
@@ -164,7 +165,7 @@
 struct Server<S> {
     source: Arc<S>,
     places: Arc<Semaphore>,
-    shelf: Shelf,
+    cache: Cache,
     opened: Arc<Mutex<Option<Opened>>>,
 }
 
@@ -173,7 +174,7 @@
         Self {
             source: Arc::clone(&self.source),
             places: Arc::clone(&self.places),
-            shelf: self.shelf.clone(),
+            cache: self.cache.clone(),
             opened: Arc::clone(&self.opened),
         }
     }
@@ -209,7 +210,7 @@
         let held = self.source.holds(list, least);
         // What has just come to this host is passed on before the host has taken it in itself.
         let newest = if let Holds::Up(changed) = held { changed.max(least) } else { least };
-        let packed = self.shelf.find(list, after, newest);
+        let packed = self.cache.find(list, after, newest);
         let packed = match (packed, held) {
             (Some(packed), _) => packed,
             (None, Holds::Up(_)) => match self.pack(list, after) {
@@ -227,12 +228,12 @@
     }
 
     fn pack(&self, list: List, after: Revision) -> Option<Packed> {
-        let news = self.source.news(list, after)?;
-        let bytes = pack(&news).inspect_err(|error| {
+        let update = self.source.update(list, after)?;
+        let bytes = pack(&update).inspect_err(|error| {
             log::error!(target: "peers", list:? = list, error:% = error; "news not written");
         });
-        let packed = Packed { list, after, revision: news.revision, bytes: bytes.ok()? };
-        self.shelf.put(packed.clone());
+        let packed = Packed { list, after, revision: update.revision, bytes: bytes.ok()? };
+        self.cache.put(packed.clone());
         Some(packed)
     }
 }
@@ -244,20 +245,20 @@
 
 /// News as they are passed on. Thousands of entries that are much alike take a fourth of the bytes, and
 /// the links are what hosts that start together wait for.
-fn pack(news: &News) -> Result<Bytes, Error> {
+fn pack(update: &Update) -> Result<Bytes, Error> {
     let malformed = |error: &dyn std::fmt::Display| Error::Malformed(error.to_string());
     let mut packer = ZlibEncoder::new(Vec::new(), Compression::fast());
-    rmp_serde::encode::write(&mut packer, news).map_err(|error| malformed(&error))?;
+    rmp_serde::encode::write(&mut packer, update).map_err(|error| malformed(&error))?;
     packer.finish().map(Bytes::from).map_err(|error| malformed(&error))
 }
 
-fn unpack(packed: &[u8]) -> Result<News, Error> {
+fn unpack(packed: &[u8]) -> Result<Update, Error> {
     let unpacked = ZlibDecoder::new(packed).take(LONG_BYTES_MAX);
     rmp_serde::from_read(unpacked).map_err(|error| Error::Malformed(error.to_string()))
 }
 
 /// Serves other hosts until the process ends; a host of a higher class serves more at once.
-pub async fn serve<S: Source>(listener: TcpListener, source: Arc<S>, shelf: Shelf, class: u8) {
+pub async fn serve<S: Source>(listener: TcpListener, source: Arc<S>, cache: Cache, class: u8) {
     let places = Arc::new(Semaphore::new(tree::children(class, 0) + READERS_SPARE));
     loop {
         match listener.accept().await {
@@ -265,7 +266,7 @@
                 let server = Server {
                     source: Arc::clone(&source),
                     places: Arc::clone(&places),
-                    shelf: shelf.clone(),
+                    cache: cache.clone(),
                     opened: Arc::default(),
                 };
                 tokio::spawn(serve_one(stream, server));
@@ -296,17 +297,17 @@
 ///
 /// # Errors
 /// When a piece does not come in time, or the whole can't be read; reading has no effect.
-pub async fn ask(
+pub async fn request_update(
     from: SocketAddr,
     (list, after, least): (List, Revision, Revision),
-    shelf: &Shelf,
+    cache: &Cache,
 ) -> Result<Given, Error> {
     let host = connect(from).await?;
     match within(async { host.give(context(), list, after, least).await.map_err(lost) }).await? {
         Offer::Opened { revision, bytes, first } => {
             let bytes = read_pieces(&host, bytes, first).await?;
-            shelf.put(Packed { list, after, revision, bytes: bytes.clone() });
-            unpack(&bytes).map(Given::News)
+            cache.put(Packed { list, after, revision, bytes: bytes.clone() });
+            unpack(&bytes).map(Given::Update)
         }
         Offer::Later => Ok(Given::Later),
         Offer::Nothing => Ok(Given::Nothing),
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -16,7 +16,7 @@
 
 use crate::exchange;
 use crate::history::{History, Reconciled};
-use crate::store::{Entry, Fact, List, News};
+use crate::store::{Entry, Fact, List, Update};
 
 /// Changes sent with a position at most; more are had by a call.
 const TOLD_MAX: usize = 4;
@@ -53,12 +53,13 @@
         /// The revision.
         pub after: Revision,
         /// The changes.
-        pub news: News,
+        #[serde(rename = "news")]
+        pub update: Update,
     }
 }
 
 /// A list that is followed.
-pub struct Follow {
+pub struct Follower {
     /// Which.
     pub list: List,
     history: Mutex<History>,
@@ -99,7 +100,7 @@
     }
 }
 
-impl Follow {
+impl Follower {
     /// Nothing read yet.
     #[must_use]
     pub fn new(list: List, relay: Relay) -> Self {
@@ -153,30 +154,30 @@
 
     /// News as they are to be taken, with what this host holds on to after the store's return from a copy.
     #[must_use]
-    pub fn reconcile<'a>(&self, news: &'a News, now: Millis) -> Cow<'a, News> {
-        let Reconciled { news, missing, doubted } = lock(&self.history).reconcile(news, now);
+    pub fn reconcile<'a>(&self, update: &'a Update, now: Millis) -> Cow<'a, Update> {
+        let Reconciled { update, missing, doubted } = lock(&self.history).reconcile(update, now);
         if missing + doubted > 0 {
-            log::info!(target: "watch", list:? = self.list, revision:% = news.revision, missing,
+            log::info!(target: "watch", list:? = self.list, revision:% = update.revision, missing,
                 doubted; "what the store may have lost is kept");
         }
-        news
+        update
     }
 
     /// News were taken in.
-    pub fn taken(&self, news: &News, now: Millis) {
+    pub fn taken(&self, update: &Update, now: Millis) {
         let mut history = lock(&self.history);
-        if !news.entries.is_empty() {
+        if !update.entries.is_empty() {
             *lock(&self.before) = history.revision().unwrap_or_default();
         }
-        history.take(news);
-        if news.is_whole {
+        history.take(update);
+        if update.is_whole {
             *lock(&self.forgotten) = None;
         }
         let mut missing = lock(&self.missing);
-        if let Some(had) = missing.take_if(|missing| missing.revision <= news.revision)
+        if let Some(had) = missing.take_if(|missing| missing.revision <= update.revision)
             && had.is_logged
         {
-            log::info!(target: "watch", list:? = self.list, revision:% = news.revision,
+            log::info!(target: "watch", list:? = self.list, revision:% = update.revision,
                 behind_ms = now.since(had.since); "list caught up");
         }
     }
@@ -227,19 +228,19 @@
 
     /// Whether this host holds on to something against the list.
     #[must_use]
-    pub fn is_doubting(&self) -> bool {
-        lock(&self.history).is_doubting()
+    pub fn has_overrides(&self) -> bool {
+        lock(&self.history).has_overrides()
     }
 
     /// What the list says in place of what was held on to for long enough; none if there is nothing.
     #[must_use]
-    pub fn settle(&self, now: Millis) -> Option<News> {
+    pub fn settle(&self, now: Millis) -> Option<Update> {
         lock(&self.history).settle(now)
     }
 
     /// What a host lacks that knows the list as of a revision; none before this one has read it.
     #[must_use]
-    pub fn behind(&self, revision: Revision, now: Millis) -> Option<News> {
+    pub fn behind(&self, revision: Revision, now: Millis) -> Option<Update> {
         lock(&self.history).behind(revision, now)
     }
 
@@ -327,17 +328,18 @@
     /// The last news, if they are few. A whole table of routes is not sent: it is seldom small.
     fn changes(&self, now: Millis) -> Option<Changes> {
         let after = *lock(&self.before);
-        let news = self.behind(after, now)?;
+        let update = self.behind(after, now)?;
         let is_table = |entry: &Entry| matches!(entry.fact, Fact::Table(_));
-        let is_little = news.entries.len() <= TOLD_MAX && !news.entries.iter().any(is_table);
-        (is_little && !news.is_whole && !news.entries.is_empty()).then_some(Changes { after, news })
+        let is_little = update.entries.len() <= TOLD_MAX && !update.entries.iter().any(is_table);
+        (is_little && !update.is_whole && !update.entries.is_empty())
+            .then_some(Changes { after, update })
     }
 
     /// News with the tables that their edits make; none if this host does not know what they are made
     /// of.
     #[must_use]
-    pub fn resolve<'a>(&self, news: &'a News) -> Option<Cow<'a, News>> {
-        lock(&self.history).resolve(news)
+    pub fn resolve<'a>(&self, update: &'a Update) -> Option<Cow<'a, Update>> {
+        lock(&self.history).resolve(update)
     }
 }
 
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -10,7 +10,7 @@
 use policy::time::Millis;
 use wire::routing::{Edit, Table};
 
-use crate::store::{Doubts, Entry, Fact, News};
+use crate::store::{Entry, Fact, Overrides, Update};
 
 /// Removed entries kept, at least, and as many as are listed: all servers may be replaced within a
 /// minute. Of more, those that changed first are forgotten.
@@ -83,7 +83,7 @@
 #[derive(Debug)]
 pub struct Reconciled<'a> {
     /// The list, with what is held on to against it.
-    pub news: Cow<'a, News>,
+    pub update: Cow<'a, Update>,
     /// Entries that it lacks, and that are kept.
     pub missing: usize,
     /// Entries that it has otherwise, and that stay as they were.
@@ -108,7 +108,7 @@
     /// Whether the store has come back from a copy lately.
     recovery: Recovery,
     /// What the list has in place of entries that are kept against it since; none of those that it lacks.
-    doubts: BTreeMap<Name, Option<Entry>>,
+    overridden: BTreeMap<Name, Option<Entry>>,
 }
 
 impl History {
@@ -123,7 +123,7 @@
             changed: Revision::NONE,
             edits: VecDeque::new(),
             recovery: Recovery::new(missing_ms),
-            doubts: BTreeMap::new(),
+            overridden: BTreeMap::new(),
         }
     }
 
@@ -141,41 +141,42 @@
 
     /// Whether this host holds on to something against the list.
     #[must_use]
-    pub fn is_doubting(&self) -> bool {
-        !self.doubts.is_empty()
+    pub fn has_overrides(&self) -> bool {
+        !self.overridden.is_empty()
     }
 
     /// What the list says in place of what was held on to for long enough; none if there is nothing.
     #[must_use]
-    pub fn settle(&self, now: Millis) -> Option<News> {
+    pub fn settle(&self, now: Millis) -> Option<Update> {
         let phase = self.recovery.phase(now);
         let is_due = |listed: &Option<Entry>| match listed {
             None => phase > Phase::Missing,
             Some(_) => phase == Phase::Settled,
         };
         let revision = self.revision?.next_step();
-        let due = self.doubts.iter().filter(|(_, listed)| is_due(listed));
+        let due = self.overridden.iter().filter(|(_, listed)| is_due(listed));
         let entries: Vec<Entry> = due
             .map(|(key, listed)| {
                 let fact = listed.as_ref().map_or(Fact::Removed, |listed| listed.fact.clone());
                 Entry { key: key.clone(), revision, fact }
             })
             .collect();
-        (!entries.is_empty()).then(|| News { entries, revision, ..News::default() })
+        (!entries.is_empty()).then(|| Update { entries, revision, ..Update::default() })
     }
 
     /// News as they are to be taken: of a whole list that is read soon after the store has come back from a copy,
     /// what this host knows goes before what may be of before the copy.
-    pub fn reconcile<'a>(&mut self, news: &'a News, now: Millis) -> Reconciled<'a> {
-        let knows_before = self.enter(news, now);
+    pub fn reconcile<'a>(&mut self, update: &'a Update, now: Millis) -> Reconciled<'a> {
+        let knows_before = self.enter(update, now);
         let phase = self.recovery.phase(now);
-        if !news.is_whole || !knows_before || phase == Phase::Settled {
-            return Reconciled { news: self.with_own_steps(news), missing: 0, doubted: 0 };
+        if !update.is_whole || !knows_before || phase == Phase::Settled {
+            return Reconciled { update: self.with_own_steps(update), missing: 0, doubted: 0 };
         }
-        let listed: HashSet<&Name> = news.entries.iter().map(|entry| &entry.key).collect();
-        let given = news.doubts.as_ref().map(|doubts| doubts.held.clone()).unwrap_or_default();
+        let listed: HashSet<&Name> = update.entries.iter().map(|entry| &entry.key).collect();
+        let given =
+            update.overrides.as_ref().map(|overrides| overrides.held.clone()).unwrap_or_default();
         let (mut entries, mut doubted, mut held) = (Vec::new(), Vec::new(), given.clone());
-        for entry in &news.entries {
+        for entry in &update.entries {
             match self.entries.get(&entry.key) {
                 Some(known) if self.is_held_against(known, entry) => {
                     doubted.push(known.entry.clone());
@@ -186,38 +187,38 @@
         }
         let is_lost = |known: &&Known| {
             let key = &known.entry.key;
-            let is_of_before = known.entry.revision.era < news.revision.era;
-            let is_held = is_of_before || self.doubts.get(key) == Some(&None);
+            let is_of_before = known.entry.revision.era < update.revision.era;
+            let is_held = is_of_before || self.overridden.get(key) == Some(&None);
             is_held && !known.is_removed() && !listed.contains(key) && !given.contains_key(key)
         };
         let lost = self.entries.values().filter(|_| phase == Phase::Missing).filter(is_lost);
         let missing: Vec<Entry> = lost.map(|known| known.entry.clone()).collect();
         let counts = (missing.len(), doubted.len());
         held.extend(missing.iter().map(|entry| (entry.key.clone(), None)));
-        self.doubts = held;
+        self.overridden = held;
         // Those that have the list as the store says it lack these.
-        let own = self.revision.unwrap_or_default().max(news.revision);
+        let own = self.revision.unwrap_or_default().max(update.revision);
         let revision = if counts == (0, 0) { own } else { own.next_step() };
         let kept = missing.into_iter().chain(doubted);
         entries.extend(kept.map(|entry| Entry { revision, ..entry }));
-        let news = Cow::Owned(News { entries, revision, ..news.clone() });
-        Reconciled { news, missing: counts.0, doubted: counts.1 }
+        let update = Cow::Owned(Update { entries, revision, ..update.clone() });
+        Reconciled { update, missing: counts.0, doubted: counts.1 }
     }
 
     /// A whole list as of the revision that this host has, if that is the same in the store: it is no older.
-    fn with_own_steps<'a>(&self, news: &'a News) -> Cow<'a, News> {
+    fn with_own_steps<'a>(&self, update: &'a Update) -> Cow<'a, Update> {
         match self.revision {
-            Some(own) if news.is_whole && own.stored() == news.revision => {
-                Cow::Owned(News { revision: own, ..news.clone() })
+            Some(own) if update.is_whole && own.stored() == update.revision => {
+                Cow::Owned(Update { revision: own, ..update.clone() })
             }
-            _ => Cow::Borrowed(news),
+            _ => Cow::Borrowed(update),
         }
     }
 
     /// Whether an entry is held on to against what the list has in its place. What was held on to before is not of
     /// the list, whatever revision it was given here.
     fn is_held_against(&self, known: &Known, listed: &Entry) -> bool {
-        match self.doubts.contains_key(&listed.key) {
+        match self.overridden.contains_key(&listed.key) {
             true => {
                 let is_newer = known.entry.revision >= listed.revision;
                 is_newer && !is_same(&known.entry.fact, &listed.fact)
@@ -228,60 +229,60 @@
 
     /// Notes that the store has come back from a copy, if these news are the first to show that; whether this host
     /// knows the list as it was before.
-    fn enter(&mut self, news: &News, now: Millis) -> bool {
+    fn enter(&mut self, update: &Update, now: Millis) -> bool {
         let Some(own) = self.revision else {
-            self.doubt_with(news, now);
+            self.doubt_with(update, now);
             return false;
         };
-        let is_back = own.era < news.revision.era;
+        let is_back = own.era < update.revision.era;
         let is_new = self.recovery.age_ms(now).is_none();
-        match &news.doubts {
-            Some(doubts) if is_back => self.recovery.begin(now - doubts.age_ms),
+        match &update.overrides {
+            Some(overrides) if is_back => self.recovery.begin(now - overrides.age_ms),
             None if is_back => self.recovery.begin(now),
-            _ if is_new => self.doubt_with(news, now),
+            _ if is_new => self.doubt_with(update, now),
             _ => {}
         }
         if is_back {
-            self.doubts.clear();
+            self.overridden.clear();
         }
         is_back || !is_new
     }
 
     /// Takes over what the giver of a list holds on to against it.
-    fn doubt_with(&mut self, news: &News, now: Millis) {
-        if let Some(doubts) = &news.doubts {
-            self.recovery.begin(now - doubts.age_ms);
-            self.doubts = doubts.held.clone();
+    fn doubt_with(&mut self, update: &Update, now: Millis) {
+        if let Some(overrides) = &update.overrides {
+            self.recovery.begin(now - overrides.age_ms);
+            self.overridden = overrides.held.clone();
         }
     }
 
     /// Takes in news: the whole list, or all changes between the newest revision and theirs.
-    pub fn take(&mut self, news: &News) {
+    pub fn take(&mut self, update: &Update) {
         match self.revision {
             // From a store that answered late; nothing in it is missing here.
-            Some(revision) if news.is_whole && news.revision < revision.stored() => return,
+            Some(revision) if update.is_whole && update.revision < revision.stored() => return,
             // Changes say nothing of what was lost with the return from a copy.
-            Some(revision) if !news.is_whole && news.revision.era > revision.era => return,
-            Some(revision) if news.revision.era > revision.era => {
-                self.note_removed(news);
+            Some(revision) if !update.is_whole && update.revision.era > revision.era => return,
+            Some(revision) if update.revision.era > revision.era => {
+                self.note_removed(update);
                 self.edits.clear();
-                (self.base, self.changed) = (news.revision, news.revision);
+                (self.base, self.changed) = (update.revision, update.revision);
             }
             None => {
                 // What was removed before is not known.
-                self.base = news.revision;
-                self.changed = news.revision;
+                self.base = update.revision;
+                self.changed = update.revision;
             }
-            Some(_) if news.is_whole => self.note_removed(news),
+            Some(_) if update.is_whole => self.note_removed(update),
             Some(_) => {}
         }
-        for entry in &news.entries {
-            self.put(entry.clone(), news.is_whole);
-            if !news.is_whole {
-                self.doubts.remove(&entry.key);
+        for entry in &update.entries {
+            self.put(entry.clone(), update.is_whole);
+            if !update.is_whole {
+                self.overridden.remove(&entry.key);
             }
         }
-        self.revision = self.revision.max(Some(news.revision));
+        self.revision = self.revision.max(Some(update.revision));
         self.forget();
     }
 
@@ -330,14 +331,15 @@
     /// News with the tables that their edits make; none if this host does not know what an edit is made
     /// of.
     #[must_use]
-    pub fn resolve<'a>(&self, news: &'a News) -> Option<Cow<'a, News>> {
-        let has_edit = |news: &News| news.entries.iter().any(|e| matches!(e.fact, Fact::Edit(_)));
-        if !has_edit(news) {
-            return Some(Cow::Borrowed(news));
+    pub fn resolve<'a>(&self, update: &'a Update) -> Option<Cow<'a, Update>> {
+        let has_edit =
+            |update: &Update| update.entries.iter().any(|e| matches!(e.fact, Fact::Edit(_)));
+        if !has_edit(update) {
+            return Some(Cow::Borrowed(update));
         }
-        let mut news = news.clone();
+        let mut update = update.clone();
         let mut tables: BTreeMap<Name, Arc<Table>> = BTreeMap::new();
-        for entry in &mut news.entries {
+        for entry in &mut update.entries {
             let Fact::Edit(edit) = &entry.fact else { continue };
             let held = match self.entries.get(&entry.key).map(|held| &held.entry.fact) {
                 Some(Fact::Table(table)) => Some(table),
@@ -352,22 +354,22 @@
             tables.insert(entry.key.clone(), Arc::clone(&table));
             entry.fact = Fact::Table(table);
         }
-        Some(Cow::Owned(news))
+        Some(Cow::Owned(update))
     }
 
     /// What a list read afresh no longer holds was removed since.
     ///
     /// With that, changes behind older revisions stay complete. Without it every host of the failure
     /// domain would have to read the whole list whenever the store has dropped its history.
-    fn note_removed(&mut self, news: &News) {
-        let listed: HashSet<&Name> = news.entries.iter().map(|entry| &entry.key).collect();
+    fn note_removed(&mut self, update: &Update) {
+        let listed: HashSet<&Name> = update.entries.iter().map(|entry| &entry.key).collect();
         for (key, held) in &mut self.entries {
             if !listed.contains(key) && !held.is_removed() {
                 held.before = Some(held.entry.revision.number);
                 held.entry.fact = Fact::Removed;
-                held.entry.revision = news.revision;
+                held.entry.revision = update.revision;
                 self.removed += 1;
-                self.changed = self.changed.max(news.revision);
+                self.changed = self.changed.max(update.revision);
             }
         }
     }
@@ -395,7 +397,7 @@
     /// store was away: nobody's changes reach back to what such a host knows, and without the list
     /// it would serve an old table, or none, for as long as the store is out of its reach.
     #[must_use]
-    pub fn behind(&self, revision: Revision, now: Millis) -> Option<News> {
+    pub fn behind(&self, revision: Revision, now: Millis) -> Option<Update> {
         let newest = self.revision?;
         let is_whole = revision < self.base || revision == Revision::NONE;
         let is_wanted = |entry: &&Entry| match is_whole {
@@ -411,8 +413,13 @@
             .collect();
         entries.sort_by_key(|entry| entry.revision);
         let age_ms = self.recovery.age_ms(now);
-        let doubts = age_ms.map(|age_ms| Doubts { age_ms, held: self.doubts.clone() });
-        Some(News { entries, revision: newest, is_whole, doubts: doubts.filter(|_| is_whole) })
+        let overrides = age_ms.map(|age_ms| Overrides { age_ms, held: self.overridden.clone() });
+        Some(Update {
+            entries,
+            revision: newest,
+            is_whole,
+            overrides: overrides.filter(|_| is_whole),
+        })
     }
 
     /// An entry as it is sent to those that know the list as of a revision: a table by its edits since,
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -15,23 +15,23 @@
 use tokio::net::TcpListener;
 
 use crate::catalog::Catalog;
-use crate::follow::Follow;
+use crate::follow::Follower;
 use crate::status::Status;
 
 /// What is asked about.
-pub struct Subject<C> {
+pub struct Context<C> {
     /// What requests share.
     pub state: Arc<State<C>>,
     /// What was read from the store.
     pub catalog: Arc<Catalog>,
     /// How its lists are followed.
-    pub follows: Arc<[Follow; 2]>,
+    pub followers: Arc<[Follower; 2]>,
     /// The metrics' recorder.
     pub metrics: PrometheusHandle,
 }
 
 /// Serves until the process ends.
-pub async fn serve<C: Codec>(listener: TcpListener, subject: Arc<Subject<C>>) {
+pub async fn serve<C: Codec>(listener: TcpListener, context: Arc<Context<C>>) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -40,9 +40,9 @@
                 continue;
             }
         };
-        let subject = Arc::clone(&subject);
+        let context = Arc::clone(&context);
         let service = service_fn(move |request| {
-            let response = answer(&subject, &request);
+            let response = answer(&context, &request);
             async move { Ok::<_, Infallible>(response) }
         });
         tokio::spawn(async move {
@@ -54,12 +54,12 @@
     }
 }
 
-fn answer<C: Codec>(subject: &Subject<C>, request: &Request<Incoming>) -> Response<Answer> {
+fn answer<C: Codec>(context: &Context<C>, request: &Request<Incoming>) -> Response<Answer> {
     let (status, text) = match (request.method(), request.uri().path()) {
         (&Method::GET, "/live") => (StatusCode::OK, "live\n".to_owned()),
-        (&Method::GET, "/ready") => ready(subject),
-        (&Method::GET, "/metrics") => (StatusCode::OK, render(subject)),
-        (&Method::GET, "/status") => (StatusCode::OK, status(subject)),
+        (&Method::GET, "/ready") => ready(context),
+        (&Method::GET, "/metrics") => (StatusCode::OK, render(context)),
+        (&Method::GET, "/status") => (StatusCode::OK, status(context)),
         (_, "/live" | "/ready" | "/metrics" | "/status") => {
             (StatusCode::METHOD_NOT_ALLOWED, "only GET\n".to_owned())
         }
@@ -70,16 +70,16 @@
     response
 }
 
-fn ready<C: Codec>(subject: &Subject<C>) -> (StatusCode, String) {
-    let world = subject.state.world.load();
+fn ready<C: Codec>(context: &Context<C>) -> (StatusCode, String) {
+    let world = context.state.world.load();
     let (status, why) = match () {
-        () if subject.state.stop.is_cancelled() => {
+        () if context.state.stop.is_cancelled() => {
             (StatusCode::SERVICE_UNAVAILABLE, "shutting down")
         }
         () if !world.is_complete => {
             (StatusCode::SERVICE_UNAVAILABLE, "the store has not been read yet")
         }
-        () if subject.state.shed.is_full() => {
+        () if context.state.shed.is_full() => {
             (StatusCode::SERVICE_UNAVAILABLE, "no room for more connections")
         }
         () => (StatusCode::OK, "ready"),
@@ -89,8 +89,8 @@
 }
 
 /// What this host believes, and since when.
-fn status<C: Codec>(subject: &Subject<C>) -> String {
-    let status = Status::of(&subject.state, &subject.catalog, &*subject.follows, clock::steady());
+fn status<C: Codec>(context: &Context<C>) -> String {
+    let status = Status::of(&context.state, &context.catalog, &*context.followers, clock::steady());
     match serde_json::to_string(&status) {
         Ok(text) => text,
         Err(error) => {
@@ -100,16 +100,16 @@
     }
 }
 
-fn render<C: Codec>(subject: &Subject<C>) -> String {
-    let world = subject.state.world.load();
-    let in_flight = subject.state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
+fn render<C: Codec>(context: &Context<C>) -> String {
+    let world = context.state.world.load();
+    let in_flight = context.state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
     metrics::gauge!("node_table_version").set(world.index.version as f64);
-    metrics::gauge!("node_evacuated_domains").set(subject.catalog.evacuated().len() as f64);
+    metrics::gauge!("node_evacuated_domains").set(context.catalog.evacuated().len() as f64);
     metrics::gauge!("node_backends_revision").set(world.revision as f64);
     metrics::gauge!("gateway_requests_in_flight").set(in_flight as f64);
-    for follow in subject.follows.iter() {
-        let seconds = follow.behind_ms(clock::steady()) as f64 / 1e3;
-        metrics::gauge!("node_list_behind_seconds", "list" => follow.list.name()).set(seconds);
+    for follower in context.followers.iter() {
+        let seconds = follower.behind_ms(clock::steady()) as f64 / 1e3;
+        metrics::gauge!("node_list_behind_seconds", "list" => follower.list.name()).set(seconds);
     }
-    subject.metrics.render()
+    context.metrics.render()
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -198,7 +198,7 @@
             Notice::Incoming(list) => (self.all(), vec![Entry::Incoming(list)]),
             Notice::WholeRead(list) => (self.all(), vec![Entry::Reading(list)]),
             Notice::Doubts(list, address) => {
-                let revision = self.watch.follow(list).revision().unwrap_or_default();
+                let revision = self.watch.follower(list).revision().unwrap_or_default();
                 (vec![address], vec![Entry::Doubts(list, revision)])
             }
         };
@@ -283,7 +283,7 @@
                     self.watch.hear_doubts(&message.host, list, revision);
                 }
                 Entry::Lacks(list) => {
-                    taken.lacks |= self.watch.follow(list).position(now).is_some();
+                    taken.lacks |= self.watch.follower(list).position(now).is_some();
                 }
                 Entry::Counted(counting) => self.watch.counts.take(&message.host, counting),
                 Entry::Suspect(suspect) => {
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -28,10 +28,10 @@
 use crate::counts::Counts;
 use crate::directory::Directory;
 use crate::error::Error;
-use crate::exchange::{self, Shelf};
-use crate::follow::Follow;
+use crate::exchange::{self, Cache};
+use crate::follow::Follower;
 use crate::helpers;
-use crate::operators::{self, Subject};
+use crate::operators::{self, Context};
 use crate::peers::{Inbox, Peers};
 use crate::poison::Poison;
 use crate::rollout::Rollouts;
@@ -144,19 +144,19 @@
         let relay = Relay::new(changes_within, &settings.name, list.name(), bootstrap);
         relay.with_class(&settings.name, class)
     };
-    let follow = |list| Follow::new(list, relay(list));
+    let follower = |list| Follower::new(list, relay(list));
     let watch = Arc::new(Watch {
         store: Arc::new(store),
         catalog: Arc::clone(&catalog),
         state: Arc::clone(&state),
         orders,
-        follows: Arc::new(List::ALL.map(follow)),
+        followers: Arc::new(List::ALL.map(follower)),
         notifier,
         counts: Counts::default(),
         fresh: AtomicU64::new(0),
         era: tokio::sync::watch::Sender::new(None),
         directory: Directory::default(),
-        shelf: Shelf::default(),
+        cache: Cache::default(),
         budget,
         host: settings.name.clone(),
         class,
@@ -168,8 +168,8 @@
         watch: Arc::clone(&watch),
     };
     let poison = Poison { host: settings.name.clone(), watch: Arc::clone(&watch) };
-    let follows = Arc::clone(&watch.follows);
-    let subject = Arc::new(Subject { state: Arc::clone(&state), catalog, follows, metrics });
+    let followers = Arc::clone(&watch.followers);
+    let context = Arc::new(Context { state: Arc::clone(&state), catalog, followers, metrics });
     let mut background = vec![
         spawn(Arc::clone(&watch).run(List::Operators)),
         spawn(Arc::clone(&watch).run(List::Backends)),
@@ -178,13 +178,13 @@
         spawn(Arc::new(poison).run(asked, settings.first_start)),
         spawn(Arc::clone(&state).look_for_servers()),
         spawn(helpers::find(settings.clone(), Arc::clone(&watch))),
-        spawn(operators::serve(listeners.operators, Arc::clone(&subject))),
+        spawn(operators::serve(listeners.operators, Arc::clone(&context))),
     ];
     if let Some(standing_ms) = settings.standing_delay_ms {
         background.push(spawn(Arc::clone(&state).follow_delay(standing_ms)));
     }
     if let Some(listener) = listeners.metrics {
-        background.push(spawn(operators::serve(listener, subject)));
+        background.push(spawn(operators::serve(listener, context)));
     }
     if let Some((socket, listener)) = listeners.peers {
         let peers = Peers {
@@ -202,7 +202,7 @@
         background.push(spawn(exchange::serve(
             listener,
             Arc::clone(&watch),
-            watch.shelf.clone(),
+            watch.cache.clone(),
             class,
         )));
     }
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -10,7 +10,7 @@
 use policy::time::Millis;
 
 use crate::catalog::{Catalog, Evacuated};
-use crate::follow::Follow;
+use crate::follow::Follower;
 
 domain! {
     /// What `GET /status` says.
@@ -113,7 +113,7 @@
     pub fn of<C: Codec>(
         state: &State<C>,
         catalog: &Catalog,
-        follows: &[Follow],
+        followers: &[Follower],
         now: Millis,
     ) -> Self {
         let world = state.world.load();
@@ -124,11 +124,14 @@
             table_age_ms: catalog.table_at().map(|at| now.since(at)),
             backends_revision: world.revision,
             store_age_ms: catalog.heard(now),
-            peers: follows.iter().map(|follow| follow.relay().others(now)).max().unwrap_or(0),
-            reads: follows.iter().map(|f| (Name::from(f.list.name()), f.relay().reads())).collect(),
-            behind_ms: follows
+            peers: followers.iter().map(|follower| follower.relay().others(now)).max().unwrap_or(0),
+            reads: followers
                 .iter()
-                .map(|follow| (Name::from(follow.list.name()), follow.behind_ms(now)))
+                .map(|f| (Name::from(f.list.name()), f.relay().reads()))
+                .collect(),
+            behind_ms: followers
+                .iter()
+                .map(|follower| (Name::from(follower.list.name()), follower.behind_ms(now)))
                 .collect(),
             evacuated: catalog.evacuated(),
             services: services.collect(),
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -50,7 +50,7 @@
 
     /// Entries of a list.
     #[derive(Default)]
-    pub struct News {
+    pub struct Update {
         /// All of them, or those changed, oldest change first.
         pub entries: Vec<Entry>,
         /// The store's newest revision at that moment.
@@ -61,11 +61,12 @@
         /// What the host that gives them knows of the store's return from a copy; none if it has not seen one, or
         /// the store gives them.
         #[serde(default)]
-        pub doubts: Option<Doubts>,
+        #[serde(rename = "doubts")]
+        pub overrides: Option<Overrides>,
     }
 
     /// What a host makes of a list since the store came back from a copy.
-    pub struct Doubts {
+    pub struct Overrides {
         /// How long ago it saw that, in milliseconds.
         pub age_ms: u64,
         /// What the list has in place of entries that it holds on to, by key; none of those that the list lacks.
@@ -88,7 +89,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answer {
     /// What it says.
-    pub news: News,
+    pub update: Update,
     /// How it came.
     pub arrival: Arrival,
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -24,9 +24,9 @@
 use crate::catalog::Catalog;
 use crate::counts::Counts;
 use crate::directory::Directory;
-use crate::exchange::{self, Shelf};
-use crate::follow::Follow;
-use crate::store::{Answer, List, News, Store};
+use crate::exchange::{self, Cache};
+use crate::follow::Follower;
+use crate::store::{Answer, List, Store, Update};
 
 /// An answer whose head comes so much later than the store was asked to hold it back comes from a
 /// store that was away meanwhile.
@@ -50,7 +50,7 @@
     /// Services whose orders are new.
     pub orders: mpsc::UnboundedSender<Name>,
     /// The lists.
-    pub follows: Arc<[Follow; 2]>,
+    pub followers: Arc<[Follower; 2]>,
     /// Wakes whoever tells the other hosts of the failure domain.
     pub notifier: mpsc::Sender<Notice>,
     /// What other hosts of the failure domain counted of roll-outs.
@@ -58,7 +58,7 @@
     /// Who they are.
     pub directory: Directory,
     /// What is passed on to them.
-    pub shelf: Shelf,
+    pub cache: Cache,
     /// This host's part of the requests that may be sent again.
     pub budget: Budget,
     /// When the store's state was last known to be new, by any list.
@@ -132,39 +132,39 @@
     }
 
     /// A list as it is followed.
-    pub fn follow(&self, list: List) -> &Follow {
+    pub fn follower(&self, list: List) -> &Follower {
         match list {
-            List::Operators => &self.follows[0],
-            List::Backends => &self.follows[1],
+            List::Operators => &self.followers[0],
+            List::Backends => &self.followers[1],
         }
     }
 
     /// Follows one list until the process ends.
     pub async fn run(self: Arc<Self>, list: List) {
-        let follow = self.follow(list);
+        let follower = self.follower(list);
         let mut pause_ms = PAUSE_MS;
         let mut reached = true;
         loop {
-            let hold = match follow.action(clock::steady()) {
+            let hold = match follower.action(clock::steady()) {
                 Action::Read { hold_ms } => Duration::from_millis(hold_ms),
                 Action::Listen { until } => {
                     let within = Duration::from_millis(until.since(clock::steady()).max(1));
-                    follow.wait(within).await;
+                    follower.wait(within).await;
                     continue;
                 }
             };
             let asked = clock::steady();
-            let answer = match follow.asked_after() {
+            let answer = match follower.asked_after() {
                 None => self.read_whole(list).await,
                 Some(after) => {
                     let on_head = |bytes| self.announce(list, bytes);
                     self.store.follow(list, after, hold, on_head).await
                 }
             };
-            follow.set_incoming(false);
+            follower.set_incoming(false);
             count(list, hold, &answer);
-            if let Ok(Answer { news, arrival }) = &answer {
-                follow.note_bytes(arrival.bytes, news.is_whole);
+            if let Ok(Answer { update, arrival }) = &answer {
+                follower.note_bytes(arrival.bytes, update.is_whole);
             }
             let took = Duration::from_millis(clock::steady().since(asked));
             if was_away(&answer, took, hold) {
@@ -172,8 +172,8 @@
                     hold_ms = hold.as_millis() as u64; "late answer, the store was away meanwhile");
                 self.away(list);
             }
-            let news = answer.map(|answer| answer.news);
-            let changes = match self.hear(list, news) {
+            let update = answer.map(|answer| answer.update);
+            let changes = match self.hear(list, update) {
                 Ok(count) => {
                     if !reached {
                         log::info!(target: "watch", list:? = list; "store regained");
@@ -192,7 +192,7 @@
                     self.take_without_the_store(list);
                     // Until the store has answered again nothing is held back: a question asked
                     // while it is silent is never answered, and its return must be heard at once.
-                    follow.relay().failed(pause_ms, rand::random(), clock::steady());
+                    follower.relay().failed(pause_ms, rand::random(), clock::steady());
                     pause_ms = (pause_ms * 2).min(PAUSE_MAX_MS);
                     0
                 }
@@ -210,22 +210,22 @@
         if bytes <= exchange::MESSAGE_BYTES_MAX as u64 {
             return true;
         }
-        let follow = self.follow(list);
+        let follower = self.follower(list);
         let is_table = list == List::Operators;
-        let is_waited_for = follow.relay().is_waited_for(bytes, self.link_mbps);
-        let is_long_change = is_table && !is_waited_for && follow.is_long_change(bytes);
-        follow.set_incoming(is_long_change);
-        if is_long_change && follow.relay().reads_first(clock::steady()) {
+        let is_waited_for = follower.relay().is_waited_for(bytes, self.link_mbps);
+        let is_long_change = is_table && !is_waited_for && follower.is_long_change(bytes);
+        follower.set_incoming(is_long_change);
+        if is_long_change && follower.relay().reads_first(clock::steady()) {
             log::info!(target: "watch", list:? = list, bytes, link_mbps = self.link_mbps;
                 "long answer begins, others notified");
             self.notify(Notice::Incoming(list));
         }
-        !follow.is_shorter_afresh(bytes)
+        !follower.is_shorter_afresh(bytes)
     }
 
     /// How long changes gather before the store is asked for more, behind so many.
     fn gather(&self, list: List, changes: usize) -> Duration {
-        let relay = self.follow(list).relay();
+        let relay = self.follower(list).relay();
         match relay.reads_for_others(clock::steady()) {
             true => Duration::from_millis(relay.gather_ms(changes)),
             false => GATHER,
@@ -233,15 +233,15 @@
     }
 
     /// What the store answered; how many changes it brought.
-    fn hear(&self, list: List, news: Result<News, Error>) -> Result<usize, Error> {
-        let follow = self.follow(list);
-        let news = match news {
-            Ok(news) => news,
+    fn hear(&self, list: List, update: Result<Update, Error>) -> Result<usize, Error> {
+        let follower = self.follower(list);
+        let update = match update {
+            Ok(update) => update,
             Err(error @ (Error::Forgotten | Error::Declined)) => {
-                let after = follow.revision().unwrap_or_default();
+                let after = follower.revision().unwrap_or_default();
                 log::info!(target: "watch", list:? = list, why:% = error, after:%;
                     "list read afresh");
-                follow.forgotten();
+                follower.forgotten();
                 return Ok(0);
             }
             Err(error) => {
@@ -250,16 +250,16 @@
             }
         };
         self.reached(list, clock::steady());
-        let own = follow.revision().unwrap_or_default();
-        let is_old = news.is_whole && news.revision < own.stored();
-        if !self.take(list, &news) || is_old {
+        let own = follower.revision().unwrap_or_default();
+        let is_old = update.is_whole && update.revision < own.stored();
+        if !self.take(list, &update) || is_old {
             // Read afresh in a moment: the store has answered from an old state.
-            follow.relay().failed(PAUSE_MS, rand::random(), clock::steady());
+            follower.relay().failed(PAUSE_MS, rand::random(), clock::steady());
             return Ok(0);
         }
-        follow.read(clock::steady());
+        follower.read(clock::steady());
         self.share_positions();
-        Ok(news.entries.len())
+        Ok(update.entries.len())
     }
 
     /// The store's state was new at that time, as this host read or heard.
@@ -271,7 +271,7 @@
     fn reached(&self, list: List, fresh: Millis) {
         self.catalog.set_heard(list.name(), clock::steady());
         let before = Millis(self.fresh.fetch_max(fresh.0, Ordering::Relaxed));
-        let relay = self.follow(list).relay();
+        let relay = self.follower(list).relay();
         let (is_alone, away_ms) = (relay.is_alone(clock::steady()), relay.away_ms());
         drop(relay);
         let was_away = !is_alone && before > Millis(0) && fresh.since(before) > away_ms;
@@ -311,7 +311,7 @@
 
     /// Whether this host calls the store for what concerns its failure domain, or itself alone.
     pub fn is_delegate(&self) -> bool {
-        let relay = self.follow(List::Operators).relay();
+        let relay = self.follower(List::Operators).relay();
         let now = clock::steady();
         relay.is_alone(now) || relay.reads_for_others(now)
     }
@@ -334,7 +334,7 @@
 
     /// A host alone could not read, or late: entries that lapse meanwhile are no deaths.
     fn away(&self, list: List) {
-        if self.follow(list).relay().is_alone(clock::steady()) {
+        if self.follower(list).relay().is_alone(clock::steady()) {
             self.catalog.with_roster(|roster| roster.away(clock::steady()));
         }
     }
@@ -342,7 +342,7 @@
     /// Lets requests know which hosts of the failure domain live.
     fn see_peers(&self) {
         let hash = |name: &Name| place::hash(name.as_bytes());
-        let relay = self.follow(List::Backends).relay();
+        let relay = self.follower(List::Backends).relay();
         let others = relay.alive(clock::steady()).map(hash).collect();
         drop(relay);
         self.state.peers.store(Arc::new(Some(Peers { own: hash(&self.host), others })));
@@ -352,10 +352,10 @@
     /// up when its time has come.
     fn settle_doubts(&self) {
         for list in List::ALL {
-            if let Some(news) = self.follow(list).settle(clock::steady()) {
-                log::info!(target: "watch", list:? = list, revision:% = news.revision,
-                    count = news.entries.len(); "what was not written again is given up");
-                self.take(list, &news);
+            if let Some(update) = self.follower(list).settle(clock::steady()) {
+                log::info!(target: "watch", list:? = list, revision:% = update.revision,
+                    count = update.entries.len(); "what was not written again is given up");
+                self.take(list, &update);
             }
         }
     }
@@ -371,7 +371,7 @@
             if look % PEERS == 0 {
                 self.see_peers();
             }
-            self.follows.iter().for_each(|follow| follow.log_behind(clock::steady()));
+            self.followers.iter().for_each(|follower| follower.log_behind(clock::steady()));
             self.settle_doubts();
             if self.catalog.next_lapse().is_some_and(|lapse| lapse <= clock::steady()) {
                 log::info!(target: "watch", "lapsed backend servers given up");
@@ -400,12 +400,12 @@
     let outcome = answer.as_ref().map_or_else(Error::label, |_| "answered");
     let name = list.name();
     metrics::counter!("node_store_calls_total", "list" => name, "outcome" => outcome).increment(1);
-    let Ok(Answer { news, arrival }) = answer else { return };
+    let Ok(Answer { update, arrival }) = answer else { return };
     metrics::counter!("node_store_bytes_total", "list" => name).increment(arrival.bytes);
     let body_ms = arrival.whole_ms.saturating_sub(arrival.head_ms);
     metrics::histogram!("node_store_body_seconds", "list" => name).record(body_ms as f64 / 1e3);
-    if list == List::Operators && !news.entries.is_empty() {
-        log::info!(target: "watch", list:? = list, revision:% = news.revision, bytes = arrival.bytes,
+    if list == List::Operators && !update.entries.is_empty() {
+        log::info!(target: "watch", list:? = list, revision:% = update.revision, bytes = arrival.bytes,
             head_ms = arrival.head_ms, body_ms, hold_ms = hold.as_millis() as u64; "news read");
     }
 }
--- a/crates/node/src/watch/peers.rs
+++ b/crates/node/src/watch/peers.rs
@@ -10,15 +10,15 @@
 use super::{DRIFT_MS, Watch};
 use crate::follow::{Changes, Position};
 use crate::record::Snapshot;
-use crate::store::{List, News, Store};
+use crate::store::{List, Store, Update};
 
 impl<S: Store, C: Codec> Watch<S, C> {
     /// Another host reads a change of a list that is too long to be passed on.
     pub fn incoming(&self, peer: &Name, list: List) {
-        let follow = self.follow(list);
-        if !follow.is_incoming() {
-            follow.relay().incoming(peer, clock::steady());
-            follow.wake();
+        let follower = self.follower(list);
+        if !follower.is_incoming() {
+            follower.relay().incoming(peer, clock::steady());
+            follower.wake();
         }
     }
 
@@ -45,68 +45,68 @@
     #[must_use]
     pub fn positions(&self) -> Vec<Position> {
         let now = clock::steady();
-        self.follows.iter().filter_map(|follow| follow.position(now)).collect()
+        self.followers.iter().filter_map(|follower| follower.position(now)).collect()
     }
 
     /// Another host of the failure domain is there.
     pub fn met(&self, peer: &Name, class: u8) {
-        for follow in self.follows.iter() {
-            follow.relay().met_class(peer, class, clock::steady());
+        for follower in self.followers.iter() {
+            follower.relay().met_class(peer, class, clock::steady());
         }
     }
 
     /// Another host says how new its state of a list is; what this one lacks is had from there.
     pub fn hear_position(self: &Arc<Self>, peer: &Name, position: Position) {
-        let follow = self.follow(position.list);
+        let follower = self.follower(position.list);
         let now = clock::steady();
-        follow.relay().heard(peer, now - position.age_ms, now);
-        follow.note_bytes(position.bytes, false);
+        follower.relay().heard(peer, now - position.age_ms, now);
+        follower.note_bytes(position.bytes, false);
         self.reached(position.list, now - position.age_ms);
-        if follow.revision().is_some_and(|own| own < position.changed) {
-            follow.note_missing(position.changed, peer, now);
+        if follower.revision().is_some_and(|own| own < position.changed) {
+            follower.note_missing(position.changed, peer, now);
         }
-        match (follow.revision(), &position.changes) {
-            (Some(own), Some(Changes { after, news }))
+        match (follower.revision(), &position.changes) {
+            (Some(own), Some(Changes { after, update }))
                 if own < position.changed && *after <= own =>
             {
                 log::info!(target: "watch", list:? = position.list, from:% = peer, after:% = own,
-                    revision:% = news.revision, count = news.entries.len(); "news sent by a peer");
-                if !self.take(position.list, news) {
-                    follow.relay().force();
+                    revision:% = update.revision, count = update.entries.len(); "news sent by a peer");
+                if !self.take(position.list, update) {
+                    follower.relay().force();
                 }
-                follow.wake();
+                follower.wake();
             }
             // This host is being sent it, or something newer.
-            (Some(own), None) if own < position.changed && follow.is_incoming() => {}
+            (Some(own), None) if own < position.changed && follower.is_incoming() => {}
             (Some(own), _) if own < position.changed => {
-                if follow.begin_taking() {
+                if follower.begin_taking() {
                     let (list, changed) = (position.list, position.changed);
                     tokio::spawn(Arc::clone(self).catch_up(peer.clone(), list, own, changed));
                 }
             }
             (Some(_), _) => {
-                let nothing = News { revision: position.revision, ..News::default() };
-                follow.taken(&nothing, now);
-                follow.wake();
+                let nothing = Update { revision: position.revision, ..Update::default() };
+                follower.taken(&nothing, now);
+                follower.wake();
             }
-            (None, _) if follow.relay().may_take(now - position.age_ms, now) => {
-                if follow.begin_taking() {
+            (None, _) if follower.relay().may_take(now - position.age_ms, now) => {
+                if follower.begin_taking() {
                     let (list, changed) = (position.list, position.changed);
                     let fresh = now - position.age_ms;
                     tokio::spawn(Arc::clone(self).take_first(peer.clone(), list, changed, fresh));
                 }
             }
-            (None, _) => follow.wake(),
+            (None, _) => follower.wake(),
         }
     }
 
     /// Another host holds on to something that the store may have lost with its return from a copy. If this host started
     /// behind that, it has taken what the store says, and takes the other's list in its place.
     pub fn hear_doubts(self: &Arc<Self>, peer: &Name, list: List, revision: Revision) {
-        let follow = self.follow(list);
-        let own = follow.revision().filter(|own| own.era == revision.era && *own < revision);
+        let follower = self.follower(list);
+        let own = follower.revision().filter(|own| own.era == revision.era && *own < revision);
         if let Some(own) = own
-            && follow.begin_taking()
+            && follower.begin_taking()
         {
             tokio::spawn(Arc::clone(self).catch_up(peer.clone(), list, own, revision));
         }
@@ -118,8 +118,8 @@
     /// neighbours beside it that serve theirs by what they have read.
     pub fn take_over(self: &Arc<Self>, peer: &Name) {
         for list in List::ALL {
-            let follow = self.follow(list);
-            if follow.is_wanting() && follow.begin_taking() {
+            let follower = self.follower(list);
+            if follower.is_wanting() && follower.begin_taking() {
                 let nothing = Revision::NONE;
                 tokio::spawn(Arc::clone(self).catch_up(peer.clone(), list, nothing, nothing));
             }
@@ -131,9 +131,9 @@
     /// Long changes are read from the store by each host for itself; one that can't reach it would
     /// serve by the table before for as long as that lasts.
     pub(super) fn take_without_the_store(self: &Arc<Self>, list: List) {
-        let follow = self.follow(list);
-        if let (Some(own), Some(from)) = (follow.revision(), follow.missing_source())
-            && follow.begin_taking()
+        let follower = self.follower(list);
+        if let (Some(own), Some(from)) = (follower.revision(), follower.missing_source())
+            && follower.begin_taking()
         {
             tokio::spawn(Arc::clone(self).catch_up(from, list, own, own));
         }
--- a/crates/node/src/watch/share.rs
+++ b/crates/node/src/watch/share.rs
@@ -13,7 +13,7 @@
 use super::{Notice, Watch};
 use crate::exchange::{self, Given, Holds};
 use crate::record::Snapshot;
-use crate::store::{List, News, Store};
+use crate::store::{List, Store, Update};
 
 /// Part of the time in which changes must be in force that is left for finding a host that gives them.
 /// Past it the store is asked: work must not go to a leaving server for much longer.
@@ -39,7 +39,7 @@
         after: Revision,
         least: Revision,
     ) {
-        let change_ms = self.follow(list).relay().change_ms();
+        let change_ms = self.follower(list).relay().change_ms();
         let until = clock::steady() + (change_ms as f64 * FIND_PART) as u64;
         let waits = || clock::steady() < until;
         let is_taken = self.take_from_others(&root, list, after, least, waits).await;
@@ -56,7 +56,7 @@
         changed: Revision,
         fresh: Millis,
     ) {
-        let relay = || self.follow(list).relay();
+        let relay = || self.follower(list).relay();
         let waits = || {
             relay().taking(clock::steady());
             relay().may_take(fresh, clock::steady())
@@ -70,13 +70,13 @@
 
     /// What another host has was taken, or is to be had from the store.
     fn end_taking(&self, list: List, is_taken: bool) {
-        let follow = self.follow(list);
-        follow.end_taking();
+        let follower = self.follower(list);
+        follower.end_taking();
         if !is_taken {
             log::info!(target: "watch", list:? = list; "news not had from peers");
-            follow.relay().force();
+            follower.relay().force();
         }
-        follow.wake();
+        follower.wake();
     }
 
     /// Takes what this host lacks from one of those whose turn it is to give it, or else from any that
@@ -105,11 +105,11 @@
             let Some(source) = sources.next() else { break };
             let until = clock::steady() + PATIENCE_MS;
             while waits() {
-                if after > Revision::NONE && self.follow(list).revision() >= Some(least) {
+                if after > Revision::NONE && self.follower(list).revision() >= Some(least) {
                     return true;
                 }
                 match self.ask(&source, list, after, least).await {
-                    Given::News(news) => return self.take_given(&source, list, &news).await,
+                    Given::Update(update) => return self.take_given(&source, list, &update).await,
                     Given::Later if clock::steady() < until => {}
                     Given::Later | Given::Nothing => break,
                 }
@@ -123,9 +123,9 @@
     /// What another host has to give; nothing if it can't be reached.
     async fn ask(&self, source: &Name, list: List, after: Revision, least: Revision) -> Given {
         let Some(address) = self.directory.address(source) else { return Given::Nothing };
-        let given = exchange::ask(address, (list, after, least), &self.shelf).await;
+        let given = exchange::request_update(address, (list, after, least), &self.cache).await;
         let outcome = match &given {
-            Ok(Given::News(_)) => "answered",
+            Ok(Given::Update(_)) => "answered",
             Ok(Given::Later) => "later",
             Ok(Given::Nothing) => "nothing",
             Err(error) => error.label(),
@@ -139,12 +139,12 @@
         })
     }
 
-    async fn take_given(&self, source: &Name, list: List, news: &News) -> bool {
-        log::info!(target: "watch", list:? = list, from:% = source, revision:% = news.revision,
-            count = news.entries.len(), whole = news.is_whole; "news taken from a peer");
-        let is_taken = self.take(list, news);
-        self.tell_doubts(source, list, news);
-        if is_taken && news.is_whole && list == List::Operators {
+    async fn take_given(&self, source: &Name, list: List, update: &Update) -> bool {
+        log::info!(target: "watch", list:? = list, from:% = source, revision:% = update.revision,
+            count = update.entries.len(), whole = update.is_whole; "news taken from a peer");
+        let is_taken = self.take(list, update);
+        self.tell_doubts(source, list, update);
+        if is_taken && update.is_whole && list == List::Operators {
             self.take_records(source).await;
         }
         is_taken
@@ -152,9 +152,9 @@
 
     /// Tells the host that gave all of a list that this one knows of something which the store may have lost, and which
     /// that host has never heard of.
-    fn tell_doubts(&self, source: &Name, list: List, news: &News) {
-        let is_doubted = self.follow(list).is_doubting();
-        let is_told = !news.is_whole || news.doubts.is_some();
+    fn tell_doubts(&self, source: &Name, list: List, update: &Update) {
+        let is_doubted = self.follower(list).has_overrides();
+        let is_told = !update.is_whole || update.overrides.is_some();
         if let Some(address) = self.directory.address(source)
             && is_doubted
             && !is_told
@@ -179,18 +179,18 @@
 
 impl<S: Store, C: Codec> exchange::Source for Watch<S, C> {
     fn holds(&self, list: List, least: Revision) -> Holds {
-        let follow = self.follow(list);
-        match follow.revision() {
-            Some(revision) if revision >= least => Holds::Up(follow.changed()),
+        let follower = self.follower(list);
+        match follower.revision() {
+            Some(revision) if revision >= least => Holds::Up(follower.changed()),
             // Its own source has it, or will have.
             None => Holds::Later,
-            Some(_) if follow.is_taking() => Holds::Later,
+            Some(_) if follower.is_taking() => Holds::Later,
             Some(_) => Holds::Nothing,
         }
     }
 
-    fn news(&self, list: List, after: Revision) -> Option<News> {
-        self.follow(list).behind(after, clock::steady())
+    fn update(&self, list: List, after: Revision) -> Option<Update> {
+        self.follower(list).behind(after, clock::steady())
     }
 
     fn records(&self) -> Vec<Snapshot> {
--- a/crates/node/src/watch/start.rs
+++ b/crates/node/src/watch/start.rs
@@ -29,22 +29,22 @@
 
     /// These other hosts of the failure domain are listed.
     pub fn found(&self, listed: &[Found]) {
-        for follow in self.follows.iter() {
+        for follower in self.followers.iter() {
             let listed = listed.iter().map(|host| (&host.name, host.class));
-            follow.relay().found(listed, clock::steady());
-            follow.wake();
+            follower.relay().found(listed, clock::steady());
+            follower.wake();
         }
     }
 
     /// Lists of which this host knows nothing yet.
     #[must_use]
     pub fn lacking(&self) -> Vec<List> {
-        let lacks = |list: &List| self.follow(*list).revision().is_none();
+        let lacks = |list: &List| self.follower(*list).revision().is_none();
         List::ALL.into_iter().filter(lacks).collect()
     }
 
     /// Another host is reading all of a list.
     pub fn peer_reads(&self, peer: &Name, list: List) {
-        self.follow(list).relay().reading(peer, clock::steady());
+        self.follower(list).relay().reading(peer, clock::steady());
     }
 }
--- a/crates/node/src/watch/take.rs
+++ b/crates/node/src/watch/take.rs
@@ -7,7 +7,7 @@
 use wire::routing::Table;
 
 use super::{Era, Watch};
-use crate::store::{Entry, Fact, List, News, Store};
+use crate::store::{Entry, Fact, List, Store, Update};
 
 /// Changes of backend servers with a log line each; of more at once a line says how many of each kind there
 /// are. Thousands list themselves together when a deployment starts.
@@ -15,21 +15,21 @@
 
 impl<S: Store, C: Codec> Watch<S, C> {
     /// Takes what came; false if it is older than what is known, or made of what is not known.
-    pub(super) fn take(&self, list: List, news: &News) -> bool {
-        let follow = self.follow(list);
-        let Some(news) = follow.resolve(news) else {
-            log::info!(target: "watch", list:? = list, revision:% = news.revision;
+    pub(super) fn take(&self, list: List, update: &Update) -> bool {
+        let follower = self.follower(list);
+        let Some(update) = follower.resolve(update) else {
+            log::info!(target: "watch", list:? = list, revision:% = update.revision;
                 "edit of a table that this host does not know");
             return false;
         };
-        let news = follow.reconcile(&news, clock::steady());
+        let update = follower.reconcile(&update, clock::steady());
         let taken = match list {
-            List::Operators => self.take_operators(&news),
-            List::Backends => self.take_backends(&news),
+            List::Operators => self.take_operators(&update),
+            List::Backends => self.take_backends(&update),
         };
         if taken {
-            follow.taken(&news, clock::steady());
-            self.note_era(news.revision.era);
+            follower.taken(&update, clock::steady());
+            self.note_era(update.revision.era);
         }
         taken
     }
@@ -52,9 +52,9 @@
         }
     }
 
-    fn take_operators(&self, news: &News) -> bool {
+    fn take_operators(&self, update: &Update) -> bool {
         let mut changed = false;
-        for Entry { key, revision, fact } in &news.entries {
+        for Entry { key, revision, fact } in &update.entries {
             let revision = *revision;
             match fact {
                 Fact::Table(table) => {
@@ -63,7 +63,7 @@
                     for fault in wire::routing::check(table) {
                         log::warn!(target: "watch", table = version, fault:% = fault; "table has a fault");
                     }
-                    let taken = self.catalog.take_table(Table::clone(table));
+                    let taken = self.catalog.accept_table(Table::clone(table));
                     changed |= taken;
                     log::info!(target: "watch", table = version, revision:%, taken;
                         "table of routes read");
@@ -87,7 +87,7 @@
                 Fact::Backend(_) | Fact::Edit(_) | Fact::Evacuation(_) | Fact::Removed => {}
             }
         }
-        changed |= self.take_evacuations(news);
+        changed |= self.take_evacuations(update);
         if changed {
             self.publish();
         }
@@ -95,7 +95,7 @@
     }
 
     /// Takes orders to evacuate failure domains, and their ends; whether there are any.
-    fn take_evacuations(&self, news: &News) -> bool {
+    fn take_evacuations(&self, update: &Update) -> bool {
         let entry = |entry: &Entry| {
             let failure_domain = match &entry.fact {
                 Fact::Evacuation(failure_domain) => Some(failure_domain.clone()),
@@ -105,10 +105,14 @@
             let (key, revision) = (entry.key.clone(), entry.revision);
             Some(evacuation::Entry { key, revision, failure_domain })
         };
-        let entries: Vec<_> = news.entries.iter().filter_map(entry).collect();
-        let Change { begun, ended } =
-            self.catalog.take_evacuations(&entries, news.revision, news.is_whole, clock::steady());
-        let revision = news.revision;
+        let entries: Vec<_> = update.entries.iter().filter_map(entry).collect();
+        let Change { begun, ended } = self.catalog.take_evacuations(
+            &entries,
+            update.revision,
+            update.is_whole,
+            clock::steady(),
+        );
+        let revision = update.revision;
         for domain in &begun {
             let servers = self.catalog.servers_in(domain);
             log::info!(target: "watch", domain:% = domain, revision:%, servers; "evacuation begins");
@@ -123,25 +127,25 @@
         !begun.is_empty() || !ended.is_empty()
     }
 
-    fn take_backends(&self, news: &News) -> bool {
+    fn take_backends(&self, update: &Update) -> bool {
         let now = clock::steady();
-        let count = news.entries.len();
-        let revision = news.revision;
-        let taken = self.catalog.with_roster(|roster| match news.is_whole {
+        let count = update.entries.len();
+        let revision = update.revision;
+        let taken = self.catalog.with_roster(|roster| match update.is_whole {
             true => {
-                let rows = news.entries.iter().filter_map(|entry| match &entry.fact {
+                let rows = update.entries.iter().filter_map(|entry| match &entry.fact {
                     Fact::Backend(backend) => Some((backend.clone(), entry.revision)),
                     _ => None,
                 });
                 let taken = roster.replace(rows.collect(), revision, now);
                 if taken {
-                    unreadable(news)
+                    unreadable(update)
                         .for_each(|entry| roster.withdraw(&entry.key, entry.revision, now));
                 }
                 taken
             }
             false => {
-                for entry in &news.entries {
+                for entry in &update.entries {
                     match &entry.fact {
                         Fact::Backend(backend) => roster.put(backend.clone(), entry.revision),
                         Fact::Removed => roster.remove(&entry.key, entry.revision, now),
@@ -153,42 +157,43 @@
             }
         });
         if taken {
-            let listed = news.entries.iter().filter_map(|entry| match &entry.fact {
+            let listed = update.entries.iter().filter_map(|entry| match &entry.fact {
                 Fact::Backend(backend) => Some(backend),
                 _ => None,
             });
             listed.for_each(|backend| self.catalog.warms(backend, now));
         }
-        match news.is_whole {
+        match update.is_whole {
             true => log::info!(target: "watch", revision:%, count; "all backend servers listed"),
-            false if count > LOGGED_MAX => log_backends(news),
-            false => news.entries.iter().for_each(log_backend),
+            false if count > LOGGED_MAX => log_backends(update),
+            false => update.entries.iter().for_each(log_backend),
         }
         if !taken {
             log::info!(target: "watch", revision:%, count; "stale list of backend servers ignored");
             return false;
         }
-        if news.is_whole {
-            self.catalog.set_roster_read();
+        if update.is_whole {
+            self.catalog.set_backends_read();
         }
-        if news.is_whole || count > 0 {
+        if update.is_whole || count > 0 {
             self.publish();
         }
         true
     }
 }
 
-fn unreadable(news: &News) -> impl Iterator<Item = &Entry> {
-    news.entries.iter().filter(|entry| matches!(entry.fact, Fact::Unreadable(_)))
+fn unreadable(update: &Update) -> impl Iterator<Item = &Entry> {
+    update.entries.iter().filter(|entry| matches!(entry.fact, Fact::Unreadable(_)))
 }
 
-fn log_backends(news: &News) {
-    let count = |is: fn(&Fact) -> bool| news.entries.iter().filter(|entry| is(&entry.fact)).count();
+fn log_backends(update: &Update) {
+    let count =
+        |is: fn(&Fact) -> bool| update.entries.iter().filter(|entry| is(&entry.fact)).count();
     let is_draining = |fact: &Fact| matches!(fact, Fact::Backend(backend) if backend.draining);
-    log::info!(target: "watch", revision:% = news.revision, count = news.entries.len(),
+    log::info!(target: "watch", revision:% = update.revision, count = update.entries.len(),
         draining = count(is_draining), removed = count(|fact| *fact == Fact::Removed);
         "many backend servers changed");
-    let unreadable = unreadable(news).take(LOGGED_MAX);
+    let unreadable = unreadable(update).take(LOGGED_MAX);
     unreadable.for_each(log_backend);
 }
 
--- a/crates/node/tests/catalog.rs
+++ b/crates/node/tests/catalog.rs
@@ -31,7 +31,7 @@
         })
     };
     for version in 1..=TABLES {
-        catalog.take_table(Table { version, ..Table::default() });
+        catalog.accept_table(Table { version, ..Table::default() });
         catalog.publish(&place, NOW);
         assert_eq!(place.load().index.version, version);
     }
@@ -73,7 +73,7 @@
         connections_max: 9,
         warmup: Some(WARMUP),
     };
-    catalog.take_table(Table { version: 1, services: vec![service], ..Table::default() });
+    catalog.accept_table(Table { version: 1, services: vec![service], ..Table::default() });
     catalog
 }
 
--- a/crates/node/tests/history.rs
+++ b/crates/node/tests/history.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use node::history::History;
-use node::store::{Entry, Fact, News};
+use node::store::{Entry, Fact, Update};
 use policy::name::Name;
 use policy::revision::Revision;
 use policy::time::Millis;
@@ -17,14 +17,14 @@
     Entry { key: Name::from(key), revision: revision.into(), fact }
 }
 
-fn news(revision: u64, is_whole: bool, entries: &[(&str, u64)]) -> News {
+fn update(revision: u64, is_whole: bool, entries: &[(&str, u64)]) -> Update {
     let entries = entries.iter().map(|(key, revision)| entry(key, *revision)).collect();
-    News { entries, revision: revision.into(), is_whole, doubts: None }
+    Update { entries, revision: revision.into(), is_whole, overrides: None }
 }
 
-fn keys(news: &News) -> BTreeSet<(&str, bool)> {
+fn keys(update: &Update) -> BTreeSet<(&str, bool)> {
     let key = |entry: &'_ Entry| entry.fact == Fact::Removed;
-    news.entries.iter().map(|entry| (entry.key.as_str(), key(entry))).collect()
+    update.entries.iter().map(|entry| (entry.key.as_str(), key(entry))).collect()
 }
 
 /// The store dropped its history: the one host that reads sent all others of its failure domain the
@@ -32,9 +32,9 @@
 #[test]
 fn behind_list_read_afresh_is_told_as_changes() {
     let mut history = History::new(0);
-    history.take(&news(10, true, &[("a", 3), ("b", 4), ("c", 5)]));
-    history.take(&news(20, false, &[("b", 18)]));
-    history.take(&news(30, true, &[("a", 3), ("b", 25), ("d", 27)]));
+    history.take(&update(10, true, &[("a", 3), ("b", 4), ("c", 5)]));
+    history.take(&update(20, false, &[("b", 18)]));
+    history.take(&update(30, true, &[("a", 3), ("b", 25), ("d", 27)]));
     let behind = history.behind(Revision::from(20), NOW).unwrap();
     assert!(!behind.is_whole);
     assert_eq!(keys(&behind), BTreeSet::from([("b", false), ("c", true), ("d", false)]));
@@ -47,8 +47,8 @@
 #[test]
 fn behind_list_read_afresh_without_changes_is_empty() {
     let mut history = History::new(0);
-    history.take(&news(10, true, &[("a", 3)]));
-    history.take(&news(30, true, &[("a", 3)]));
+    history.take(&update(10, true, &[("a", 3)]));
+    history.take(&update(30, true, &[("a", 3)]));
     assert_eq!(history.behind(Revision::from(10), NOW).unwrap().entries, []);
     assert_eq!(history.changed(), Revision::from(10));
     assert_eq!(history.revision(), Some(Revision::from(30)));
@@ -58,8 +58,8 @@
 fn behind_nothing_known_is_the_whole_list() {
     let mut history = History::new(0);
     assert_eq!(history.behind(Revision::from(0), NOW), None);
-    history.take(&news(0, true, &[]));
-    history.take(&news(5, false, &[("a", 5)]));
+    history.take(&update(0, true, &[]));
+    history.take(&update(5, false, &[("a", 5)]));
     assert!(history.behind(Revision::from(0), NOW).unwrap().is_whole);
     assert!(!history.behind(Revision::from(4), NOW).unwrap().is_whole);
 }
@@ -67,8 +67,8 @@
 #[test]
 fn behind_older_than_the_first_read_is_the_whole_list() {
     let mut history = History::new(0);
-    history.take(&news(10, true, &[("a", 3)]));
-    history.take(&news(12, false, &[("a", 12)]));
+    history.take(&update(10, true, &[("a", 3)]));
+    history.take(&update(12, false, &[("a", 12)]));
     assert!(history.behind(Revision::from(9), NOW).unwrap().is_whole);
     assert!(!history.behind(Revision::from(10), NOW).unwrap().is_whole);
 }
@@ -77,8 +77,8 @@
 #[test]
 fn take_older_list_removes_nothing() {
     let mut history = History::new(0);
-    history.take(&news(30, true, &[("a", 3), ("b", 25)]));
-    history.take(&news(20, true, &[("a", 3)]));
+    history.take(&update(30, true, &[("a", 3), ("b", 25)]));
+    history.take(&update(20, true, &[("a", 3)]));
     assert_eq!(history.behind(Revision::from(30), NOW).unwrap().entries, []);
     assert_eq!(history.revision(), Some(Revision::from(30)));
 }
@@ -103,11 +103,11 @@
     Fact::Table(Arc::new(Table { version, routes, ..Table::default() }))
 }
 
-fn table_news(version: u64, is_whole: bool) -> News {
+fn table_update(version: u64, is_whole: bool) -> Update {
     let revision = version * 10;
     let fact = table(version, 1_000 + version);
     let entries = vec![Entry { key: Name::from("config"), revision: revision.into(), fact }];
-    News { entries, revision: revision.into(), is_whole, doubts: None }
+    Update { entries, revision: revision.into(), is_whole, overrides: None }
 }
 
 fn is_edit(entry: &Entry) -> bool {
@@ -118,9 +118,9 @@
 #[test]
 fn behind_table_is_told_as_edits() {
     let (mut reader, mut other) = (History::new(0), History::new(0));
-    reader.take(&table_news(1, true));
-    other.take(&table_news(1, true));
-    (2..6).for_each(|version| reader.take(&table_news(version, false)));
+    reader.take(&table_update(1, true));
+    other.take(&table_update(1, true));
+    (2..6).for_each(|version| reader.take(&table_update(version, false)));
     let behind = reader.behind(Revision::from(10), NOW).unwrap();
     assert_eq!(behind.entries.len(), 4);
     assert!(behind.entries.iter().all(is_edit));
@@ -140,12 +140,12 @@
 #[test]
 fn resolve_edit_of_an_unknown_table_is_none() {
     let mut reader = History::new(0);
-    (1..4).for_each(|version| reader.take(&table_news(version, version == 1)));
+    (1..4).for_each(|version| reader.take(&table_update(version, version == 1)));
     let behind = reader.behind(Revision::from(20), NOW).unwrap();
     assert!(behind.entries.iter().all(is_edit));
     assert!(History::new(0).resolve(&behind).is_none());
     let mut older = History::new(0);
-    older.take(&table_news(1, true));
+    older.take(&table_update(1, true));
     assert!(older.resolve(&behind).is_none());
 }
 
@@ -153,7 +153,7 @@
 #[test]
 fn behind_older_than_the_edits_is_the_whole_table() {
     let mut reader = History::new(0);
-    (1..40).for_each(|version| reader.take(&table_news(version, version == 1)));
+    (1..40).for_each(|version| reader.take(&table_update(version, version == 1)));
     assert!(!is_edit(&reader.behind(Revision::from(100), NOW).unwrap().entries[0]));
     assert!(is_edit(&reader.behind(Revision::from(380), NOW).unwrap().entries[0]));
 }
@@ -166,16 +166,16 @@
         let mut history = History::new(0);
         let keys: Vec<String> = (0..2 * servers).map(|number| format!("i-{number}")).collect();
         let first: Vec<(&str, u64)> = keys[..servers].iter().map(|key| (key.as_str(), 1)).collect();
-        history.take(&news(1, true, &first));
+        history.take(&update(1, true, &first));
         let replaced = servers * 9 / 20;
         for number in 0..replaced {
             let revision = 2 + 2 * number as u64;
-            history.take(&news(revision, false, &[(&keys[servers + number], revision)]));
+            history.take(&update(revision, false, &[(&keys[servers + number], revision)]));
             let gone = Entry { fact: Fact::Removed, ..entry(&keys[number], revision + 1) };
-            history.take(&News {
+            history.take(&Update {
                 entries: vec![gone],
                 revision: (revision + 1).into(),
-                ..News::default()
+                ..Update::default()
             });
         }
         let behind = history.behind(Revision::from(1), NOW).unwrap();
@@ -189,11 +189,15 @@
 #[test]
 fn take_removals_are_bounded_by_what_is_listed() {
     let mut history = History::new(0);
-    history.take(&news(1, true, &[("first", 1)]));
+    history.take(&update(1, true, &[("first", 1)]));
     for revision in 2..6_000 {
         let key = format!("i-{revision}");
         let gone = Entry { fact: Fact::Removed, ..entry(&key, revision) };
-        history.take(&News { entries: vec![gone], revision: revision.into(), ..News::default() });
+        history.take(&Update {
+            entries: vec![gone],
+            revision: revision.into(),
+            ..Update::default()
+        });
     }
     assert!(history.behind(Revision::from(1), NOW).unwrap().is_whole);
     assert_eq!(history.behind(Revision::from(5_000), NOW).unwrap().entries.len(), 999);
--- a/crates/node/tests/restored.rs
+++ b/crates/node/tests/restored.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use node::history::History;
-use node::store::{Entry, Fact, News};
+use node::store::{Entry, Fact, Update};
 use policy::name::Name;
 use policy::recovery::REWRITTEN_MS;
 use policy::revision::Revision;
@@ -40,21 +40,21 @@
     Entry { key: Name::from(key), revision: Revision::new(era, number), fact }
 }
 
-fn news(era: u64, number: u64, is_whole: bool, entries: Vec<Entry>) -> News {
-    News { entries, revision: Revision::new(era, number), is_whole, doubts: None }
+fn update(era: u64, number: u64, is_whole: bool, entries: Vec<Entry>) -> Update {
+    Update { entries, revision: Revision::new(era, number), is_whole, overrides: None }
 }
 
 /// Takes news as a host does.
-fn take(history: &mut History, news: &News, now: Millis) {
-    let reconciled = history.reconcile(news, now).news.into_owned();
+fn take(history: &mut History, update: &Update, now: Millis) {
+    let reconciled = history.reconcile(update, now).update.into_owned();
     history.take(&reconciled);
 }
 
 /// Takes what is due from what was held on to.
 fn settle(history: &mut History, now: Millis) -> usize {
     let due = history.settle(now);
-    due.iter().for_each(|news| history.take(news));
-    due.map_or(0, |news| news.entries.len())
+    due.iter().for_each(|update| history.take(update));
+    due.map_or(0, |update| update.entries.len())
 }
 
 /// What a host has under a key, as another one is given it.
@@ -66,13 +66,13 @@
 /// A host that knows what was written up to 500; the store comes back as of 300.
 fn knows(entries: Vec<Entry>) -> History {
     let mut history = History::new(MISSING_MS);
-    history.take(&news(1, 300, true, vec![entry("a", 1, 250, server("a", false))]));
-    history.take(&news(1, 500, false, entries));
+    history.take(&update(1, 300, true, vec![entry("a", 1, 250, server("a", false))]));
+    history.take(&update(1, 500, false, entries));
     history
 }
 
-fn copy() -> News {
-    news(2, 310, true, vec![entry("a", 2, 250, server("a", false))])
+fn copy() -> Update {
+    update(2, 310, true, vec![entry("a", 2, 250, server("a", false))])
 }
 
 /// Guards against a server that gets work again because the copy has it from before it said that it leaves.
@@ -113,7 +113,11 @@
         knows(vec![entry("b", 1, 470, server("b", false)), entry("c", 1, 480, server("c", false))]);
     take(&mut host, &copy(), BACK);
     assert!(held(&host, "b").is_some() && held(&host, "c").is_some());
-    take(&mut host, &news(2, 320, false, vec![entry("c", 2, 320, server("c", false))]), BACK + 900);
+    take(
+        &mut host,
+        &update(2, 320, false, vec![entry("c", 2, 320, server("c", false))]),
+        BACK + 900,
+    );
     assert_eq!(settle(&mut host, BACK + MISSING_MS), 1);
     assert!(held(&host, "b").is_none() && held(&host, "c").is_some());
 }
@@ -122,14 +126,14 @@
 #[test]
 fn reconcile_table_never_goes_back() {
     let mut host = History::new(REWRITTEN_MS);
-    host.take(&news(1, 300, true, vec![entry("config", 1, 250, table(7))]));
-    host.take(&news(1, 500, false, vec![entry("config", 1, 490, table(9))]));
-    let copy = news(2, 310, true, vec![entry("config", 2, 250, table(7))]);
+    host.take(&update(1, 300, true, vec![entry("config", 1, 250, table(7))]));
+    host.take(&update(1, 500, false, vec![entry("config", 1, 490, table(9))]));
+    let copy = update(2, 310, true, vec![entry("config", 2, 250, table(7))]);
     take(&mut host, &copy, BACK);
     settle(&mut host, BACK + 2 * REWRITTEN_MS);
     take(&mut host, &copy, BACK + 3 * REWRITTEN_MS);
     assert_eq!(held(&host, "config"), Some(table(9)));
-    let later = news(2, 320, false, vec![entry("config", 2, 320, table(11))]);
+    let later = update(2, 320, false, vec![entry("config", 2, 320, table(11))]);
     take(&mut host, &later, BACK + 4 * REWRITTEN_MS);
     assert_eq!(held(&host, "config"), Some(table(11)));
 }
@@ -140,22 +144,22 @@
 fn reconcile_evacuation_holds_until_written_again() {
     let evacuation = Fact::Evacuation(Name::from("a"));
     let mut host = History::new(REWRITTEN_MS);
-    host.take(&news(1, 300, true, Vec::new()));
-    host.take(&news(1, 500, false, vec![entry("evacuate/a", 1, 480, evacuation.clone())]));
-    take(&mut host, &news(2, 310, true, Vec::new()), BACK);
+    host.take(&update(1, 300, true, Vec::new()));
+    host.take(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, evacuation.clone())]));
+    take(&mut host, &update(2, 310, true, Vec::new()), BACK);
     assert_eq!(held(&host, "evacuate/a"), Some(evacuation.clone()));
     // Written again it is no longer held on to, and its end counts.
     let again = entry("evacuate/a", 2, 320, evacuation.clone());
-    take(&mut host, &news(2, 320, false, vec![again]), BACK + 800);
+    take(&mut host, &update(2, 320, false, vec![again]), BACK + 800);
     let end = entry("evacuate/a", 2, 330, Fact::Removed);
-    take(&mut host, &news(2, 330, false, vec![end]), BACK + 900);
+    take(&mut host, &update(2, 330, false, vec![end]), BACK + 900);
     assert_eq!(held(&host, "evacuate/a"), None);
     // One that had ended, and is ordered anew at a number that was given out before.
     let mut other = History::new(REWRITTEN_MS);
-    other.take(&news(1, 300, true, vec![entry("evacuate/a", 1, 200, evacuation.clone())]));
-    other.take(&news(1, 500, false, vec![entry("evacuate/a", 1, 480, Fact::Removed)]));
+    other.take(&update(1, 300, true, vec![entry("evacuate/a", 1, 200, evacuation.clone())]));
+    other.take(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, Fact::Removed)]));
     let fresh = entry("evacuate/a", 2, 400, evacuation.clone());
-    take(&mut other, &news(2, 400, true, vec![fresh]), BACK);
+    take(&mut other, &update(2, 400, true, vec![fresh]), BACK);
     assert_eq!(held(&other, "evacuate/a"), Some(evacuation));
 }
 
@@ -163,9 +167,9 @@
 #[test]
 fn reconcile_older_order_is_not_taken() {
     let mut host = History::new(REWRITTEN_MS);
-    host.take(&news(1, 300, true, vec![entry("rollout/desk", 1, 200, order("v2", 200))]));
-    host.take(&news(1, 500, false, vec![entry("rollout/desk", 1, 480, order("v3", 480))]));
-    let copy = news(2, 310, true, vec![entry("rollout/desk", 2, 200, order("v2", 200))]);
+    host.take(&update(1, 300, true, vec![entry("rollout/desk", 1, 200, order("v2", 200))]));
+    host.take(&update(1, 500, false, vec![entry("rollout/desk", 1, 480, order("v3", 480))]));
+    let copy = update(2, 310, true, vec![entry("rollout/desk", 2, 200, order("v2", 200))]);
     take(&mut host, &copy, BACK);
     assert_eq!(held(&host, "rollout/desk"), Some(order("v3", 480)));
     // Never written again, it is given up in the end.
@@ -178,7 +182,7 @@
 fn reconcile_second_return_begins_anew() {
     let mut host = knows(vec![entry("a", 1, 480, server("a", true))]);
     take(&mut host, &copy(), BACK);
-    let second = news(3, 290, true, vec![entry("a", 3, 250, server("a", false))]);
+    let second = update(3, 290, true, vec![entry("a", 3, 250, server("a", false))]);
     take(&mut host, &second, BACK + 9_000);
     settle(&mut host, BACK + REWRITTEN_MS + 1);
     assert_eq!(held(&host, "a"), Some(server("a", true)));
--- a/crates/node/tests/restored_fleet.rs
+++ b/crates/node/tests/restored_fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use node::history::History;
-use node::store::{Entry, Fact, News};
+use node::store::{Entry, Fact, Update};
 use policy::name::Name;
 use policy::place::mix;
 use policy::revision::Revision;
@@ -46,13 +46,13 @@
         *self = Self { era: self.era + 1, ..copy.clone() };
     }
 
-    fn read(&self) -> News {
+    fn read(&self) -> Update {
         let entries = self.rows.iter().map(|(key, (number, fact))| self.entry(key, *number, fact));
-        News { entries: entries.collect(), is_whole: true, ..self.nothing() }
+        Update { entries: entries.collect(), is_whole: true, ..self.nothing() }
     }
 
     /// The whole list where changes behind a revision are not to be had.
-    fn changes(&self, after: Revision) -> News {
+    fn changes(&self, after: Revision) -> Update {
         if after.era != self.era || after.number > self.number {
             return self.read();
         }
@@ -60,11 +60,11 @@
         let changed = changed.map(|(key, (number, fact))| self.entry(key, *number, fact));
         let removed = self.removed.iter().filter(|(_, number)| **number > after.number);
         let removed = removed.map(|(key, number)| self.entry(key, *number, &Fact::Removed));
-        News { entries: changed.chain(removed).collect(), ..self.nothing() }
+        Update { entries: changed.chain(removed).collect(), ..self.nothing() }
     }
 
-    fn nothing(&self) -> News {
-        News { revision: Revision::new(self.era, self.number), ..News::default() }
+    fn nothing(&self) -> Update {
+        Update { revision: Revision::new(self.era, self.number), ..Update::default() }
     }
 
     fn entry(&self, key: &Name, number: u64, fact: &Fact) -> Entry {
@@ -80,9 +80,9 @@
 }
 
 impl Host {
-    fn take(&mut self, news: &News, now: Millis) {
-        let resolved = self.history.resolve(news).expect("edits of a known table").into_owned();
-        let reconciled = self.history.reconcile(&resolved, now).news.into_owned();
+    fn take(&mut self, update: &Update, now: Millis) {
+        let resolved = self.history.resolve(update).expect("edits of a known table").into_owned();
+        let reconciled = self.history.reconcile(&resolved, now).update.into_owned();
         self.history.take(&reconciled);
     }
 
@@ -129,21 +129,21 @@
         let here = (domain..count).step_by(DOMAINS);
         let here: Vec<usize> = here.filter(|host| self.hosts[*host].cut_until <= now).collect();
         for host in &here {
-            if let Some(news) = self.hosts[*host].history.settle(now) {
-                self.hosts[*host].history.take(&news);
+            if let Some(update) = self.hosts[*host].history.settle(now) {
+                self.hosts[*host].history.take(&update);
             }
         }
         let Some(reader) = here.first().copied() else { return };
-        let news = self.store.changes(self.hosts[reader].own());
-        self.hosts[reader].take(&news, now);
+        let update = self.store.changes(self.hosts[reader].own());
+        self.hosts[reader].take(&update, now);
         for _ in 0..2 {
             let ahead = here.iter().copied().max_by_key(|host| self.hosts[*host].own());
             let ahead = ahead.unwrap_or(reader);
             for host in &here {
                 let own = self.hosts[*host].own();
                 if own < self.hosts[ahead].own() {
-                    let news = self.hosts[ahead].history.behind(own, now).unwrap();
-                    self.hosts[*host].take(&news, now);
+                    let update = self.hosts[ahead].history.behind(own, now).unwrap();
+                    self.hosts[*host].take(&update, now);
                 }
             }
         }
--- a/crates/node/tests/watch.rs
+++ b/crates/node/tests/watch.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use node::store::{Answer, Arrival, News};
+use node::store::{Answer, Arrival, Update};
 use node::watch::was_away;
 use wire::store::Error;
 
@@ -10,7 +10,7 @@
 
 fn answer(head_ms: u64, whole_ms: u64) -> Result<Answer, Error> {
     let arrival = Arrival { head_ms, whole_ms, bytes: 1_097_965 };
-    Ok(Answer { news: News::default(), arrival })
+    Ok(Answer { update: Update::default(), arrival })
 }
 
 #[test]
