--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -1,6 +1,6 @@
 //! All that is known from the store, and the world made of it.
 
-mod known;
+mod rollout;
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::Ordering;
@@ -22,9 +22,9 @@
 use policy::time::Millis;
 use wire::routing::{Order, Table};
 
-pub use known::Known;
+pub use rollout::TrackedRollout;
 
-use crate::record::{Record, Snapshot};
+use crate::record::{Record, RolloutState};
 
 /// Longest time for which a backend server is believed not to be warm, in milliseconds.
 const WARMUP_MAX_MS: u64 = 60_000;
@@ -32,7 +32,7 @@
 domain! {
     /// An evacuated failure domain.
     #[derive(Copy, Default)]
-    pub struct Evacuated {
+    pub struct EvacuatedDomain {
         /// Backend servers that stand there.
         pub servers: usize,
         /// Requests of this host under way there, which began before the order.
@@ -46,7 +46,7 @@
     /// Everything that requests need has been read.
     pub is_complete: bool,
     /// Servers that took work until now and are no longer listed, without having said that they leave.
-    pub gone: Vec<Name>,
+    pub vanished_servers: Vec<Name>,
 }
 
 /// What was read.
@@ -54,18 +54,18 @@
 struct Inner {
     index: Arc<Index>,
     roster: Roster<wire::routing::Backend>,
-    has_roster: bool,
+    has_read_backends: bool,
     backends: HashMap<Name, Arc<Backend>>,
     /// Those that are not listed any more, for as long as their entries may come back: what they said
     /// of themselves still holds then.
-    departed: HashMap<Name, Arc<Backend>>,
-    rollouts: BTreeMap<Name, Known>,
-    bases: HashMap<Name, Name>,
-    table_at: Option<Millis>,
-    heard_at: BTreeMap<Name, Millis>,
+    unlisted: HashMap<Name, Arc<Backend>>,
+    rollouts: BTreeMap<Name, TrackedRollout>,
+    base_versions: HashMap<Name, Name>,
+    table_accepted_at: Option<Millis>,
+    answered_at: BTreeMap<Name, Millis>,
     evacuations: Evacuations,
     /// Backend servers that are not warm, and when they are.
-    warming: HashMap<Name, Millis>,
+    warm_at: HashMap<Name, Millis>,
 }
 
 /// Everything known, under one lock; requests see only the worlds made of it.
@@ -86,7 +86,7 @@
 
     /// With this part of a service's requests that a bad version may get.
     #[must_use]
-    pub fn exposing(self, exposure_share: f64) -> Self {
+    pub fn with_exposure_share(self, exposure_share: f64) -> Self {
         Self { exposure_share, ..self }
     }
 
@@ -102,26 +102,26 @@
             return false;
         }
         inner.index = Arc::new(Index::new(table));
-        inner.table_at = Some(clock::steady());
+        inner.table_accepted_at = Some(clock::steady());
         true
     }
 
     /// When the table in force was taken.
     #[must_use]
-    pub fn table_at(&self) -> Option<Millis> {
-        self.lock().table_at
+    pub fn table_accepted_at(&self) -> Option<Millis> {
+        self.lock().table_accepted_at
     }
 
     /// One of the store's lists answered.
-    pub fn set_heard(&self, list: &str, now: Millis) {
-        self.lock().heard_at.insert(Name::from(list), now);
+    pub fn set_answered_at(&self, list: &str, now: Millis) {
+        self.lock().answered_at.insert(Name::from(list), now);
     }
 
     /// How long ago each of the store's lists last answered, in milliseconds.
     #[must_use]
-    pub fn heard(&self, now: Millis) -> BTreeMap<Name, u64> {
+    pub fn list_ages_ms(&self, now: Millis) -> BTreeMap<Name, u64> {
         let inner = self.lock();
-        inner.heard_at.iter().map(|(list, at)| (list.clone(), now.since(*at))).collect()
+        inner.answered_at.iter().map(|(list, at)| (list.clone(), now.since(*at))).collect()
     }
 
     /// Changes the list of backend servers.
@@ -133,7 +133,7 @@
     }
 
     /// A backend server said that it is warm in so long, or has just been listed and says nothing.
-    pub fn warms(&self, backend: &wire::routing::Backend, now: Millis) {
+    pub fn set_warmup(&self, backend: &wire::routing::Backend, now: Millis) {
         let mut inner = self.lock();
         let service = inner.index.services.get(&backend.service);
         let usual_ms = service.and_then(|service| service.warmup).map(|warmup| warmup.ms);
@@ -146,19 +146,19 @@
         }
         if ms > 0 {
             let until = now + ms.min(WARMUP_MAX_MS);
-            let held = inner.warming.entry(backend.id.clone()).or_insert(until);
+            let held = inner.warm_at.entry(backend.id.clone()).or_insert(until);
             *held = until.max(*held);
         }
     }
 
     /// The list of backend servers was read whole.
     pub fn set_backends_read(&self) {
-        self.lock().has_roster = true;
+        self.lock().has_read_backends = true;
     }
 
     /// Takes an order; false if it is known. `is_rewritten` says whether operators may just be writing again what
     /// they had written.
-    pub fn take_order(&self, order: Order, revision: Revision, is_rewritten: bool) -> bool {
+    pub fn accept_order(&self, order: Order, revision: Revision, is_rewritten: bool) -> bool {
         let mut inner = self.lock();
         match inner.rollouts.get_mut(&order.service) {
             Some(known) if known.revision >= revision => return false,
@@ -174,12 +174,12 @@
             }
             _ => {}
         }
-        let known = Known {
+        let known = TrackedRollout {
             revision,
             record: None,
-            version: Revision::NONE,
-            began: clock::steady(),
-            halted: Arc::default(),
+            row_version: Revision::NONE,
+            started_at: clock::steady(),
+            is_halted: Arc::default(),
             order: order.clone(),
         };
         inner.rollouts.insert(order.service, known);
@@ -187,7 +187,7 @@
     }
 
     /// Takes orders to evacuate failure domains, as a list had them at a revision.
-    pub fn take_evacuations(
+    pub fn accept_evacuations(
         &self,
         entries: &[evacuation::Entry],
         revision: Revision,
@@ -196,13 +196,13 @@
     ) -> evacuation::Change {
         let mut inner = self.lock();
         let change = inner.evacuations.take(entries, revision, is_whole);
-        inner.cool(&change.ended, now);
+        inner.mark_cold(&change.ended, now);
         change
     }
 
     /// Failure domains that are evacuated, and what this host still has there.
     #[must_use]
-    pub fn evacuated(&self) -> BTreeMap<Name, Evacuated> {
+    pub fn evacuated(&self) -> BTreeMap<Name, EvacuatedDomain> {
         let inner = self.lock();
         let domains = inner.evacuations.failure_domains();
         domains.map(|domain| (domain.clone(), inner.evacuated(domain))).collect()
@@ -224,7 +224,7 @@
 
     /// Takes what another host heard of a backend server, with times of its clock; whether the world is
     /// another one now. What was said of another start means nothing.
-    pub fn restrict(&self, restricted: &Restricted, from: Millis, now: Millis) -> bool {
+    pub fn accept_restriction(&self, restricted: &Restricted, from: Millis, now: Millis) -> bool {
         let backend = self.backend(&restricted.backend);
         let backend = backend.filter(|backend| backend.born == restricted.born);
         let restriction = restricted.restriction.on_clock(from, now);
@@ -233,41 +233,41 @@
 
     /// Backend servers that stand in a failure domain; none before their list was read.
     #[must_use]
-    pub fn servers_in(&self, failure_domain: &Name) -> Option<usize> {
+    pub fn count_servers_in(&self, failure_domain: &Name) -> Option<usize> {
         let inner = self.lock();
         let backends = inner.backends.values();
         let here = backends.filter(|backend| backend.server.failure_domain == *failure_domain);
-        inner.has_roster.then(|| here.count())
+        inner.has_read_backends.then(|| here.count())
     }
 
     /// A roll-out.
     #[must_use]
-    pub fn rollout(&self, service: &Name) -> Option<Known> {
+    pub fn rollout(&self, service: &Name) -> Option<TrackedRollout> {
         self.lock().rollouts.get(service).cloned()
     }
 
     /// Notes how a roll-out stands; false if that is older than what is known, or of another order.
-    pub fn set_record(&self, snapshot: &Snapshot, now: Millis) -> bool {
+    pub fn accept_record(&self, rollout: &RolloutState, now: Millis) -> bool {
         let mut inner = self.lock();
-        let Some(known) = inner.rollouts.get_mut(&snapshot.service) else { return false };
-        let issued = known.issued();
-        let is_of = snapshot.record.is_of(issued, &known.order.target);
+        let Some(known) = inner.rollouts.get_mut(&rollout.service) else { return false };
+        let order_id = known.order_id();
+        let is_same_order = rollout.record.belongs_to(order_id, &known.order.target);
         // A row that the store has lost is made anew by hosts that know nothing of it.
-        let is_behind = known.record.as_ref().is_some_and(|held| snapshot.record.is_behind(held));
-        if !is_of || is_behind || snapshot.version < known.version {
+        let is_behind = known.record.as_ref().is_some_and(|held| rollout.record.is_behind(held));
+        if !is_same_order || is_behind || rollout.version < known.row_version {
             return false;
         }
-        known.record = Some(Record { order: issued, ..snapshot.record.clone() });
-        known.version = snapshot.version;
-        known.began = now - snapshot.age_ms;
+        known.record = Some(Record { order: order_id, ..rollout.record.clone() });
+        known.row_version = rollout.version;
+        known.started_at = now - rollout.age_ms;
         true
     }
 
     /// Services with a roll-out that was decided.
     #[must_use]
-    pub fn decided(&self) -> Vec<Name> {
+    pub fn decided_services(&self) -> Vec<Name> {
         let inner = self.lock();
-        let stage = |known: &Known| known.record.as_ref().map(|record| record.stage);
+        let stage = |known: &TrackedRollout| known.record.as_ref().map(|record| record.stage);
         let decided = inner.rollouts.values();
         let decided = decided.filter(|known| stage(known).is_some_and(Stage::is_decided));
         decided.map(|known| known.order.service.clone()).collect()
@@ -275,26 +275,26 @@
 
     /// Services with a roll-out that is not decided, each with its order.
     #[must_use]
-    pub fn orders(&self) -> Vec<(Name, Revision)> {
+    pub fn open_orders(&self) -> Vec<(Name, Revision)> {
         let inner = self.lock();
-        let is_open = |known: &&Known| {
+        let is_open = |known: &&TrackedRollout| {
             let stage = known.record.as_ref().map(|record| record.stage);
             stage.is_some_and(|stage| matches!(stage, Stage::Trial | Stage::Moving))
         };
         let open = inner.rollouts.values().filter(is_open);
-        open.map(|known| (known.order.service.clone(), known.issued())).collect()
+        open.map(|known| (known.order.service.clone(), known.order_id())).collect()
     }
 
     /// How all roll-outs stand, for other hosts.
     #[must_use]
-    pub fn records(&self, now: Millis) -> Vec<Snapshot> {
+    pub fn rollout_states(&self, now: Millis) -> Vec<RolloutState> {
         let inner = self.lock();
         let snapshots = inner.rollouts.iter().filter_map(|(service, known)| {
-            Some(Snapshot {
+            Some(RolloutState {
                 service: service.clone(),
-                version: known.version,
+                version: known.row_version,
                 record: known.record.clone()?,
-                age_ms: now.since(known.began),
+                age_ms: now.since(known.started_at),
             })
         });
         snapshots.collect()
@@ -302,8 +302,8 @@
 
     /// The version that requests for a service go to, but for a roll-out.
     #[must_use]
-    pub fn base(&self, service: &Name) -> Name {
-        self.lock().bases.get(service).cloned().unwrap_or_default()
+    pub fn base_version(&self, service: &Name) -> Name {
+        self.lock().base_versions.get(service).cloned().unwrap_or_default()
     }
 
     /// Makes the world as it is now what requests are decided by.
@@ -311,14 +311,14 @@
     /// Both lists publish, on any thread. Were the lock given up in between, a world made before a
     /// table came could replace the one made after, and all requests be refused until the next
     /// change.
-    pub fn publish(&self, place: &ArcSwap<World>, now: Millis) -> Published {
+    pub fn publish(&self, target: &ArcSwap<World>, now: Millis) -> Published {
         let mut inner = self.lock();
-        let before = place.load_full();
-        let world = inner.world(self, now);
+        let before = target.load_full();
+        let world = inner.build_snapshot(self, now);
         let is_complete = world.is_complete;
-        let gone = inner.gone(&before);
-        place.store(Arc::new(world));
-        Published { is_complete, gone }
+        let vanished_servers = inner.vanished_servers(&before);
+        target.store(Arc::new(world));
+        Published { is_complete, vanished_servers }
     }
 
     /// When the world changes by itself, if it does.
@@ -329,20 +329,20 @@
 }
 
 impl Inner {
-    fn world(&mut self, at: &Catalog, now: Millis) -> World {
+    fn build_snapshot(&mut self, at: &Catalog, now: Millis) -> World {
         let entries = self.roster.entries(now);
-        self.warming.retain(|_, until| now < *until);
+        self.warm_at.retain(|_, until| now < *until);
         let mut backends = HashMap::new();
         let mut pools: HashMap<Name, Pool> = HashMap::new();
         for row in &entries {
             let near = row.failure_domain == at.failure_domain;
-            let known = self.backends.remove(&row.id).or_else(|| self.departed.remove(&row.id));
+            let known = self.backends.remove(&row.id).or_else(|| self.unlisted.remove(&row.id));
             // Another start knows nothing of the one before: neither its caches and load nor its
             // connections are the new one's.
             let known =
                 known.filter(|known| known.server.address == row.address && known.born == row.born);
             let backend = known.unwrap_or_else(|| Arc::new(Backend::new(row, near)));
-            if let Some(limit) = self.warmup(row, now) {
+            if let Some(limit) = self.warmup_limit(row, now) {
                 backend.learn_limit(limit, now);
             }
             backends.insert(row.id.clone(), Arc::clone(&backend));
@@ -353,8 +353,8 @@
                 false => pool.backends.push(backend),
             }
         }
-        let departed = std::mem::replace(&mut self.backends, backends);
-        self.depart(departed);
+        let unlisted = std::mem::replace(&mut self.backends, backends);
+        self.keep_unlisted(unlisted);
         for service in self.index.services.keys() {
             pools.entry(service.clone()).or_default();
         }
@@ -362,9 +362,9 @@
             let exists = |version: &Name| {
                 entries.iter().any(|row| row.service == *service && row.version == *version)
             };
-            pool.base = self.choose_base(service, pool, exists);
+            pool.base = self.choose_base_version(service, pool, exists);
             pool.rollout =
-                self.rollouts.get(service).map(|known| rollout(known, at.exposure_share));
+                self.rollouts.get(service).map(|known| pool_rollout(known, at.exposure_share));
         }
         World {
             index: Arc::clone(&self.index),
@@ -375,17 +375,17 @@
     }
 
     /// Keeps servers that are no longer listed.
-    fn depart(&mut self, departed: HashMap<Name, Arc<Backend>>) {
-        departed.values().for_each(|backend| backend.server.retire(true));
-        self.departed.extend(departed);
+    fn keep_unlisted(&mut self, unlisted: HashMap<Name, Arc<Backend>>) {
+        unlisted.values().for_each(|backend| backend.server.retire(true));
+        self.unlisted.extend(unlisted);
         let roster = &self.roster;
-        self.departed.retain(|id, _| roster.remembers(id));
+        self.unlisted.retain(|id, _| roster.remembers(id));
     }
 
-    fn evacuated(&self, failure_domain: &Name) -> Evacuated {
+    fn evacuated(&self, failure_domain: &Name) -> EvacuatedDomain {
         let servers = self.backends.values().map(|backend| &backend.server);
         let here = servers.filter(|server| server.failure_domain == *failure_domain);
-        here.fold(Evacuated::default(), |sum, server| Evacuated {
+        here.fold(EvacuatedDomain::default(), |sum, server| EvacuatedDomain {
             servers: sum.servers + 1,
             requests: sum.requests + server.in_flight.load(Ordering::Relaxed),
         })
@@ -393,62 +393,68 @@
 
     /// Backend servers of failure domains that take requests again had none for a while: until they
     /// say how they stand they are taken for cold.
-    fn cool(&mut self, failure_domains: &[Name], now: Millis) {
+    fn mark_cold(&mut self, failure_domains: &[Name], now: Millis) {
         for row in self.roster.entries(now) {
             let service = self.index.services.get(&row.service);
             let warmup = service.and_then(|service| service.warmup);
             if let Some(warmup) = warmup.filter(|_| failure_domains.contains(&row.failure_domain)) {
-                self.warming.insert(row.id, now + warmup.ms);
+                self.warm_at.insert(row.id, now + warmup.ms);
             }
         }
     }
 
     /// What a backend server takes until it is warm.
-    fn warmup(&self, row: &wire::routing::Backend, now: Millis) -> Option<Limit> {
-        let until = self.warming.get(&row.id)?;
+    fn warmup_limit(&self, row: &wire::routing::Backend, now: Millis) -> Option<Limit> {
+        let until = self.warm_at.get(&row.id)?;
         let warmup = self.index.services.get(&row.service)?.warmup?;
         Some(Limit::warmup(warmup.per_second, *until, now))
     }
 
     /// Servers of an earlier world that are no longer listed, or have started again.
-    fn gone(&self, before: &World) -> Vec<Name> {
+    fn vanished_servers(&self, before: &World) -> Vec<Name> {
         let served = before.pools.values().flat_map(|pool| &pool.backends);
-        let gone = served.filter(|backend| {
+        let vanished = served.filter(|backend| {
             let listed = self.backends.get(&backend.id);
             listed.is_none_or(|listed| listed.born != backend.born)
         });
-        gone.map(|backend| backend.id.clone()).collect()
+        vanished.map(|backend| backend.id.clone()).collect()
     }
 
     fn is_complete(&self) -> bool {
-        let is_known = |known: &Known| known.record.is_some();
-        self.index.version > 0 && self.has_roster && self.rollouts.values().all(is_known)
+        let is_known = |known: &TrackedRollout| known.record.is_some();
+        self.index.version > 0 && self.has_read_backends && self.rollouts.values().all(is_known)
     }
 
     /// A version that nobody ordered gets no requests: servers of a new version may be listed
     /// before the order to try it has come. A version exists for as long as one of its servers is listed,
     /// also if all leave or are evacuated: else the other one would get all requests, and keep them.
-    fn choose_base(&mut self, service: &Name, pool: &Pool, exists: impl Fn(&Name) -> bool) -> Name {
+    fn choose_base_version(
+        &mut self,
+        service: &Name,
+        pool: &Pool,
+        exists: impl Fn(&Name) -> bool,
+    ) -> Name {
         let known = self.rollouts.get(service);
         let record = known.and_then(|known| known.record.as_ref());
-        let held = self.bases.get(service).filter(|held| exists(held)).cloned();
+        let held = self.base_versions.get(service).filter(|held| exists(held)).cloned();
         let chosen = match record {
             Some(record) if record.stage == Stage::Done => Some(record.target.clone()),
             Some(record) if !record.base.is_empty() => Some(record.base.clone()),
             _ => held,
         };
-        let target = known.map(|known| &known.order.target);
+        let target_version = known.map(|known| &known.order.target);
         let chosen = chosen.filter(|chosen| exists(chosen));
-        let base = chosen.or_else(|| commonest(pool, target)).unwrap_or_default();
-        if !base.is_empty() {
-            self.bases.insert(service.clone(), base.clone());
+        let base_version =
+            chosen.or_else(|| most_common_version(pool, target_version)).unwrap_or_default();
+        if !base_version.is_empty() {
+            self.base_versions.insert(service.clone(), base_version.clone());
         }
-        base
+        base_version
     }
 }
 
 /// The version that most servers have, but for one on trial.
-fn commonest(pool: &Pool, target: Option<&Name>) -> Option<Name> {
+fn most_common_version(pool: &Pool, target: Option<&Name>) -> Option<Name> {
     let mut counts: BTreeMap<&Name, usize> = BTreeMap::new();
     for backend in &pool.backends {
         *counts.entry(&backend.version).or_default() += 1;
@@ -459,13 +465,13 @@
         .map(|(version, _)| (*version).clone())
 }
 
-fn rollout(known: &Known, allowed: f64) -> Rollout {
+fn pool_rollout(known: &TrackedRollout, allowed: f64) -> Rollout {
     Rollout {
         target: known.order.target.clone(),
         stage: known.record.as_ref().map(|record| record.stage).unwrap_or_default(),
-        began: known.began,
+        began: known.started_at,
         within_ms: known.order.within_ms,
         allowed,
-        halted: Arc::clone(&known.halted),
+        halted: Arc::clone(&known.is_halted),
     }
 }
--- a/crates/node/src/catalog/known.rs
+++ b/crates/node/src/catalog/rollout.rs
@@ -11,7 +11,7 @@
 
 /// A roll-out as this host knows it.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct TrackedRollout {
     /// The order.
     pub order: Order,
     /// Its revision.
@@ -19,17 +19,17 @@
     /// How it stands, once that was read or written.
     pub record: Option<Record>,
     /// The version of that row.
-    pub version: Revision,
+    pub row_version: Revision,
     /// When it began, by this host's clock.
-    pub began: Millis,
+    pub started_at: Millis,
     /// This host's own answers speak against the new version.
-    pub halted: Arc<AtomicBool>,
+    pub is_halted: Arc<AtomicBool>,
 }
 
-impl Known {
+impl TrackedRollout {
     /// When the order was written, by which all hosts name it.
     #[must_use]
-    pub fn issued(&self) -> Revision {
+    pub fn order_id(&self) -> Revision {
         Revision::new(self.revision.era, self.order.issue)
     }
 
@@ -38,13 +38,13 @@
     pub(super) fn reissue(&mut self, order: Order, revision: Revision) {
         self.order = order;
         self.revision = revision;
-        let issued = self.issued();
+        let order_id = self.order_id();
         if let Some(record) = &mut self.record {
-            if record.order.number != issued.number {
+            if record.order.number != order_id.number {
                 // The row names the order by another number, so it is written again.
-                self.version = Revision::NONE;
+                self.row_version = Revision::NONE;
             }
-            record.order = issued;
+            record.order = order_id;
         }
     }
 }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -13,50 +13,50 @@
 const HOSTS_MAX: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Peer {
     address: SocketAddr,
     /// When it was last heard of, or found listed.
-    heard: Millis,
+    last_seen: Millis,
     /// Its strength.
     class: u8,
 }
 
 /// By name.
 #[derive(Default)]
-pub struct Directory(Mutex<HashMap<Name, Known>>);
+pub struct Directory(Mutex<HashMap<Name, Peer>>);
 
 impl Directory {
     /// A host of a strength was heard of, or found listed; whether it was not known before.
-    pub fn note(&self, name: &Name, address: SocketAddr, class: u8, now: Millis) -> bool {
+    pub fn record(&self, name: &Name, address: SocketAddr, class: u8, now: Millis) -> bool {
         let mut hosts = self.lock();
         let has_room = hosts.len() < HOSTS_MAX;
-        let known = Known { address, heard: now, class };
+        let peer = Peer { address, last_seen: now, class };
         match hosts.get_mut(name) {
-            Some(held) => {
-                *held = known;
+            Some(existing) => {
+                *existing = peer;
                 false
             }
-            None if has_room => hosts.insert(name.clone(), known).is_none(),
+            None if has_room => hosts.insert(name.clone(), peer).is_none(),
             None => false,
         }
     }
 
     /// Forgets those that were not heard of for long.
-    pub fn forget(&self, now: Millis) {
+    pub fn evict_silent(&self, now: Millis) {
         let mut hosts = self.lock();
         let forget_ms = pulse::forget_ms(hosts.len());
-        hosts.retain(|_, known| now.since(known.heard) < forget_ms);
+        hosts.retain(|_, peer| now.since(peer.last_seen) < forget_ms);
     }
 
     /// Where a host listens.
     #[must_use]
     pub fn address(&self, name: &Name) -> Option<SocketAddr> {
-        self.lock().get(name).map(|known| known.address)
+        self.lock().get(name).map(|peer| peer.address)
     }
 
     /// Between two signs of life to all of them.
     #[must_use]
-    pub fn pulse(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(pulse::every_ms(self.lock().len()))
     }
 
@@ -69,7 +69,7 @@
     /// Where all of them listen.
     #[must_use]
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.lock().values().map(|known| known.address).collect()
+        self.lock().values().map(|peer| peer.address).collect()
     }
 
     /// Those that were heard of, or found, lately, each with its strength.
@@ -77,11 +77,11 @@
     pub fn alive(&self, now: Millis) -> Vec<(Name, u8)> {
         let hosts = self.lock();
         let gone_ms = pulse::gone_ms(hosts.len());
-        let alive = hosts.iter().filter(|(_, known)| now.since(known.heard) < gone_ms);
-        alive.map(|(name, known)| (name.clone(), known.class)).collect()
+        let alive = hosts.iter().filter(|(_, peer)| now.since(peer.last_seen) < gone_ms);
+        alive.map(|(name, peer)| (name.clone(), peer.class)).collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<Name, Known>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<Name, Peer>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -24,14 +24,14 @@
 use tokio_util::codec::LengthDelimitedCodec;
 use wire::store::Error;
 
-use crate::record::Snapshot;
+use crate::record::RolloutState;
 use crate::store::{List, Update};
 
 /// Longest wait for a connection. Past it another host is asked.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Longest time that one call may take: a host with a small part of a core that is taking thousands of
 /// changes itself needs some hundred milliseconds.
-const WITHIN: Duration = Duration::from_millis(700);
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Longest message.
 pub const MESSAGE_BYTES_MAX: usize = 64 << 10;
 /// Length of a piece: each comes within the time of a call on a narrow link that several share, so that
@@ -39,18 +39,18 @@
 const PIECE_BYTES: usize = 32 << 10;
 /// Longest news that are passed on, compressed and not.
 const PACKED_BYTES_MAX: u64 = 8 << 20;
-const LONG_BYTES_MAX: u64 = 64 << 20;
+const UNPACKED_BYTES_MAX: u64 = 64 << 20;
 /// All packed news that are kept together take so many bytes at most, but for the newest.
 const CACHE_BYTES_MAX: usize = 4 << 20;
 /// Packed news kept: for those that start, and for those that know one of the last few revisions.
-const PACKED_MAX: usize = 6;
+const CACHED_COUNT_MAX: usize = 6;
 /// Hosts that read from one host at once, beyond those that ask it first: some whose own sources are lost.
 /// More of them would share its link, and fill it for longer than their callers wait.
-const READERS_SPARE: usize = 2;
+const SPARE_SLOTS_COUNT: usize = 2;
 /// How long a host that is about to have the news keeps one that asks for them.
-const KEPT: Duration = Duration::from_millis(120);
+const HOLD: Duration = Duration::from_millis(120);
 /// Between two looks whether it has them.
-const LOOK: Duration = Duration::from_millis(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Served by each host to the others of its failure domain.
 #[tarpc::service]
@@ -61,7 +61,7 @@
     /// A piece of what was opened, from a byte on; empty behind the last one.
     async fn piece(from: u64) -> Bytes;
     /// How roll-outs stand.
-    async fn records() -> Vec<Snapshot>;
+    async fn records() -> Vec<RolloutState>;
 }
 
 domain! {
@@ -84,9 +84,10 @@
 
     /// Whether a host has what another one lacks.
     #[derive(Copy, Eq)]
-    pub enum Holds {
+    pub enum Availability {
         /// It has, and the newest change that it knows is this one.
-        Up(Revision),
+        #[serde(rename = "Up")]
+        UpTo(Revision),
         /// It is being given it itself.
         Later,
         /// It has not.
@@ -94,7 +95,7 @@
     }
 
     /// What a host was given.
-    pub enum Given {
+    pub enum Reply {
         /// What it lacks.
         #[serde(rename = "News")]
         Update(Update),
@@ -108,11 +109,11 @@
 /// What has the news.
 pub trait Source: Send + Sync + 'static {
     /// Whether this host knows a list at least up to a revision.
-    fn holds(&self, list: List, least: Revision) -> Holds;
+    fn availability(&self, list: List, least: Revision) -> Availability;
     /// What a host lacks that knows a list as of a revision.
-    fn update(&self, list: List, after: Revision) -> Option<Update>;
+    fn update_since(&self, list: List, after: Revision) -> Option<Update>;
     /// How roll-outs stand.
-    fn records(&self) -> Vec<Snapshot>;
+    fn rollouts(&self) -> Vec<RolloutState>;
 }
 
 /// News as they are passed on, until newer ones are.
@@ -121,7 +122,7 @@
 /// came: to unpack and to pack thousands of entries at each step takes a small core longer than its
 /// link.
 #[derive(Clone, Debug)]
-struct Packed {
+struct Package {
     list: List,
     after: Revision,
     revision: Revision,
@@ -130,18 +131,18 @@
 
 /// What this host passes on.
 #[derive(Clone, Default)]
-pub struct Cache(Arc<Mutex<Vec<Packed>>>);
+pub struct Cache(Arc<Mutex<Vec<Package>>>);
 
 impl Cache {
     /// What was packed for those who know a list as of a revision, if it reaches up to another one.
-    fn find(&self, list: List, after: Revision, least: Revision) -> Option<Packed> {
+    fn find(&self, list: List, after: Revision, least: Revision) -> Option<Package> {
         let held = lock(&self.0);
-        let is_it =
-            |held: &&Packed| (held.list, held.after) == (list, after) && held.revision >= least;
-        held.iter().find(is_it).cloned()
+        let is_match =
+            |held: &&Package| (held.list, held.after) == (list, after) && held.revision >= least;
+        held.iter().find(is_match).cloned()
     }
 
-    fn put(&self, packed: Packed) {
+    fn insert(&self, packed: Package) {
         let mut held = lock(&self.0);
         held.retain(|other| (other.list, other.after) != (packed.list, packed.after));
         held.insert(0, packed);
@@ -150,30 +151,30 @@
             bytes += packed.bytes.len();
             bytes <= CACHE_BYTES_MAX || bytes == packed.bytes.len()
         });
-        held.truncate(PACKED_MAX);
+        held.truncate(CACHED_COUNT_MAX);
     }
 }
 
 /// What is read in pieces on one connection.
-struct Opened {
+struct OpenedPackage {
     packed: Bytes,
     /// Frees the place for another host when the connection ends.
-    _place: OwnedSemaphorePermit,
+    _slot: OwnedSemaphorePermit,
 }
 
 /// Serves one connection.
 struct Server<S> {
     source: Arc<S>,
-    places: Arc<Semaphore>,
+    slots: Arc<Semaphore>,
     cache: Cache,
-    opened: Arc<Mutex<Option<Opened>>>,
+    opened: Arc<Mutex<Option<OpenedPackage>>>,
 }
 
 impl<S> Clone for Server<S> {
     fn clone(&self) -> Self {
         Self {
             source: Arc::clone(&self.source),
-            places: Arc::clone(&self.places),
+            slots: Arc::clone(&self.slots),
             cache: self.cache.clone(),
             opened: Arc::clone(&self.opened),
         }
@@ -182,13 +183,13 @@
 
 impl<S: Source> Host for Server<S> {
     async fn give(self, _: Context, list: List, after: Revision, least: Revision) -> Offer {
-        let until = tokio::time::Instant::now() + KEPT;
+        let until = tokio::time::Instant::now() + HOLD;
         loop {
             let offer = self.offer(list, after, least);
             if offer != Offer::Later || tokio::time::Instant::now() >= until {
                 return offer;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -198,42 +199,43 @@
         piece(&packed, from)
     }
 
-    async fn records(self, _: Context) -> Vec<Snapshot> {
-        self.source.records()
+    async fn records(self, _: Context) -> Vec<RolloutState> {
+        self.source.rollouts()
     }
 }
 
 impl<S: Source> Server<S> {
     /// Makes news ready for being read in pieces.
     fn offer(&self, list: List, after: Revision, least: Revision) -> Offer {
-        let Ok(place) = Arc::clone(&self.places).try_acquire_owned() else { return Offer::Later };
-        let held = self.source.holds(list, least);
+        let Ok(slot) = Arc::clone(&self.slots).try_acquire_owned() else { return Offer::Later };
+        let held = self.source.availability(list, least);
         // What has just come to this host is passed on before the host has taken it in itself.
-        let newest = if let Holds::Up(changed) = held { changed.max(least) } else { least };
+        let newest =
+            if let Availability::UpTo(changed) = held { changed.max(least) } else { least };
         let packed = self.cache.find(list, after, newest);
         let packed = match (packed, held) {
             (Some(packed), _) => packed,
-            (None, Holds::Up(_)) => match self.pack(list, after) {
+            (None, Availability::UpTo(_)) => match self.pack_and_cache(list, after) {
                 Some(packed) => packed,
                 None => return Offer::Nothing,
             },
-            (None, Holds::Later) => return Offer::Later,
-            (None, Holds::Nothing) => return Offer::Nothing,
+            (None, Availability::Later) => return Offer::Later,
+            (None, Availability::Nothing) => return Offer::Nothing,
         };
-        let Packed { revision, bytes, .. } = packed;
+        let Package { revision, bytes, .. } = packed;
         let first = piece(&bytes, 0);
         let length = bytes.len() as u64;
-        *lock(&self.opened) = Some(Opened { packed: bytes, _place: place });
+        *lock(&self.opened) = Some(OpenedPackage { packed: bytes, _slot: slot });
         Offer::Opened { revision, bytes: length, first }
     }
 
-    fn pack(&self, list: List, after: Revision) -> Option<Packed> {
-        let update = self.source.update(list, after)?;
+    fn pack_and_cache(&self, list: List, after: Revision) -> Option<Package> {
+        let update = self.source.update_since(list, after)?;
         let bytes = pack(&update).inspect_err(|error| {
             log::error!(target: "peers", list:? = list, error:% = error; "news not written");
         });
-        let packed = Packed { list, after, revision: update.revision, bytes: bytes.ok()? };
-        self.cache.put(packed.clone());
+        let packed = Package { list, after, revision: update.revision, bytes: bytes.ok()? };
+        self.cache.insert(packed.clone());
         Some(packed)
     }
 }
@@ -253,23 +255,23 @@
 }
 
 fn unpack(packed: &[u8]) -> Result<Update, Error> {
-    let unpacked = ZlibDecoder::new(packed).take(LONG_BYTES_MAX);
+    let unpacked = ZlibDecoder::new(packed).take(UNPACKED_BYTES_MAX);
     rmp_serde::from_read(unpacked).map_err(|error| Error::Malformed(error.to_string()))
 }
 
 /// Serves other hosts until the process ends; a host of a higher class serves more at once.
 pub async fn serve<S: Source>(listener: TcpListener, source: Arc<S>, cache: Cache, class: u8) {
-    let places = Arc::new(Semaphore::new(tree::children(class, 0) + READERS_SPARE));
+    let slots = Arc::new(Semaphore::new(tree::children(class, 0) + SPARE_SLOTS_COUNT));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let server = Server {
                     source: Arc::clone(&source),
-                    places: Arc::clone(&places),
+                    slots: Arc::clone(&slots),
                     cache: cache.clone(),
                     opened: Arc::default(),
                 };
-                tokio::spawn(serve_one(stream, server));
+                tokio::spawn(serve_connection(stream, server));
             }
             Err(error) => log::warn!(target: "peers", error:% = error; "accept failed"),
         }
@@ -277,11 +279,11 @@
 }
 
 /// Serves one connection for as long as calls come on it.
-async fn serve_one<S: Source>(stream: TcpStream, server: Server<S>) {
+async fn serve_connection<S: Source>(stream: TcpStream, server: Server<S>) {
     let calls = BaseChannel::with_defaults(transport(stream)).execute(server.serve());
     let mut calls = std::pin::pin!(calls);
     loop {
-        match tokio::time::timeout(WITHIN, calls.next()).await {
+        match tokio::time::timeout(CALL_TIMEOUT, calls.next()).await {
             Ok(Some(call)) => call.await,
             Ok(None) => return,
             Err(_) => {
@@ -301,20 +303,22 @@
     from: SocketAddr,
     (list, after, least): (List, Revision, Revision),
     cache: &Cache,
-) -> Result<Given, Error> {
+) -> Result<Reply, Error> {
     let host = connect(from).await?;
-    match within(async { host.give(context(), list, after, least).await.map_err(lost) }).await? {
+    match with_timeout(async { host.give(context(), list, after, least).await.map_err(call_error) })
+        .await?
+    {
         Offer::Opened { revision, bytes, first } => {
             let bytes = read_pieces(&host, bytes, first).await?;
-            cache.put(Packed { list, after, revision, bytes: bytes.clone() });
-            unpack(&bytes).map(Given::Update)
+            cache.insert(Package { list, after, revision, bytes: bytes.clone() });
+            unpack(&bytes).map(Reply::Update)
         }
-        Offer::Later => Ok(Given::Later),
-        Offer::Nothing => Ok(Given::Nothing),
+        Offer::Later => Ok(Reply::Later),
+        Offer::Nothing => Ok(Reply::Nothing),
     }
 }
 
-fn lost(error: RpcError) -> Error {
+fn call_error(error: RpcError) -> Error {
     Error::Lost(error.to_string())
 }
 
@@ -326,7 +330,8 @@
     let mut packed = first.to_vec();
     while (packed.len() as u64) < length {
         let from = packed.len() as u64;
-        let piece = within(async { host.piece(context(), from).await.map_err(lost) }).await?;
+        let piece =
+            with_timeout(async { host.piece(context(), from).await.map_err(call_error) }).await?;
         if piece.is_empty() {
             return Err(Error::Partial(format!("the end after {from} bytes of {length}")));
         }
@@ -339,21 +344,21 @@
 ///
 /// # Errors
 /// When it gives no answer in time; reading has no effect.
-pub async fn ask_records(from: SocketAddr) -> Result<Vec<Snapshot>, Error> {
-    within(async {
+pub async fn request_rollouts(from: SocketAddr) -> Result<Vec<RolloutState>, Error> {
+    with_timeout(async {
         let answer = connect(from).await?.records(context()).await;
         answer.map_err(|error| Error::Lost(error.to_string()))
     })
     .await
 }
 
-async fn within<T>(exchange: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-    let answer = tokio::time::timeout(WITHIN, exchange).await;
+async fn with_timeout<T>(exchange: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
+    let answer = tokio::time::timeout(CALL_TIMEOUT, exchange).await;
     answer.unwrap_or_else(|_| Err(Error::Lost("no answer in time".to_owned())))
 }
 
 async fn connect(to: SocketAddr) -> Result<HostClient, Error> {
-    let connecting = tokio::time::timeout(CONNECT, TcpStream::connect(to)).await;
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
     let connected = connecting.map_err(|_| Error::Refused("no connection in time".to_owned()))?;
     let stream = connected.map_err(|error| Error::Refused(error.to_string()))?;
     Ok(HostClient::new(client::Config::default(), transport(stream)).spawn())
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -19,15 +19,15 @@
 use crate::store::{Entry, Fact, List, Update};
 
 /// Changes sent with a position at most; more are had by a call.
-const TOLD_MAX: usize = 4;
+const SENT_CHANGES_MAX: usize = 4;
 /// Changes this many times as long as the list are not read. Two changes of one long entry are, and
 /// an entry that has grown by half is not.
-const AFRESH_FACTOR: f64 = 1.6;
+const REREAD_FACTOR: f64 = 1.6;
 /// A change this many times as long as the list, and a message more, is read by each host.
-const LONG_FACTOR: u64 = 4;
+const LONG_CHANGE_FACTOR: u64 = 4;
 /// A list that has been behind for this long is logged, in milliseconds. Most changes
 /// are taken over in a few.
-const BEHIND_LOGGED_MS: u64 = 1_000;
+const BEHIND_LOG_THRESHOLD_MS: u64 = 1_000;
 
 domain! {
     /// How new a host's state of a list is, as it tells the others.
@@ -66,16 +66,16 @@
     relay: Mutex<Relay>,
     read_at: Mutex<Option<Millis>>,
     /// The revision before the last news.
-    before: Mutex<Revision>,
+    previous_revision: Mutex<Revision>,
     wake: Notify,
     /// News are being taken from another host; one call at a time is enough.
-    taking: AtomicBool,
+    is_fetching: AtomicBool,
     /// Changes behind this revision are not asked of the store any more.
-    forgotten: Mutex<Option<Revision>>,
+    incomplete_after: Mutex<Option<Revision>>,
     /// A long answer of the store is on its way to this host.
-    incoming: AtomicBool,
+    is_incoming: AtomicBool,
     /// Length of the list as the store last sent all of it, in bytes, or of a longer change since.
-    bytes: AtomicU64,
+    list_bytes: AtomicU64,
     /// What this host has heard of and has not taken in.
     missing: Mutex<Option<Missing>>,
 }
@@ -85,7 +85,7 @@
 struct Missing {
     revision: Revision,
     /// Who announced it last.
-    from: Name,
+    announced_by: Name,
     since: Millis,
     /// The log says so.
     is_logged: bool,
@@ -93,7 +93,7 @@
 
 /// How long entries that a copy lacks are kept, in milliseconds. Servers list themselves again within about two
 /// seconds, and are gone if they do not; operators say nothing of when they do.
-fn missing_ms(list: List) -> u64 {
+fn missing_retention_ms(list: List) -> u64 {
     match list {
         List::Operators => recovery::REWRITTEN_MS,
         List::Backends => roster::LAPSE_MS,
@@ -106,15 +106,15 @@
     pub fn new(list: List, relay: Relay) -> Self {
         Self {
             list,
-            history: Mutex::new(History::new(missing_ms(list))),
+            history: Mutex::new(History::new(missing_retention_ms(list))),
             relay: Mutex::new(relay),
             read_at: Mutex::default(),
-            before: Mutex::default(),
+            previous_revision: Mutex::default(),
             wake: Notify::new(),
-            taking: AtomicBool::new(false),
-            forgotten: Mutex::default(),
-            incoming: AtomicBool::new(false),
-            bytes: AtomicU64::new(0),
+            is_fetching: AtomicBool::new(false),
+            incomplete_after: Mutex::default(),
+            is_incoming: AtomicBool::new(false),
+            list_bytes: AtomicU64::new(0),
             missing: Mutex::default(),
         }
     }
@@ -148,8 +148,8 @@
 
     /// The revision of the list's newest change that was taken in.
     #[must_use]
-    pub fn changed(&self) -> Revision {
-        lock(&self.history).changed()
+    pub fn last_change(&self) -> Revision {
+        lock(&self.history).last_change()
     }
 
     /// News as they are to be taken, with what this host holds on to after the store's return from a copy.
@@ -164,35 +164,36 @@
     }
 
     /// News were taken in.
-    pub fn taken(&self, update: &Update, now: Millis) {
+    pub fn record_accepted(&self, update: &Update, now: Millis) {
         let mut history = lock(&self.history);
         if !update.entries.is_empty() {
-            *lock(&self.before) = history.revision().unwrap_or_default();
+            *lock(&self.previous_revision) = history.revision().unwrap_or_default();
         }
-        history.take(update);
+        history.apply(update);
         if update.is_whole {
-            *lock(&self.forgotten) = None;
+            *lock(&self.incomplete_after) = None;
         }
         let mut missing = lock(&self.missing);
-        if let Some(had) = missing.take_if(|missing| missing.revision <= update.revision)
-            && had.is_logged
+        if let Some(caught_up) = missing.take_if(|missing| missing.revision <= update.revision)
+            && caught_up.is_logged
         {
             log::info!(target: "watch", list:? = self.list, revision:% = update.revision,
-                behind_ms = now.since(had.since); "list caught up");
+                behind_ms = now.since(caught_up.since); "list caught up");
         }
     }
 
     /// Another host has read a change that this one lacks.
-    pub fn note_missing(&self, revision: Revision, from: &Name, now: Millis) {
+    pub fn record_missing(&self, revision: Revision, peer: &Name, now: Millis) {
         let mut missing = lock(&self.missing);
-        let new = Missing { revision, from: from.clone(), since: now, is_logged: false };
-        missing.get_or_insert(new).from = from.clone();
+        let reported =
+            Missing { revision, announced_by: peer.clone(), since: now, is_logged: false };
+        missing.get_or_insert(reported).announced_by = peer.clone();
     }
 
     /// A host that has a change which this one lacks, if there is one.
     #[must_use]
-    pub fn missing_source(&self) -> Option<Name> {
-        lock(&self.missing).as_ref().map(|missing| missing.from.clone())
+    pub fn missing_update_source(&self) -> Option<Name> {
+        lock(&self.missing).as_ref().map(|missing| missing.announced_by.clone())
     }
 
     /// For how long this host has known of a change that it lacks, in milliseconds; 0 if of none.
@@ -206,7 +207,7 @@
         let revision = self.revision().unwrap_or_default();
         if let Some(missing) = lock(&self.missing).as_mut()
             && !missing.is_logged
-            && now.since(missing.since) >= BEHIND_LOGGED_MS
+            && now.since(missing.since) >= BEHIND_LOG_THRESHOLD_MS
         {
             missing.is_logged = true;
             log::warn!(target: "watch", list:? = self.list, revision:%, missing:% = missing.revision,
@@ -216,14 +217,14 @@
 
     /// Changes behind the newest revision are not to be had from the store, or are longer than the
     /// list: it is read afresh.
-    pub fn forgotten(&self) {
-        *lock(&self.forgotten) = self.revision();
+    pub fn mark_incomplete(&self) {
+        *lock(&self.incomplete_after) = self.revision();
     }
 
     /// The revision behind which changes are asked of the store; none if the whole list is.
     #[must_use]
-    pub fn asked_after(&self) -> Option<Revision> {
-        self.revision().filter(|revision| *lock(&self.forgotten) != Some(*revision))
+    pub fn request_after(&self) -> Option<Revision> {
+        self.revision().filter(|revision| *lock(&self.incomplete_after) != Some(*revision))
     }
 
     /// Whether this host holds on to something against the list.
@@ -234,37 +235,37 @@
 
     /// What the list says in place of what was held on to for long enough; none if there is nothing.
     #[must_use]
-    pub fn settle(&self, now: Millis) -> Option<Update> {
-        lock(&self.history).settle(now)
+    pub fn expire_overrides(&self, now: Millis) -> Option<Update> {
+        lock(&self.history).expire_overrides(now)
     }
 
     /// What a host lacks that knows the list as of a revision; none before this one has read it.
     #[must_use]
-    pub fn behind(&self, revision: Revision, now: Millis) -> Option<Update> {
-        lock(&self.history).behind(revision, now)
+    pub fn update_since(&self, revision: Revision, now: Millis) -> Option<Update> {
+        lock(&self.history).update_since(revision, now)
     }
 
     /// News are to be taken from another host; false if that is under way.
-    pub fn begin_taking(&self) -> bool {
-        !self.taking.swap(true, Ordering::Relaxed)
+    pub fn begin_fetch(&self) -> bool {
+        !self.is_fetching.swap(true, Ordering::Relaxed)
     }
 
     /// Whether news are being taken from another host.
     #[must_use]
-    pub fn is_taking(&self) -> bool {
-        self.taking.load(Ordering::Relaxed)
+    pub fn is_fetching(&self) -> bool {
+        self.is_fetching.load(Ordering::Relaxed)
     }
 
     /// News were taken, or were not to be had.
-    pub fn end_taking(&self) {
-        self.taking.store(false, Ordering::Relaxed);
+    pub fn end_fetch(&self) {
+        self.is_fetching.store(false, Ordering::Relaxed);
     }
 
     /// The store sent all of the list, or a change of it, in so many bytes.
-    pub fn note_bytes(&self, bytes: u64, is_whole: bool) {
+    pub fn record_bytes(&self, bytes: u64, is_whole: bool) {
         match is_whole {
-            true => self.bytes.store(bytes, Ordering::Relaxed),
-            false => drop(self.bytes.fetch_max(bytes, Ordering::Relaxed)),
+            true => self.list_bytes.store(bytes, Ordering::Relaxed),
+            false => drop(self.list_bytes.fetch_max(bytes, Ordering::Relaxed)),
         }
     }
 
@@ -274,38 +275,38 @@
     /// was without the store while a long table changed several times would read all of them, one
     /// after the other, before the last one is in force.
     #[must_use]
-    pub fn is_shorter_afresh(&self, bytes: u64) -> bool {
-        bytes as f64 > AFRESH_FACTOR * self.bytes.load(Ordering::Relaxed) as f64
+    pub fn is_reread_shorter(&self, bytes: u64) -> bool {
+        bytes as f64 > REREAD_FACTOR * self.list_bytes.load(Ordering::Relaxed) as f64
     }
 
     /// Whether an answer of so many bytes is so much longer than the list was that what is new in it
     /// can't be passed on in time. Several versions of a table in one answer are not.
     #[must_use]
     pub fn is_long_change(&self, bytes: u64) -> bool {
-        let usual = self.bytes.load(Ordering::Relaxed);
-        bytes > LONG_FACTOR * usual + exchange::MESSAGE_BYTES_MAX as u64
+        let list_bytes = self.list_bytes.load(Ordering::Relaxed);
+        bytes > LONG_CHANGE_FACTOR * list_bytes + exchange::MESSAGE_BYTES_MAX as u64
     }
 
     /// A long answer of the store has begun, or its call has ended.
-    pub fn set_incoming(&self, incoming: bool) {
-        self.incoming.store(incoming, Ordering::Relaxed);
+    pub fn set_incoming(&self, is_incoming: bool) {
+        self.is_incoming.store(is_incoming, Ordering::Relaxed);
     }
 
     /// Whether a long answer of the store is on its way to this host.
     #[must_use]
     pub fn is_incoming(&self) -> bool {
-        self.incoming.load(Ordering::Relaxed)
+        self.is_incoming.load(Ordering::Relaxed)
     }
 
     /// Whether the list is to be taken from any other host: this one can't read it and has
     /// nothing.
     #[must_use]
-    pub fn is_wanting(&self) -> bool {
+    pub fn accepts_any_peer(&self) -> bool {
         self.revision().is_none() && self.relay().is_wanting()
     }
 
     /// This host has read the list.
-    pub fn read(&self, now: Millis) {
+    pub fn record_read(&self, now: Millis) {
         *lock(&self.read_at) = Some(now);
         self.relay().read(now);
     }
@@ -318,20 +319,21 @@
         }
         let read_at = (*lock(&self.read_at))?;
         let revision = self.revision()?;
-        let changed = lock(&self.history).changed();
+        let changed = lock(&self.history).last_change();
         let age_ms = now.since(read_at);
-        let changes = self.changes(now);
-        let bytes = self.bytes.load(Ordering::Relaxed);
+        let changes = self.recent_changes(now);
+        let bytes = self.list_bytes.load(Ordering::Relaxed);
         Some(Position { list: self.list, revision, changed, age_ms, bytes, changes })
     }
 
     /// The last news, if they are few. A whole table of routes is not sent: it is seldom small.
-    fn changes(&self, now: Millis) -> Option<Changes> {
-        let after = *lock(&self.before);
-        let update = self.behind(after, now)?;
+    fn recent_changes(&self, now: Millis) -> Option<Changes> {
+        let after = *lock(&self.previous_revision);
+        let update = self.update_since(after, now)?;
         let is_table = |entry: &Entry| matches!(entry.fact, Fact::Table(_));
-        let is_little = update.entries.len() <= TOLD_MAX && !update.entries.iter().any(is_table);
-        (is_little && !update.is_whole && !update.entries.is_empty())
+        let is_short =
+            update.entries.len() <= SENT_CHANGES_MAX && !update.entries.iter().any(is_table);
+        (is_short && !update.is_whole && !update.entries.is_empty())
             .then_some(Changes { after, update })
     }
 
--- a/crates/node/src/helpers.rs
+++ b/crates/node/src/helpers.rs
@@ -15,15 +15,15 @@
 use rand::seq::SliceRandom;
 use wire::settings;
 
-use crate::peers::find::{Found, listed};
+use crate::peers::find::{ListedHost, read_hosts};
 use crate::store::Store;
 use crate::watch::Watch;
 
 /// Hosts of one failure domain that are asked whether they are there; rows of some that are gone stay
 /// listed.
-const ASKED: usize = 8;
+const PROBED_COUNT: usize = 8;
 /// Between two rounds: hosts that were cut off when they were asked may serve again.
-const ROUND_EVERY: Duration = Duration::from_secs(2);
+const ROUND_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Finds them until the process ends.
 pub async fn find<S: Store, C: Codec>(settings: settings::Node, watch: Arc<Watch<S, C>>) {
@@ -41,30 +41,31 @@
             if !state.helpers.wants_far(clock::steady()) {
                 break;
             }
-            add(&watch, domain).await;
+            add_hosts(&watch, domain).await;
         }
-        tokio::time::sleep(ROUND_EVERY).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
     }
 }
 
 /// Adds some hosts of a failure domain that answer.
-async fn add<S: Store, C: Codec>(watch: &Watch<S, C>, domain: &Name) {
-    let found = match listed(&*watch.store, domain).await {
+async fn add_hosts<S: Store, C: Codec>(watch: &Watch<S, C>, domain: &Name) {
+    let found = match read_hosts(&*watch.store, domain).await {
         Ok(found) => found,
         Err(error) => {
             log::warn!(target: "peers", domain:% = domain, error:% = error; "hosts not found");
             return;
         }
     };
-    let drawn = sample::draw(found.len(), ASKED, rand::random());
-    let added = join_all(drawn.map(|index| try_add(&watch.state, &found[index], domain))).await;
+    let drawn = sample::draw(found.len(), PROBED_COUNT, rand::random());
+    let added =
+        join_all(drawn.map(|index| probe_and_add(&watch.state, &found[index], domain))).await;
     let added = added.into_iter().filter(|added| *added).count();
     log::info!(target: "peers", domain:% = domain, listed = found.len(), added;
         "hosts of another failure domain found");
 }
 
 /// Adds a host if it answers; whether it does.
-async fn try_add<C: Codec>(state: &State<C>, found: &Found, domain: &Name) -> bool {
+async fn probe_and_add<C: Codec>(state: &State<C>, found: &ListedHost, domain: &Name) -> bool {
     let Some(address) = found.forward else { return false };
     let host = Backend::host(found.name.clone(), address, domain.clone(), false);
     let answers = host.takes_connections().await;
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -19,26 +19,26 @@
 /// Edits of the table kept: a host that missed some of a storm of changes is sent all of them at once.
 const EDITS_MAX: usize = 16;
 /// An edit that names more than this part of a table is as well sent whole.
-const EDIT_PART_MAX: f64 = 0.25;
+const EDIT_FRACTION_MAX: f64 = 0.25;
 
 /// An edit of the table.
 #[derive(Clone, Debug)]
-struct Edited {
+struct TableEdit {
     /// Revision of the entry that it is made of.
-    before: Revision,
+    base: Revision,
     /// As others are sent it.
     entry: Entry,
 }
 
 /// An entry as it was last changed.
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownEntry {
     entry: Entry,
     /// The store's counter at the change before, if this host knows that; 0 if there was none.
-    before: Option<u64>,
+    previous_number: Option<u64>,
 }
 
-impl Known {
+impl KnownEntry {
     fn is_removed(&self) -> bool {
         self.entry.fact == Fact::Removed
     }
@@ -47,9 +47,9 @@
     /// would undo what was acknowledged.
     ///
     /// A server that leaves does so whoever says it; one that starts again under its id knows nothing of before.
-    fn outlasts(&self, listed: &Entry) -> bool {
+    fn overrides_listed(&self, listed: &Entry) -> bool {
         match (&self.entry.fact, &listed.fact) {
-            (held, listed) if is_same(held, listed) => false,
+            (held, listed) if says_same(held, listed) => false,
             (Fact::Table(held), Fact::Table(listed)) => listed.version < held.version,
             (_, Fact::Backend(listed)) if listed.draining => false,
             (Fact::Backend(held), Fact::Backend(listed))
@@ -57,12 +57,12 @@
             {
                 false
             }
-            _ => recovery::is_doubtful(listed.revision, self.entry.revision, self.before),
+            _ => recovery::is_doubtful(listed.revision, self.entry.revision, self.previous_number),
         }
     }
 
     /// Whether a change of it is newer. Tables are numbered by operators, who go on from the highest.
-    fn yields_to(&self, change: &Entry) -> bool {
+    fn is_superseded_by(&self, change: &Entry) -> bool {
         let is_older_table = match (&self.entry.fact, &change.fact) {
             (Fact::Table(held), Fact::Table(new)) => new.version < held.version,
             _ => false,
@@ -72,7 +72,7 @@
 }
 
 /// Whether both say the same, whenever they were written.
-fn is_same(one: &Fact, other: &Fact) -> bool {
+fn says_same(one: &Fact, other: &Fact) -> bool {
     match (one, other) {
         (Fact::Order(one), Fact::Order(other)) => one.is_same(other),
         _ => one == other,
@@ -93,18 +93,18 @@
 /// Each entry's last change. All entries are here, and changes behind a revision are complete.
 #[derive(Debug)]
 pub struct History {
-    entries: BTreeMap<Name, Known>,
+    entries: BTreeMap<Name, KnownEntry>,
     /// How many of them are removals.
     removed: usize,
     /// Changes behind this revision are all here, removals included.
-    base: Revision,
+    complete_since: Revision,
     /// The newest revision taken in; none before the list was read. An empty store is at revision
     /// 0, and a list read there has been read.
     revision: Option<Revision>,
     /// That of the newest change.
-    changed: Revision,
+    last_change: Revision,
     /// The last edits of the table, each made of what the one before it makes.
-    edits: VecDeque<Edited>,
+    edits: VecDeque<TableEdit>,
     /// Whether the store has come back from a copy lately.
     recovery: Recovery,
     /// What the list has in place of entries that are kept against it since; none of those that it lacks.
@@ -118,9 +118,9 @@
         Self {
             entries: BTreeMap::new(),
             removed: 0,
-            base: Revision::NONE,
+            complete_since: Revision::NONE,
             revision: None,
-            changed: Revision::NONE,
+            last_change: Revision::NONE,
             edits: VecDeque::new(),
             recovery: Recovery::new(missing_ms),
             overridden: BTreeMap::new(),
@@ -135,8 +135,8 @@
 
     /// The revision of the newest change; the list is the same since.
     #[must_use]
-    pub fn changed(&self) -> Revision {
-        self.changed
+    pub fn last_change(&self) -> Revision {
+        self.last_change
     }
 
     /// Whether this host holds on to something against the list.
@@ -147,7 +147,7 @@
 
     /// What the list says in place of what was held on to for long enough; none if there is nothing.
     #[must_use]
-    pub fn settle(&self, now: Millis) -> Option<Update> {
+    pub fn expire_overrides(&self, now: Millis) -> Option<Update> {
         let phase = self.recovery.phase(now);
         let is_due = |listed: &Option<Entry>| match listed {
             None => phase > Phase::Missing,
@@ -167,29 +167,29 @@
     /// News as they are to be taken: of a whole list that is read soon after the store has come back from a copy,
     /// what this host knows goes before what may be of before the copy.
     pub fn reconcile<'a>(&mut self, update: &'a Update, now: Millis) -> Reconciled<'a> {
-        let knows_before = self.enter(update, now);
+        let knows_state_before = self.detect_restore(update, now);
         let phase = self.recovery.phase(now);
-        if !update.is_whole || !knows_before || phase == Phase::Settled {
+        if !update.is_whole || !knows_state_before || phase == Phase::Settled {
             return Reconciled { update: self.with_own_steps(update), missing: 0, doubted: 0 };
         }
         let listed: HashSet<&Name> = update.entries.iter().map(|entry| &entry.key).collect();
-        let given =
+        let inherited =
             update.overrides.as_ref().map(|overrides| overrides.held.clone()).unwrap_or_default();
-        let (mut entries, mut doubted, mut held) = (Vec::new(), Vec::new(), given.clone());
+        let (mut entries, mut doubted, mut held) = (Vec::new(), Vec::new(), inherited.clone());
         for entry in &update.entries {
             match self.entries.get(&entry.key) {
-                Some(known) if self.is_held_against(known, entry) => {
+                Some(known) if self.is_override_of(known, entry) => {
                     doubted.push(known.entry.clone());
                     held.insert(entry.key.clone(), Some(entry.clone()));
                 }
                 _ => entries.push(entry.clone()),
             }
         }
-        let is_lost = |known: &&Known| {
+        let is_lost = |known: &&KnownEntry| {
             let key = &known.entry.key;
             let is_of_before = known.entry.revision.era < update.revision.era;
             let is_held = is_of_before || self.overridden.get(key) == Some(&None);
-            is_held && !known.is_removed() && !listed.contains(key) && !given.contains_key(key)
+            is_held && !known.is_removed() && !listed.contains(key) && !inherited.contains_key(key)
         };
         let lost = self.entries.values().filter(|_| phase == Phase::Missing).filter(is_lost);
         let missing: Vec<Entry> = lost.map(|known| known.entry.clone()).collect();
@@ -217,21 +217,21 @@
 
     /// Whether an entry is held on to against what the list has in its place. What was held on to before is not of
     /// the list, whatever revision it was given here.
-    fn is_held_against(&self, known: &Known, listed: &Entry) -> bool {
+    fn is_override_of(&self, known: &KnownEntry, listed: &Entry) -> bool {
         match self.overridden.contains_key(&listed.key) {
             true => {
                 let is_newer = known.entry.revision >= listed.revision;
-                is_newer && !is_same(&known.entry.fact, &listed.fact)
+                is_newer && !says_same(&known.entry.fact, &listed.fact)
             }
-            false => known.outlasts(listed),
+            false => known.overrides_listed(listed),
         }
     }
 
     /// Notes that the store has come back from a copy, if these news are the first to show that; whether this host
     /// knows the list as it was before.
-    fn enter(&mut self, update: &Update, now: Millis) -> bool {
+    fn detect_restore(&mut self, update: &Update, now: Millis) -> bool {
         let Some(own) = self.revision else {
-            self.doubt_with(update, now);
+            self.adopt_overrides(update, now);
             return false;
         };
         let is_back = own.era < update.revision.era;
@@ -239,7 +239,7 @@
         match &update.overrides {
             Some(overrides) if is_back => self.recovery.begin(now - overrides.age_ms),
             None if is_back => self.recovery.begin(now),
-            _ if is_new => self.doubt_with(update, now),
+            _ if is_new => self.adopt_overrides(update, now),
             _ => {}
         }
         if is_back {
@@ -249,7 +249,7 @@
     }
 
     /// Takes over what the giver of a list holds on to against it.
-    fn doubt_with(&mut self, update: &Update, now: Millis) {
+    fn adopt_overrides(&mut self, update: &Update, now: Millis) {
         if let Some(overrides) = &update.overrides {
             self.recovery.begin(now - overrides.age_ms);
             self.overridden = overrides.held.clone();
@@ -257,71 +257,71 @@
     }
 
     /// Takes in news: the whole list, or all changes between the newest revision and theirs.
-    pub fn take(&mut self, update: &Update) {
+    pub fn apply(&mut self, update: &Update) {
         match self.revision {
             // From a store that answered late; nothing in it is missing here.
             Some(revision) if update.is_whole && update.revision < revision.stored() => return,
             // Changes say nothing of what was lost with the return from a copy.
             Some(revision) if !update.is_whole && update.revision.era > revision.era => return,
             Some(revision) if update.revision.era > revision.era => {
-                self.note_removed(update);
+                self.record_removals(update);
                 self.edits.clear();
-                (self.base, self.changed) = (update.revision, update.revision);
+                (self.complete_since, self.last_change) = (update.revision, update.revision);
             }
             None => {
                 // What was removed before is not known.
-                self.base = update.revision;
-                self.changed = update.revision;
+                self.complete_since = update.revision;
+                self.last_change = update.revision;
             }
-            Some(_) if update.is_whole => self.note_removed(update),
+            Some(_) if update.is_whole => self.record_removals(update),
             Some(_) => {}
         }
         for entry in &update.entries {
-            self.put(entry.clone(), update.is_whole);
+            self.apply_entry(entry.clone(), update.is_whole);
             if !update.is_whole {
                 self.overridden.remove(&entry.key);
             }
         }
         self.revision = self.revision.max(Some(update.revision));
-        self.forget();
+        self.evict_removals();
     }
 
     /// Takes in one entry, of a whole list or as it was changed.
-    fn put(&mut self, entry: Entry, is_listed: bool) {
+    fn apply_entry(&mut self, entry: Entry, is_listed: bool) {
         let held = self.entries.get(&entry.key);
-        if held.is_some_and(|held| !held.yields_to(&entry)) {
+        if held.is_some_and(|held| !held.is_superseded_by(&entry)) {
             return;
         }
-        self.changed = self.changed.max(entry.revision);
-        self.note_edit(&entry);
+        self.last_change = self.last_change.max(entry.revision);
+        self.record_edit(&entry);
         let held = self.entries.get(&entry.key);
-        let before = match held {
-            Some(held) if is_same(&held.entry.fact, &entry.fact) => held.before,
+        let previous_number = match held {
+            Some(held) if says_same(&held.entry.fact, &entry.fact) => held.previous_number,
             Some(held) if held.entry.revision.era == entry.revision.era => {
                 Some(held.entry.revision.number)
             }
             None if !is_listed => Some(0),
             _ => None,
         };
-        let was_removed = held.is_some_and(Known::is_removed);
-        let held = Known { entry, before };
+        let was_removed = held.is_some_and(KnownEntry::is_removed);
+        let held = KnownEntry { entry, previous_number };
         self.removed += usize::from(held.is_removed());
         self.removed -= usize::from(was_removed);
         self.entries.insert(held.entry.key.clone(), held);
     }
 
     /// Keeps what makes a new table of the one before.
-    fn note_edit(&mut self, entry: &Entry) {
+    fn record_edit(&mut self, entry: &Entry) {
         let Fact::Table(new) = &entry.fact else { return };
         let held = self.entries.get(&entry.key).map(|held| &held.entry);
-        let Some(Entry { fact: Fact::Table(old), revision: before, .. }) = held else { return };
+        let Some(Entry { fact: Fact::Table(old), revision: base, .. }) = held else { return };
         let edit = Edit::between(old, new).filter(|edit| is_small(edit, new));
         match edit {
             Some(edit) => {
                 let fact = Fact::Edit(Arc::new(edit));
                 let (key, revision) = (entry.key.clone(), entry.revision);
                 let entry = Entry { key, revision, fact };
-                self.edits.push_back(Edited { before: *before, entry });
+                self.edits.push_back(TableEdit { base: *base, entry });
                 self.edits.drain(..self.edits.len().saturating_sub(EDITS_MAX));
             }
             None => self.edits.clear(),
@@ -361,21 +361,21 @@
     ///
     /// With that, changes behind older revisions stay complete. Without it every host of the failure
     /// domain would have to read the whole list whenever the store has dropped its history.
-    fn note_removed(&mut self, update: &Update) {
+    fn record_removals(&mut self, update: &Update) {
         let listed: HashSet<&Name> = update.entries.iter().map(|entry| &entry.key).collect();
         for (key, held) in &mut self.entries {
             if !listed.contains(key) && !held.is_removed() {
-                held.before = Some(held.entry.revision.number);
+                held.previous_number = Some(held.entry.revision.number);
                 held.entry.fact = Fact::Removed;
                 held.entry.revision = update.revision;
                 self.removed += 1;
-                self.changed = self.changed.max(update.revision);
+                self.last_change = self.last_change.max(update.revision);
             }
         }
     }
 
     /// Forgets the oldest removals beyond those kept.
-    fn forget(&mut self) {
+    fn evict_removals(&mut self) {
         let kept = REMOVED_MIN.max(self.entries.len() - self.removed);
         if self.removed <= kept {
             return;
@@ -386,7 +386,7 @@
         let last = revisions[revisions.len() - kept - 1];
         self.entries.retain(|_, held| !held.is_removed() || held.entry.revision > last);
         self.removed = self.entries.values().filter(|held| held.is_removed()).count();
-        self.base = self.base.max(last);
+        self.complete_since = self.complete_since.max(last);
     }
 
     /// What a host lacks that knows the list as of a revision, 0 for nothing: the changes behind it,
@@ -397,9 +397,9 @@
     /// store was away: nobody's changes reach back to what such a host knows, and without the list
     /// it would serve an old table, or none, for as long as the store is out of its reach.
     #[must_use]
-    pub fn behind(&self, revision: Revision, now: Millis) -> Option<Update> {
+    pub fn update_since(&self, revision: Revision, now: Millis) -> Option<Update> {
         let newest = self.revision?;
-        let is_whole = revision < self.base || revision == Revision::NONE;
+        let is_whole = revision < self.complete_since || revision == Revision::NONE;
         let is_wanted = |entry: &&Entry| match is_whole {
             true => entry.fact != Fact::Removed,
             false => entry.revision > revision,
@@ -408,7 +408,7 @@
         let mut entries: Vec<Entry> = wanted
             .flat_map(|entry| match is_whole {
                 true => vec![entry.clone()],
-                false => self.edits_behind(revision, entry),
+                false => self.edits_since(revision, entry),
             })
             .collect();
         entries.sort_by_key(|entry| entry.revision);
@@ -424,12 +424,12 @@
 
     /// An entry as it is sent to those that know the list as of a revision: a table by its edits since,
     /// if they are all known.
-    fn edits_behind(&self, revision: Revision, entry: &Entry) -> Vec<Entry> {
-        let edits = self.edits.iter().filter(|edited| edited.entry.key == entry.key);
-        let mut edits = edits.skip_while(|edited| edited.entry.revision <= revision).peekable();
+    fn edits_since(&self, revision: Revision, entry: &Entry) -> Vec<Entry> {
+        let edits = self.edits.iter().filter(|edit| edit.entry.key == entry.key);
+        let mut edits = edits.skip_while(|edit| edit.entry.revision <= revision).peekable();
         match (&entry.fact, edits.peek()) {
-            (Fact::Table(_), Some(first)) if first.before <= revision => {
-                edits.map(|edited| edited.entry.clone()).collect()
+            (Fact::Table(_), Some(first)) if first.base <= revision => {
+                edits.map(|edit| edit.entry.clone()).collect()
             }
             _ => vec![entry.clone()],
         }
@@ -438,5 +438,5 @@
 
 fn is_small(edit: &Edit, table: &Table) -> bool {
     let all = table.routes.len() + table.services.len() + table.accounts.len();
-    edit.len() as f64 <= EDIT_PART_MAX * all as f64
+    edit.len() as f64 <= EDIT_FRACTION_MAX * all as f64
 }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -90,7 +90,8 @@
 
 /// What this host believes, and since when.
 fn status<C: Codec>(context: &Context<C>) -> String {
-    let status = Status::of(&context.state, &context.catalog, &*context.followers, clock::steady());
+    let status =
+        Status::collect(&context.state, &context.catalog, &*context.followers, clock::steady());
     match serde_json::to_string(&status) {
         Ok(text) => text,
         Err(error) => {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -26,21 +26,21 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-use crate::counts::Counting;
+use crate::counts::HostCounts;
 use crate::store::{List, Store};
 use crate::watch::{Notice, Watch};
-pub use find::Found;
+pub use find::ListedHost;
 use message::{Entry, Message};
 
 /// Prefills are gathered for this long before they are sent.
-const GATHER: Duration = Duration::from_millis(15);
+const PREFILL_BATCH_DELAY: Duration = Duration::from_millis(15);
 /// Hosts notified of a prefill at once, at most; of more, others each time. In a domain of 50 hosts
 /// every notice still reaches half of them.
-const NOTIFIED_MAX: usize = 24;
+const NOTIFIED_HOSTS_MAX: usize = 24;
 /// Between two messages of what streams showed of engines.
-const SHOW_EVERY: Duration = Duration::from_secs(2);
+const STREAM_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 /// Between two hosts that look whether the store has still got their rows.
-const RELISTED_EACH: Duration = Duration::from_millis(5);
+const ROW_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Prefills in one message.
 const PREFILLS_MAX: usize = 16;
 /// What servers say of how much they take, in one sign of life; each host hears it from them all the same.
@@ -48,13 +48,13 @@
 
 /// What is known of a message's sender.
 #[derive(Clone, Copy, Debug, Default)]
-struct Taken {
+struct Received {
     /// It was not known before.
     is_new: bool,
     /// It is the delegate of its failure domain.
     is_delegate: bool,
     /// It has just started, and lacks lists that this host has.
-    lacks: bool,
+    lacks_lists: bool,
 }
 
 /// What the exchange is made with.
@@ -78,7 +78,7 @@
 }
 
 /// What this host has for the others.
-pub struct Inbox {
+pub struct Queues {
     /// Long prompts that were just sent.
     pub prefills: mpsc::Receiver<Prefill>,
     /// What backend servers say of how much they take.
@@ -89,10 +89,10 @@
 
 impl<S: Store, C: Codec> Peers<S, C> {
     /// Exchanges messages until the process ends.
-    pub async fn run(self, mut inbox: Inbox) {
+    pub async fn run(self, mut queues: Queues) {
         let mut delegate = None;
-        let mut greeted = tokio::time::Instant::now();
-        let mut shown = tokio::time::interval(SHOW_EVERY);
+        let mut heartbeat_sent = tokio::time::Instant::now();
+        let mut stream_reports = tokio::time::interval(STREAM_REPORT_INTERVAL);
         let mut buffer = vec![0; message::BYTES_MAX];
         // Messages are taken meanwhile: a host that starts while the store is away finds nobody,
         // but is found by those who knew it before.
@@ -103,77 +103,77 @@
         loop {
             tokio::select! {
                 Ok(()) = era.changed() => {
-                    find = Box::pin(self.find(Listing::new(false), self.spread()));
+                    find = Box::pin(self.find(Listing::new(false), self.row_check_delay()));
                     is_finding = true;
                 }
                 found = &mut find, if is_finding => {
                     (is_finding, has_found) = (false, true);
-                    for Found { name, address, class, forward } in &found {
-                        self.watch.directory.note(name, *address, *class, clock::steady());
-                        self.note_forward(name, *forward);
+                    for ListedHost { name, address, class, forward } in &found {
+                        self.watch.directory.record(name, *address, *class, clock::steady());
+                        self.set_forward(name, *forward);
                     }
                     log::info!(target: "peers", domain:% = self.failure_domain,
                         found = found.len(); "peers found");
-                    let lacks = self.watch.lacking().into_iter().map(Entry::Lacks);
-                    let greeting = lacks.chain(self.greeting()).collect();
-                    self.send(self.all(), greeting).await;
-                    self.watch.found(&found);
-                    self.watch.share_repeats();
+                    let lacks = self.watch.unread_lists().into_iter().map(Entry::Lacks);
+                    let heartbeat = lacks.chain(self.heartbeat()).collect();
+                    self.send(self.addresses(), heartbeat).await;
+                    self.watch.set_listed_peers(&found);
+                    self.watch.update_retry_budget();
                 }
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((length, from)) => {
-                        let taken = self.take(&buffer[..length], from);
-                        if taken.is_delegate {
+                        let sender = self.receive(&buffer[..length], from);
+                        if sender.is_delegate {
                             delegate = Some(from);
                         }
                         // It knows this host's address from the store, but not yet its name. A
                         // host that lacks the lists waits to hear who has them.
-                        if taken.is_new && has_found {
-                            self.watch.share_repeats();
+                        if sender.is_new && has_found {
+                            self.watch.update_retry_budget();
                         }
-                        if taken.is_new || taken.lacks {
-                            self.send(vec![from], self.greeting()).await;
+                        if sender.is_new || sender.lacks_lists {
+                            self.send(vec![from], self.heartbeat()).await;
                         }
                     }
                     // A host that is gone; it is forgotten when nothing more is heard of it.
                     Err(error) => log::debug!(target: "peers", error:% = error; "message lost"),
                 },
-                Some(prefill) = inbox.prefills.recv() => {
-                    tokio::time::sleep(GATHER).await;
+                Some(prefill) = queues.prefills.recv() => {
+                    tokio::time::sleep(PREFILL_BATCH_DELAY).await;
                     let mut entries = vec![Entry::Prefill(prefill)];
                     while entries.len() < PREFILLS_MAX {
-                        let Ok(prefill) = inbox.prefills.try_recv() else { break };
+                        let Ok(prefill) = queues.prefills.try_recv() else { break };
                         entries.push(Entry::Prefill(prefill));
                     }
-                    self.send(self.some(), entries).await;
+                    self.send(self.random_addresses(), entries).await;
                 }
-                Some(restricted) = inbox.restrictions.recv() => {
+                Some(restricted) = queues.restrictions.recv() => {
                     if matches!(restricted.restriction, Restriction::Leaving) {
                         self.watch.publish();
                     }
-                    self.send(self.all(), vec![Entry::Restricted(restricted)]).await;
+                    self.send(self.addresses(), vec![Entry::Restricted(restricted)]).await;
                 }
                 // The others stop passing requests on to a host that reaches no server, and begin again.
-                Ok(()) = isolated.changed() => self.send(self.all(), Vec::new()).await,
-                Some(notice) = inbox.notices.recv() => {
+                Ok(()) = isolated.changed() => self.send(self.addresses(), Vec::new()).await,
+                Some(notice) = queues.notices.recv() => {
                     self.notify(notice, delegate).await;
                 }
-                _ = shown.tick() => {
+                _ = stream_reports.tick() => {
                     let seen: Vec<Entry> = self.state.paces.take().into_iter().map(Entry::Seen).collect();
                     if !seen.is_empty() {
-                        self.send(self.some(), seen).await;
+                        self.send(self.random_addresses(), seen).await;
                     }
                 }
-                () = tokio::time::sleep_until(greeted + self.watch.directory.pulse()) => {
-                    greeted = tokio::time::Instant::now();
-                    self.watch.directory.forget(clock::steady());
+                () = tokio::time::sleep_until(heartbeat_sent + self.watch.directory.heartbeat_interval()) => {
+                    heartbeat_sent = tokio::time::Instant::now();
+                    self.watch.directory.evict_silent(clock::steady());
                     let directory = &self.watch.directory;
                     self.state.helpers.retain_near(|name| directory.address(name).is_some());
                     self.state.helpers.set_neighbours(directory.count());
                     if has_found {
-                        self.watch.share_repeats();
+                        self.watch.update_retry_budget();
                     }
-                    self.send(self.all(), self.greeting()).await;
+                    self.send(self.addresses(), self.heartbeat()).await;
                 }
             }
         }
@@ -181,23 +181,23 @@
 
     /// Until this host looks whether the store has still got its row, after the store's return from a copy. All hosts
     /// look then, and the store takes only so many calls a second.
-    fn spread(&self) -> Duration {
+    fn row_check_delay(&self) -> Duration {
         let hosts = (self.watch.directory.count() + 1) * self.failure_domains.max(1);
-        RELISTED_EACH.mul_f64(hosts as f64 * rand::random::<f64>())
+        ROW_CHECK_INTERVAL.mul_f64(hosts as f64 * rand::random::<f64>())
     }
 
     async fn notify(&self, notice: Notice, delegate: Option<SocketAddr>) {
         let (to, entries) = match notice {
-            Notice::Positions => (self.all(), self.positions()),
-            Notice::Records => (self.all(), self.records()),
+            Notice::Positions => (self.addresses(), self.positions()),
+            Notice::Rollouts => (self.addresses(), self.rollouts()),
             Notice::Counts => (delegate.into_iter().collect(), self.counts()),
             Notice::Suspects => {
                 let new = self.state.poison.with(|book| book.for_peers(clock::steady()));
-                (self.all(), new.into_iter().map(Entry::Suspect).collect())
+                (self.addresses(), new.into_iter().map(Entry::Suspect).collect())
             }
-            Notice::Incoming(list) => (self.all(), vec![Entry::Incoming(list)]),
-            Notice::WholeRead(list) => (self.all(), vec![Entry::Reading(list)]),
-            Notice::Doubts(list, address) => {
+            Notice::Incoming(list) => (self.addresses(), vec![Entry::Incoming(list)]),
+            Notice::WholeRead(list) => (self.addresses(), vec![Entry::Reading(list)]),
+            Notice::Overrides(list, address) => {
                 let revision = self.watch.follower(list).revision().unwrap_or_default();
                 (vec![address], vec![Entry::Doubts(list, revision)])
             }
@@ -208,7 +208,7 @@
     }
 
     /// What a sign of life says.
-    fn greeting(&self) -> Vec<Entry> {
+    fn heartbeat(&self) -> Vec<Entry> {
         let now = clock::steady();
         let suspects = self.state.poison.with(|book| book.suspects(now));
         let suspects = suspects.into_iter().map(Entry::Suspect);
@@ -220,13 +220,13 @@
     fn positions(&self) -> Vec<Entry> {
         let positions = self.watch.positions();
         let is_delegate = positions.iter().any(|position| position.list == List::Operators);
-        let records = if is_delegate { self.records() } else { Vec::new() };
-        positions.into_iter().map(Entry::Position).chain(records).collect()
+        let rollouts = if is_delegate { self.rollouts() } else { Vec::new() };
+        positions.into_iter().map(Entry::Position).chain(rollouts).collect()
     }
 
-    fn records(&self) -> Vec<Entry> {
-        let records = self.watch.catalog.records(clock::steady());
-        records.into_iter().map(Entry::Record).collect()
+    fn rollouts(&self) -> Vec<Entry> {
+        let rollouts = self.watch.catalog.rollout_states(clock::steady());
+        rollouts.into_iter().map(Entry::Record).collect()
     }
 
     /// What backend servers said lately of how much they take.
@@ -237,61 +237,62 @@
 
     /// What this host counted of roll-outs, by route.
     fn counts(&self) -> Vec<Entry> {
-        let orders = self.watch.catalog.orders().into_iter();
-        let counted = orders.flat_map(|(service, order)| {
+        let orders = self.watch.catalog.open_orders().into_iter();
+        let counts = orders.flat_map(|(service, order)| {
             let routes = self.state.tally.of(&service).into_iter();
             routes.map(move |route| {
                 let routes = vec![route];
-                Entry::Counted(Counting { service: service.clone(), order, routes })
+                Entry::Counted(HostCounts { service: service.clone(), order, routes })
             })
         });
-        counted.collect()
+        counts.collect()
     }
 
     /// Takes a message.
-    fn take(&self, bytes: &[u8], from: SocketAddr) -> Taken {
+    fn receive(&self, bytes: &[u8], from: SocketAddr) -> Received {
         let now = clock::steady();
         let message: Message = match serde_json::from_slice(bytes) {
             Ok(message) => message,
             Err(error) => {
                 log::debug!(target: "peers", from:% = from, error:% = error; "message unreadable");
-                return Taken::default();
+                return Received::default();
             }
         };
         if message.host.is_empty() || message.host == self.host {
             log::debug!(target: "peers", from:% = from, host:% = message.host; "message of nobody");
-            return Taken::default();
+            return Received::default();
         }
         let class = message.class;
-        let is_new = self.watch.directory.note(&message.host, from, class, now);
+        let is_new = self.watch.directory.record(&message.host, from, class, now);
         let forward = SocketAddr::new(from.ip(), message.forward);
-        self.note_forward(&message.host, (message.forward > 0).then_some(forward));
-        self.watch.met(&message.host, class);
-        self.watch.take_over(&message.host);
-        let mut taken = Taken { is_new, ..Taken::default() };
+        self.set_forward(&message.host, (message.forward > 0).then_some(forward));
+        self.watch.record_peer(&message.host, class);
+        self.watch.adopt_lists(&message.host);
+        let mut sender = Received { is_new, ..Received::default() };
         let mut is_changed = false;
         for entry in message.entries {
             match entry {
                 Entry::Position(position) => {
-                    taken.is_delegate |= position.list == List::Operators;
-                    self.watch.hear_position(&message.host, position);
+                    sender.is_delegate |= position.list == List::Operators;
+                    self.watch.accept_position(&message.host, position);
                 }
-                Entry::Record(snapshot) => self.watch.adopt(snapshot),
-                Entry::Incoming(list) => self.watch.incoming(&message.host, list),
-                Entry::Reading(list) => self.watch.peer_reads(&message.host, list),
+                Entry::Record(rollout) => self.watch.adopt_rollout(rollout),
+                Entry::Incoming(list) => self.watch.accept_incoming(&message.host, list),
+                Entry::Reading(list) => self.watch.record_peer_reading(&message.host, list),
                 Entry::Doubts(list, revision) => {
-                    self.watch.hear_doubts(&message.host, list, revision);
+                    self.watch.accept_overrides(&message.host, list, revision);
                 }
                 Entry::Lacks(list) => {
-                    taken.lacks |= self.watch.follower(list).position(now).is_some();
+                    sender.lacks_lists |= self.watch.follower(list).position(now).is_some();
                 }
-                Entry::Counted(counting) => self.watch.counts.take(&message.host, counting),
+                Entry::Counted(report) => self.watch.counts.accept(&message.host, report),
                 Entry::Suspect(suspect) => {
                     let suspect = suspect.on_clock(message.now, now);
                     self.state.poison.learn(&suspect, Source::Peer);
                 }
                 Entry::Restricted(restricted) => {
-                    is_changed |= self.watch.catalog.restrict(&restricted, message.now, now);
+                    is_changed |=
+                        self.watch.catalog.accept_restriction(&restricted, message.now, now);
                 }
                 Entry::Seen(Seen { backend, shown }) => {
                     if let Some(backend) = self.watch.catalog.backend(&backend) {
@@ -309,11 +310,11 @@
         if is_changed {
             self.watch.publish();
         }
-        taken
+        sender
     }
 
     /// Another host takes requests that are passed on at an address, or takes none.
-    fn note_forward(&self, host: &Name, forward: Option<SocketAddr>) {
+    fn set_forward(&self, host: &Name, forward: Option<SocketAddr>) {
         match forward {
             Some(address) => {
                 self.state.helpers.add(host, address, &self.failure_domain, true);
@@ -324,27 +325,27 @@
     }
 
     /// All hosts known.
-    fn all(&self) -> Vec<SocketAddr> {
+    fn addresses(&self) -> Vec<SocketAddr> {
         self.watch.directory.addresses()
     }
 
     /// All hosts known, or as many as are notified at once.
-    fn some(&self) -> Vec<SocketAddr> {
-        let mut some = self.all();
-        if some.len() > NOTIFIED_MAX {
-            some.shuffle(&mut rand::rng());
-            some.truncate(NOTIFIED_MAX);
+    fn random_addresses(&self) -> Vec<SocketAddr> {
+        let mut random_addresses = self.addresses();
+        if random_addresses.len() > NOTIFIED_HOSTS_MAX {
+            random_addresses.shuffle(&mut rand::rng());
+            random_addresses.truncate(NOTIFIED_HOSTS_MAX);
         }
-        some
+        random_addresses
     }
 
     async fn send(&self, to: Vec<SocketAddr>, entries: Vec<Entry>) {
         let (host, class) = (self.host.clone(), self.watch.class);
         let forward = if self.state.reach.is_isolated() { 0 } else { self.forward };
         let message = Message { host, class, forward, now: clock::steady(), entries };
-        for piece in message.pieces() {
+        for datagram in message.datagrams() {
             for address in &to {
-                if let Err(error) = self.socket.send_to(&piece, address).await {
+                if let Err(error) = self.socket.send_to(&datagram, address).await {
                     log::debug!(target: "peers", to:% = address, error:% = error;
                         "message not sent");
                 }
--- a/crates/node/src/peers/find.rs
+++ b/crates/node/src/peers/find.rs
@@ -20,7 +20,7 @@
 
 domain! {
     /// A host's own row: where it listens.
-    pub struct Listed {
+    pub struct HostRow {
         /// The address.
         pub address: SocketAddr,
         /// Its strength.
@@ -34,7 +34,7 @@
 
 /// A host as it is listed.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct ListedHost {
     /// Its name.
     pub name: Name,
     /// Where it listens.
@@ -49,18 +49,21 @@
 ///
 /// # Errors
 /// When the store does not say; reading has no effect.
-pub async fn listed(store: &impl Store, failure_domain: &Name) -> Result<Vec<Found>, Error> {
+pub async fn read_hosts(
+    store: &impl Store,
+    failure_domain: &Name,
+) -> Result<Vec<ListedHost>, Error> {
     let prefix = prefix(failure_domain);
     let rows = store.rows(failure_domain, TABLE, &prefix).await?;
     let found = rows.rows.iter().filter_map(|row| {
-        let listed = record::read::<Listed>(&row.value);
+        let listed = record::parse::<HostRow>(&row.value);
         let listed = listed.inspect_err(|error| {
             log::warn!(target: "peers", key:% = row.key, error:% = error; "row unreadable");
         });
         let name = Name::from(row.key.strip_prefix(&prefix)?);
-        let Listed { address, class, forward } = listed.ok()?;
+        let HostRow { address, class, forward } = listed.ok()?;
         let forward = (forward > 0).then_some(SocketAddr::new(address.ip(), forward));
-        Some(Found { name, address, class, forward })
+        Some(ListedHost { name, address, class, forward })
     });
     Ok(found.collect())
 }
@@ -72,19 +75,19 @@
 
 impl<S: Store, C: Codec> Peers<S, C> {
     /// Lists this host after a while, unless it is listed, and finds the others that are.
-    pub(super) async fn find(&self, mut listing: Listing, delay: Duration) -> Vec<Found> {
+    pub(super) async fn find(&self, mut listing: Listing, delay: Duration) -> Vec<ListedHost> {
         tokio::time::sleep(delay).await;
         let mut found = Vec::new();
         loop {
-            let done = match listing.step(clock::steady()) {
+            let result = match listing.step(clock::steady()) {
                 Step::Done => return found,
                 Step::Wait(until) => {
                     let pause = Duration::from_millis(until.since(clock::steady()).max(1));
                     tokio::time::sleep(pause).await;
                     continue;
                 }
-                Step::Write => self.list().await.map(|()| listing.wrote()),
-                Step::Read => self.listed().await.and_then(|(hosts, is_listed)| {
+                Step::Write => self.write_own_row().await.map(|()| listing.wrote()),
+                Step::Read => self.read_peers().await.and_then(|(hosts, is_listed)| {
                     found = hosts;
                     if listing.is_outdated(is_listed) {
                         return Err(Error::Refused("an answer older than the row written".into()));
@@ -93,37 +96,40 @@
                     Ok(())
                 }),
             };
-            if let Err(error) = done {
+            if let Err(error) = result {
                 log::warn!(target: "peers", error:% = error; "peers not found, tried again");
                 listing.failed(rand::random(), clock::steady());
             }
         }
     }
 
-    fn own(&self) -> Result<SocketAddr, Error> {
+    fn own_address(&self) -> Result<SocketAddr, Error> {
         self.socket.local_addr().map_err(|error| Error::Refused(error.to_string()))
     }
 
     /// Writes this host's row.
-    async fn list(&self) -> Result<(), Error> {
-        let listed =
-            Listed { address: self.own()?, class: self.watch.class, forward: self.forward };
-        let listed = record::write(&listed).map_err(Error::Malformed)?;
+    async fn write_own_row(&self) -> Result<(), Error> {
+        let listed = HostRow {
+            address: self.own_address()?,
+            class: self.watch.class,
+            forward: self.forward,
+        };
+        let listed = record::serialize(&listed).map_err(Error::Malformed)?;
         let key = Name::from(format!("{}{}", prefix(&self.failure_domain), self.host));
-        let change = record::change(TABLE, key, None, listed);
+        let change = record::put(TABLE, key, None, listed);
         let change = Transaction { group: self.failure_domain.clone(), ..change };
         // Known from here on: a return from a copy before the lists are first read loses the row as well.
         if let Outcome::Committed(revision) = self.watch.store.commit(&change, None).await? {
-            self.watch.note_era(revision.era);
+            self.watch.record_era(revision.era);
         }
         Ok(())
     }
 
     /// The other hosts that are listed, and whether this one is.
-    async fn listed(&self) -> Result<(Vec<Found>, bool), Error> {
-        let own = self.own()?;
-        let found = listed(&*self.watch.store, &self.failure_domain).await?.into_iter();
-        let (own, others): (Vec<_>, Vec<_>) = found.partition(|host| host.address == own);
+    async fn read_peers(&self) -> Result<(Vec<ListedHost>, bool), Error> {
+        let own_address = self.own_address()?;
+        let found = read_hosts(&*self.watch.store, &self.failure_domain).await?.into_iter();
+        let (own, others): (Vec<_>, Vec<_>) = found.partition(|host| host.address == own_address);
         let is_listed = own.iter().any(|host| host.name == self.host);
         Ok((others, is_listed))
     }
--- a/crates/node/src/peers/message.rs
+++ b/crates/node/src/peers/message.rs
@@ -8,9 +8,9 @@
 use policy::revision::Revision;
 use policy::time::Millis;
 
-use crate::counts::Counting;
+use crate::counts::HostCounts;
 use crate::follow::Position;
-use crate::record::Snapshot;
+use crate::record::RolloutState;
 use crate::store::List;
 
 /// Longest message, in bytes: a datagram that no link divides.
@@ -40,7 +40,7 @@
         /// How new a list is that the sender reads for the others.
         Position(Position),
         /// How a roll-out stands.
-        Record(Snapshot),
+        Record(RolloutState),
         /// A list of which the sender is being sent a change that is too long to be passed on.
         Incoming(List),
         /// A list all of which the sender is reading.
@@ -51,7 +51,7 @@
         /// A list of which the sender knows nothing yet, and would take from who has it.
         Lacks(List),
         /// What the sender counted of a roll-out.
-        Counted(Counting),
+        Counted(HostCounts),
         /// A request that was lost with servers.
         Suspect(Suspect),
         /// What a backend server says of how much it takes.
@@ -69,13 +69,13 @@
     /// Nothing that others go by may be left out of a message because it is long: hosts that don't
     /// hear how a roll-out stands send to servers that have been stopped.
     #[must_use]
-    pub fn pieces(self) -> Vec<Vec<u8>> {
-        let mut pieces = Vec::new();
+    pub fn datagrams(self) -> Vec<Vec<u8>> {
+        let mut datagrams = Vec::new();
         let mut parts = vec![self];
         while let Some(mut part) = parts.pop() {
-            let Some(bytes) = part.write() else { continue };
+            let Some(bytes) = part.encode() else { continue };
             match part.entries.as_mut_slice() {
-                _ if bytes.len() <= BYTES_MAX => pieces.push(bytes),
+                _ if bytes.len() <= BYTES_MAX => datagrams.push(bytes),
                 // The changes are had by a call.
                 [Entry::Position(position)] if position.changes.is_some() => {
                     position.changes = None;
@@ -93,14 +93,14 @@
                 }
             }
         }
-        pieces
+        datagrams
     }
 
-    fn write(&self) -> Option<Vec<u8>> {
-        let written = serde_json::to_vec(self);
-        let written = written.inspect_err(|error| {
+    fn encode(&self) -> Option<Vec<u8>> {
+        let encoded = serde_json::to_vec(self);
+        let encoded = encoded.inspect_err(|error| {
             log::warn!(target: "peers", error:% = error; "message not written");
         });
-        written.ok()
+        encoded.ok()
     }
 }
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -27,23 +27,23 @@
 /// The table that the rows lie in.
 pub const TABLE: &str = "poison";
 /// What keys of hosts' rows begin with.
-const SEEN: &str = "seen/";
+const SUSPECTS_PREFIX: &str = "seen/";
 /// What keys of trials begin with; a part of the digest follows.
-const CLAIM: &str = "trial/";
+const CLAIM_PREFIX: &str = "trial/";
 /// The part that does: so many rows there are at most. Two requests that share a row wait for each
 /// other.
 const CLAIM_MASK: u64 = 0xfff;
 /// Between two looks at what has to be sent.
-const LOOK: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// The store's clock is asked for again after this time, in milliseconds: a host that stood still
 /// has lost it.
-const CLOCK_MS: u64 = 10_000;
+const CLOCKS_AGE_MAX_MS: u64 = 10_000;
 
 domain! {
     /// What one host knows, with times of the store's clock.
-    struct Seen {
+    struct SuspectsRow {
         suspects: Vec<Suspect>,
     }
 
@@ -59,8 +59,8 @@
 
 /// One moment on two clocks.
 #[derive(Clone, Copy, Debug)]
-struct Moment {
-    here: Millis,
+struct ClockPair {
+    local: Millis,
     store: Millis,
 }
 
@@ -78,22 +78,22 @@
         if !is_first_start {
             self.guard().alarm();
         }
-        let mut moment = None;
+        let mut clocks = None;
         let mut era = self.watch.era.subscribe();
         loop {
             tokio::select! {
                 () = self.guard().changed.notified() => {}
                 Ok(()) = era.changed() => self.guard().with(|book| book.rewrite()),
-                () = tokio::time::sleep(LOOK), if self.guard().is_awake() => {}
+                () = tokio::time::sleep(POLL_INTERVAL), if self.guard().is_awake() => {}
                 Some(trial) = trials.recv() => {
-                    let this = Arc::clone(&self);
-                    tokio::spawn(async move { this.attend(trial).await });
+                    let poison = Arc::clone(&self);
+                    tokio::spawn(async move { poison.handle_trial(trial).await });
                     continue;
                 }
             }
-            if let Err(error) = self.step(&mut moment).await {
+            if let Err(error) = self.synchronize(&mut clocks).await {
                 log::warn!(target: "poison", error:% = error; "lost requests not shared, tried again");
-                tokio::time::sleep(PAUSE.mul_f64(0.5 + rand::random::<f64>())).await;
+                tokio::time::sleep(RETRY_DELAY.mul_f64(0.5 + rand::random::<f64>())).await;
             }
         }
     }
@@ -103,17 +103,17 @@
         &state.poison
     }
 
-    async fn step(&self, moment: &mut Option<Moment>) -> Result<(), Error> {
+    async fn synchronize(&self, clocks: &mut Option<ClockPair>) -> Result<(), Error> {
         if self.guard().with(|book| book.has_unsent()) {
             self.watch.notify(Notice::Suspects);
         }
         if self.guard().polls(|polls| polls.is_due(clock::steady())) && self.watch.is_delegate() {
-            self.read(moment).await?;
+            self.read(clocks).await?;
         }
         let Some(row) = self.guard().with(|book| book.for_store(clock::steady())) else {
             return Ok(());
         };
-        let written = self.write(&row, moment).await;
+        let written = self.write(&row, clocks).await;
         if written.is_err() {
             self.guard().with(|book| book.untaken(&row));
         }
@@ -121,13 +121,13 @@
     }
 
     /// Reads what all hosts wrote.
-    async fn read(&self, moment: &mut Option<Moment>) -> Result<(), Error> {
-        let rows = self.watch.store.rows(record::NO_GROUP, TABLE, SEEN).await;
+    async fn read(&self, clocks: &mut Option<ClockPair>) -> Result<(), Error> {
+        let rows = self.watch.store.rows(record::NO_GROUP, TABLE, SUSPECTS_PREFIX).await;
         let now = clock::steady();
-        let learnt = rows.as_ref().map_or(0, |rows| self.learn(rows, now));
+        let learnt = rows.as_ref().map_or(0, |rows| self.accept_rows(rows, now));
         self.guard().polls(|polls| polls.read(learnt > 0, now));
         let rows = rows?;
-        *moment = Some(Moment { here: now, store: Millis(rows.now_ms) });
+        *clocks = Some(ClockPair { local: now, store: Millis(rows.now_ms) });
         if learnt > 0 {
             log::info!(target: "poison", rows = rows.rows.len(), learnt; "lost requests read");
             self.watch.notify(Notice::Suspects);
@@ -136,41 +136,41 @@
     }
 
     /// Takes rows in; how many requests something new was said of.
-    fn learn(&self, rows: &Rows, now: Millis) -> usize {
-        let seen = rows.rows.iter().filter_map(|row| {
-            let seen = record::read::<Seen>(&row.value);
-            let seen = seen.inspect_err(|error| {
+    fn accept_rows(&self, rows: &Rows, now: Millis) -> usize {
+        let parsed = rows.rows.iter().filter_map(|row| {
+            let parsed = record::parse::<SuspectsRow>(&row.value);
+            let parsed = parsed.inspect_err(|error| {
                 log::warn!(target: "poison", key:% = row.key, error:% = error; "row unreadable");
             });
-            seen.ok()
+            parsed.ok()
         });
-        let suspects = seen.flat_map(|seen| seen.suspects);
-        let ours = suspects.map(|suspect| suspect.on_clock(Millis(rows.now_ms), now));
-        let mut ours: Vec<Suspect> = ours.collect();
+        let suspects = parsed.flat_map(|parsed| parsed.suspects);
+        let local = suspects.map(|suspect| suspect.on_clock(Millis(rows.now_ms), now));
+        let mut local: Vec<Suspect> = local.collect();
         // What speaks against a request comes before the answer that clears it.
-        ours.sort_by_key(|suspect| suspect.crashes.is_empty());
+        local.sort_by_key(|suspect| suspect.crashes.is_empty());
         let learn = |suspect: &&Suspect| self.guard().learn(suspect, Source::Store);
-        ours.iter().filter(learn).count()
+        local.iter().filter(learn).count()
     }
 
-    async fn write(&self, row: &[Suspect], moment: &mut Option<Moment>) -> Result<(), Error> {
-        let is_old = |moment: &Moment| clock::steady().since(moment.here) >= CLOCK_MS;
-        if moment.as_ref().is_none_or(is_old) {
-            self.read(moment).await?;
+    async fn write(&self, row: &[Suspect], clocks: &mut Option<ClockPair>) -> Result<(), Error> {
+        let is_old = |clocks: &ClockPair| clock::steady().since(clocks.local) >= CLOCKS_AGE_MAX_MS;
+        if clocks.as_ref().is_none_or(is_old) {
+            self.read(clocks).await?;
         }
-        let Some(Moment { here, store }) = *moment else { return Ok(()) };
-        let theirs = row.iter().map(|suspect| suspect.clone().on_clock(here, store));
-        let value =
-            record::write(&Seen { suspects: theirs.collect() }).map_err(Error::Malformed)?;
-        let key = Name::from(format!("{SEEN}{}", self.host));
-        self.watch.store.commit(&record::change(TABLE, key, None, value), None).await?;
+        let Some(ClockPair { local, store }) = *clocks else { return Ok(()) };
+        let in_store_time = row.iter().map(|suspect| suspect.clone().on_clock(local, store));
+        let value = record::serialize(&SuspectsRow { suspects: in_store_time.collect() })
+            .map_err(Error::Malformed)?;
+        let key = Name::from(format!("{SUSPECTS_PREFIX}{}", self.host));
+        self.watch.store.commit(&record::put(TABLE, key, None, value), None).await?;
         log::info!(target: "poison", requests = row.len(); "lost requests written");
         Ok(())
     }
 
-    async fn attend(&self, trial: Trial) {
+    async fn handle_trial(&self, trial: Trial) {
         match trial {
-            Trial::Ask(ask) => self.answer(ask).await,
+            Trial::Ask(ask) => self.decide_trial(ask).await,
             Trial::Answered(digest) => {
                 let written = self.write_answered(digest).await;
                 written.unwrap_or_else(|error| {
@@ -183,7 +183,7 @@
 
     /// Without the store nobody can tell whether another host tries it. What is held stays held then;
     /// what is not would be turned away for the store's sake.
-    async fn answer(&self, ask: Ask) {
+    async fn decide_trial(&self, ask: Ask) {
         let granted = self.try_grant(&ask).await.unwrap_or_else(|error| {
             let granted = ask.alone_ms <= TRIAL_MS;
             log::warn!(target: "poison", digest:% = ask.digest, servers = ask.servers, granted,
@@ -200,13 +200,13 @@
         let key = claim_key(ask.digest);
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, &key).await?;
         let now = clock::steady();
-        self.watch.note_era(rows.revision.era);
+        self.watch.record_era(rows.revision.era);
         // Leave that another host was given may be lost with the store's return from a copy. It lasts no longer than this.
-        if self.watch.is_back_within(ask.alone_ms, now) {
+        if self.watch.was_restored_within(ask.alone_ms, now) {
             return Ok(false);
         }
         let held = rows.rows.iter().find(|row| row.key == key);
-        let last = held.and_then(|row| record::read::<Claim>(&row.value).ok());
+        let last = held.and_then(|row| record::parse::<Claim>(&row.value).ok());
         let answered = last.as_ref().filter(|last| last.digest == ask.digest);
         if let Some(answered_ms) = answered.and_then(|last| last.answered_ms) {
             let answered = Suspect {
@@ -224,9 +224,9 @@
         }
         let until_ms = rows.now_ms + ask.alone_ms;
         let claim = Claim { digest: ask.digest, until_ms, answered_ms: None };
-        let value = record::write(&claim).map_err(Error::Malformed)?;
+        let value = record::serialize(&claim).map_err(Error::Malformed)?;
         let expected = held.map_or(Revision::NONE, |row| row.version);
-        let change = record::change(TABLE, key, Some(expected), value);
+        let change = record::put(TABLE, key, Some(expected), value);
         let outcome = self.watch.store.commit(&change, None).await?;
         Ok(matches!(outcome, Outcome::Committed(_)))
     }
@@ -237,12 +237,12 @@
         let key = claim_key(digest);
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, &key).await?;
         let claim = Claim { digest, until_ms: 0, answered_ms: Some(rows.now_ms) };
-        let value = record::write(&claim).map_err(Error::Malformed)?;
-        self.watch.store.commit(&record::change(TABLE, key, None, value), None).await?;
+        let value = record::serialize(&claim).map_err(Error::Malformed)?;
+        self.watch.store.commit(&record::put(TABLE, key, None, value), None).await?;
         Ok(())
     }
 }
 
 fn claim_key(digest: Digest) -> Name {
-    Name::from(format!("{CLAIM}{:03x}", digest.0 & CLAIM_MASK))
+    Name::from(format!("{CLAIM_PREFIX}{:03x}", digest.0 & CLAIM_MASK))
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -32,7 +32,7 @@
 use crate::follow::Follower;
 use crate::helpers;
 use crate::operators::{self, Context};
-use crate::peers::{Inbox, Peers};
+use crate::peers::{Peers, Queues};
 use crate::poison::Poison;
 use crate::rollout::Rollouts;
 use crate::store::{List, Store};
@@ -40,19 +40,19 @@
 
 /// After the signal to stop new connections are still taken for a while: the balancer goes on
 /// sending them until it has seen twice, a second apart, that the process is not ready.
-const LINGER: Duration = Duration::from_millis(2_600);
+const CLOSE_DELAY: Duration = Duration::from_millis(2_600);
 /// Ports tried that are free for both UDP and TCP.
-const PORT_TRIES: u32 = 16;
+const BIND_TRIES_MAX: u32 = 16;
 /// Notices that wait to be sent.
-const NOTICES: usize = 8;
+const NOTICE_QUEUE_MAX: usize = 8;
 /// Prefills that wait to be announced.
-const PREFILLS: usize = 64;
+const PREFILL_QUEUE_MAX: usize = 64;
 /// Limits of backend servers that wait to be sent.
-const RESTRICTIONS: usize = 64;
+const RESTRICTION_QUEUE_MAX: usize = 64;
 /// Requests that wait for leave to be tried.
-const TRIALS: usize = 16;
+const TRIAL_QUEUE_MAX: usize = 16;
 /// Kept of the time to stop, for the process's own end.
-const RESERVE: Duration = Duration::from_millis(500);
+const STOP_RESERVE: Duration = Duration::from_millis(500);
 
 /// Sockets that the process listens on.
 pub struct Listeners {
@@ -97,7 +97,7 @@
 
 /// The same port by UDP and by TCP.
 async fn bind_both(address: SocketAddr) -> Result<(UdpSocket, TcpListener), Error> {
-    let mut tries = if address.port() == 0 { PORT_TRIES } else { 1 };
+    let mut tries = if address.port() == 0 { BIND_TRIES_MAX } else { 1 };
     loop {
         tries -= 1;
         let listener = bind(address).await?;
@@ -123,9 +123,9 @@
     metrics: PrometheusHandle,
     stop: CancellationToken,
 ) {
-    let (prefills, announced) = mpsc::channel(PREFILLS);
-    let (restrictions, restricted) = mpsc::channel(RESTRICTIONS);
-    let (trials, asked) = mpsc::channel(TRIALS);
+    let (prefills, prefill_queue) = mpsc::channel(PREFILL_QUEUE_MAX);
+    let (restrictions, restriction_queue) = mpsc::channel(RESTRICTION_QUEUE_MAX);
+    let (trials, trial_queue) = mpsc::channel(TRIAL_QUEUE_MAX);
     let outbox = Outbox { prefills, restrictions, trials };
     let budget = Budget::new(&settings);
     let settings::Resources { descriptors, memory_mb, .. } = settings.resources;
@@ -134,9 +134,9 @@
     let state = State::new(codec, budget.allowance(), outbox, stop.clone());
     let state = Arc::new(State { shed, volume: Volume::new(memory), ..state });
     let catalog = Catalog::new(settings.failure_domain.clone());
-    let catalog = Arc::new(catalog.exposing(settings.exposure_share));
-    let (orders, ordered) = mpsc::unbounded_channel();
-    let (notifier, notices) = mpsc::channel(NOTICES);
+    let catalog = Arc::new(catalog.with_exposure_share(settings.exposure_share));
+    let (orders, order_queue) = mpsc::unbounded_channel();
+    let (notifier, notices) = mpsc::channel(NOTICE_QUEUE_MAX);
     let (changes_within, now) = (watch::bounds(&settings), clock::steady());
     let bootstrap = if settings.first_start { Bootstrap::first(now) } else { Bootstrap::new(now) };
     let class = strength::class(settings.resources.core_share, settings.resources.link_mbps);
@@ -153,7 +153,7 @@
         followers: Arc::new(List::ALL.map(follower)),
         notifier,
         counts: Counts::default(),
-        fresh: AtomicU64::new(0),
+        fresh_at: AtomicU64::new(0),
         era: tokio::sync::watch::Sender::new(None),
         directory: Directory::default(),
         cache: Cache::default(),
@@ -173,9 +173,9 @@
     let mut background = vec![
         spawn(Arc::clone(&watch).run(List::Operators)),
         spawn(Arc::clone(&watch).run(List::Backends)),
-        spawn(Arc::clone(&watch).settle()),
-        spawn(Arc::new(rollouts).run(ordered)),
-        spawn(Arc::new(poison).run(asked, settings.first_start)),
+        spawn(Arc::clone(&watch).maintain()),
+        spawn(Arc::new(rollouts).run(order_queue)),
+        spawn(Arc::new(poison).run(trial_queue, settings.first_start)),
         spawn(Arc::clone(&state).look_for_servers()),
         spawn(helpers::find(settings.clone(), Arc::clone(&watch))),
         spawn(operators::serve(listeners.operators, Arc::clone(&context))),
@@ -197,8 +197,8 @@
             socket,
             forward: port(listeners.forward.as_ref()),
         };
-        let inbox = Inbox { prefills: announced, restrictions: restricted, notices };
-        background.push(spawn(peers.run(inbox)));
+        let queues = Queues { prefills: prefill_queue, restrictions: restriction_queue, notices };
+        background.push(spawn(peers.run(queues)));
         background.push(spawn(exchange::serve(
             listener,
             Arc::clone(&watch),
@@ -208,10 +208,10 @@
     }
     let close = CancellationToken::new();
     let connections = state.shed.connections.clone();
-    let accepts =
+    let caller_task =
         callers::serve(listeners.callers, Arc::clone(&state), close.clone(), connections.clone());
-    let accepts = spawn(accepts);
-    let forwards = listeners.forward.map(|listener| {
+    let caller_task = spawn(caller_task);
+    let forward_task = listeners.forward.map(|listener| {
         let port = Arc::new(Port(Arc::clone(&state)));
         spawn(callers::serve(listener, port, close.clone(), connections.clone()))
     });
@@ -224,14 +224,15 @@
             Some(changed) = changes.recv() => current = reload(&watch, current, changed),
         }
     }
-    let deadline = Instant::now() + Duration::from_millis(current.drain_ms).saturating_sub(RESERVE);
+    let deadline =
+        Instant::now() + Duration::from_millis(current.drain_ms).saturating_sub(STOP_RESERVE);
     log::info!(target: "process", connections = connections.len(),
         requests = state.in_flight.load(std::sync::atomic::Ordering::Relaxed); "stopping, not ready");
-    tokio::time::sleep_until(deadline.min(Instant::now() + LINGER)).await;
+    tokio::time::sleep_until(deadline.min(Instant::now() + CLOSE_DELAY)).await;
     close.cancel();
-    drop(accepts.await);
-    if let Some(forwards) = forwards {
-        drop(forwards.await);
+    drop(caller_task.await);
+    if let Some(forward_task) = forward_task {
+        drop(forward_task.await);
     }
     finish(&state, &connections, deadline).await;
     drop(background);
@@ -252,9 +253,9 @@
     current: settings::Node,
     changed: settings::Node,
 ) -> settings::Node {
-    watch.budget.set(&changed);
+    watch.budget.update_settings(&changed);
     watch.state.allowance.store(Arc::new(watch.budget.allowance()));
-    let same = settings::Node {
+    let comparable = settings::Node {
         repeats: current.repeats.clone(),
         failure_domains: current.failure_domains.clone(),
         drain_ms: current.drain_ms,
@@ -262,7 +263,7 @@
         first_start: current.first_start,
         ..changed.clone()
     };
-    let needs_restart = same != current;
+    let needs_restart = comparable != current;
     log::info!(target: "process", needs_restart, drain_ms = changed.drain_ms;
         "settings read again");
     changed
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -6,7 +6,7 @@
 use policy::revision::Revision;
 use wire::store::{Condition, Transaction, Write};
 
-use crate::counts::ByHost;
+use crate::counts::CountsByHost;
 
 /// The table that they lie in.
 pub const TABLE: &str = "rollout";
@@ -31,15 +31,15 @@
 
     /// What hosts counted: a failure domain's, or one host's if it stands alone.
     #[derive(Default)]
-    pub struct Counted {
+    pub struct CountsRow {
         /// The order that it was counted for, by when it was written.
         pub order: Revision,
         /// By host. Two rows may have the same host's, one of them older.
-        pub hosts: ByHost,
+        pub hosts: CountsByHost,
     }
 
     /// How a roll-out stands, as one host tells the others.
-    pub struct Snapshot {
+    pub struct RolloutState {
         /// The service.
         pub service: Name,
         /// The row's version.
@@ -54,8 +54,8 @@
 impl Record {
     /// Whether it belongs to an order.
     #[must_use]
-    pub fn is_of(&self, issued: Revision, target: &Name) -> bool {
-        is_of(self.order, issued) && self.target == *target
+    pub fn belongs_to(&self, order_id: Revision, target: &Name) -> bool {
+        is_same_order(self.order, order_id) && self.target == *target
     }
 
     /// Whether it stands as it did before another state of the same roll-out: no roll-out goes back.
@@ -68,8 +68,8 @@
 /// Whether what names an order means the one issued then: what was written before the store came back from a copy
 /// names it by its counter of that time, which the order has kept if the copy has both.
 #[must_use]
-pub fn is_of(order: Revision, issued: Revision) -> bool {
-    order.number == issued.number && order.era <= issued.era
+pub fn is_same_order(order: Revision, order_id: Revision) -> bool {
+    order.number == order_id.number && order.era <= order_id.era
 }
 
 /// Key of a service's record.
@@ -80,8 +80,8 @@
 
 /// Key of the counts that one host writes, for its failure domain or for itself.
 #[must_use]
-pub fn counted_key(service: &Name, of: &str) -> Name {
-    Name::from(format!("{service}/counted/{of}"))
+pub fn counts_key(service: &Name, writer: &str) -> Name {
+    Name::from(format!("{service}/counted/{writer}"))
 }
 
 /// What all rows of a service begin with.
@@ -94,7 +94,7 @@
 ///
 /// # Errors
 /// Why it can't be read.
-pub fn read<T: serde::de::DeserializeOwned>(value: &str) -> Result<T, String> {
+pub fn parse<T: serde::de::DeserializeOwned>(value: &str) -> Result<T, String> {
     serde_json::from_str(value).map_err(|error| error.to_string())
 }
 
@@ -102,13 +102,13 @@
 ///
 /// # Errors
 /// Why it can't be written.
-pub fn write<T: serde::Serialize>(value: &T) -> Result<String, String> {
+pub fn serialize<T: serde::Serialize>(value: &T) -> Result<String, String> {
     serde_json::to_string(value).map_err(|error| error.to_string())
 }
 
 /// Writes a row, if it is still at a version; 0 if it must not exist, none if it may be anything.
 #[must_use]
-pub fn change(table: &str, key: Name, expected: Option<Revision>, value: String) -> Transaction {
+pub fn put(table: &str, key: Name, expected: Option<Revision>, value: String) -> Transaction {
     let table = Name::from(table);
     let condition = |version| Condition { table: table.clone(), key: key.clone(), version };
     let conditions = expected.map(condition).into_iter().collect();
@@ -118,10 +118,10 @@
 
 /// The version before, when an order comes on top of an earlier roll-out.
 #[must_use]
-pub fn base(before: Option<&Record>, seen: &Name) -> Name {
-    match before {
+pub fn base_version(previous: Option<&Record>, common: &Name) -> Name {
+    match previous {
         Some(record) if record.stage == Stage::Done => record.target.clone(),
         Some(record) if !record.base.is_empty() => record.base.clone(),
-        _ => seen.clone(),
+        _ => common.clone(),
     }
 }
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -26,25 +26,25 @@
 use wire::routing::Progress;
 use wire::store::{Error, Outcome, Rows};
 
-use crate::catalog::Known;
-use crate::counts::{self, ByHost};
-use crate::record::{self, Counted, Record, Snapshot};
+use crate::catalog::TrackedRollout;
+use crate::counts::{self, CountsByHost};
+use crate::record::{self, CountsRow, Record, RolloutState};
 use crate::store::{List, Report, Store};
-use crate::watch::{DRIFT_MS, Watch};
+use crate::watch::{CLOCK_DRIFT_MAX_MS, Watch};
 
 /// Between two looks at what all hosts counted. A bad version gets requests for as long.
-const EVERY: Duration = Duration::from_millis(900);
+const DECISION_INTERVAL: Duration = Duration::from_millis(900);
 /// Between two looks at this host's own counts.
-const LOOK: Duration = Duration::from_millis(150);
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 /// Between two tellings of this host's counts to the delegate of the domain.
-const TELL: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// The same when it has counted nothing since: a message may be lost, and the delegate may be another.
-const TELL_AGAIN: Duration = Duration::from_secs(1);
+const REPEATED_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// How long a host waits to hear of an order from the delegate of the domain, before it
 /// reads for itself. That one needs a call or two.
-const HEAR: Duration = Duration::from_millis(1_500);
+const DELEGATE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// What a roll-out is carried out with.
 pub struct Rollouts<S, C> {
@@ -57,39 +57,39 @@
 }
 
 /// One order as it is carried out.
-struct Course {
+struct Execution {
     service: Name,
     /// What this host's row of counts holds.
-    written: ByHost,
+    written_counts: CountsByHost,
     /// How often the store had come back from a copy when that was written.
-    era: u64,
+    written_era: u64,
     /// When all hosts' counts are looked at next.
-    next: Instant,
+    decide_at: Instant,
     /// When this host's counts are reported next.
-    tell: Instant,
+    report_at: Instant,
     /// What was last reported to the delegate, and until when that is not sent again.
-    reported: (Vec<Evidence>, Instant),
+    last_report: (Vec<Evidence>, Instant),
 }
 
 impl<S: Store, C: Codec> Rollouts<S, C> {
     /// Carries out orders as they come; runs until the process ends. A new order for a service
     /// takes the place of the one under way.
     pub async fn run(self: Arc<Self>, mut orders: mpsc::UnboundedReceiver<Name>) {
-        let mut under_way: HashMap<Name, AbortOnDropHandle<()>> = HashMap::new();
+        let mut running: HashMap<Name, AbortOnDropHandle<()>> = HashMap::new();
         let mut era = self.watch.era.subscribe();
         loop {
             tokio::select! {
                 ordered = orders.recv() => {
                     let Some(service) = ordered else { return };
-                    under_way.remove(&service);
+                    running.remove(&service);
                     self.state().tally.clear(&service);
                     let task = Arc::clone(&self).carry_out(service.clone());
-                    under_way.insert(service, AbortOnDropHandle::new(tokio::spawn(task)));
+                    running.insert(service, AbortOnDropHandle::new(tokio::spawn(task)));
                 }
                 Ok(()) = era.changed() => {
-                    for service in self.watch.catalog.decided() {
+                    for service in self.watch.catalog.decided_services() {
                         let task = Arc::clone(&self).restore(service.clone());
-                        under_way.insert(service, AbortOnDropHandle::new(tokio::spawn(task)));
+                        running.insert(service, AbortOnDropHandle::new(tokio::spawn(task)));
                     }
                 }
             }
@@ -100,26 +100,26 @@
     /// that start then would try a bad version anew, or send to servers that were stopped on a success.
     async fn restore(self: Arc<Self>, service: Name) {
         let mut listed = None;
-        while let Some(known) = self.undecided_in_store(&service) {
-            if self.is_listed_again(&known) {
+        while let Some(rollout) = self.find_unrestored(&service) {
+            if self.is_order_listed_again(&rollout) {
                 let since = *listed.get_or_insert_with(Instant::now);
-                if self.watch.is_delegate() || since.elapsed() >= HEAR {
-                    self.try_restore(&service, &known).await;
+                if self.watch.is_delegate() || since.elapsed() >= DELEGATE_TIMEOUT {
+                    self.try_restore(&service, &rollout).await;
                 }
             }
-            tokio::time::sleep(PAUSE.mul_f64(0.5 + rand::random::<f64>())).await;
+            tokio::time::sleep(RETRY_DELAY.mul_f64(0.5 + rand::random::<f64>())).await;
         }
     }
 
     /// A roll-out that was decided, of which the store may say something else since its return.
-    fn undecided_in_store(&self, service: &Name) -> Option<Known> {
-        let known = self.watch.catalog.rollout(service)?;
-        let is_decided = known.record.as_ref().is_some_and(|record| record.stage.is_decided());
-        (is_decided && known.version.era < self.era()).then_some(known)
+    fn find_unrestored(&self, service: &Name) -> Option<TrackedRollout> {
+        let rollout = self.watch.catalog.rollout(service)?;
+        let is_decided = rollout.record.as_ref().is_some_and(|record| record.stage.is_decided());
+        (is_decided && rollout.row_version.era < self.era()).then_some(rollout)
     }
 
-    fn is_listed_again(&self, known: &Known) -> bool {
-        known.revision.era >= self.era()
+    fn is_order_listed_again(&self, rollout: &TrackedRollout) -> bool {
+        rollout.revision.era >= self.era()
     }
 
     /// How often the store has come back from a copy.
@@ -127,9 +127,9 @@
         self.watch.era.borrow().map_or(0, |era| era.number)
     }
 
-    async fn try_restore(&self, service: &Name, known: &Known) {
-        let restored = match self.rows(service).await {
-            Ok(rows) => self.restate(&rows, service, known).await,
+    async fn try_restore(&self, service: &Name, rollout: &TrackedRollout) {
+        let restored = match self.read_rows(service).await {
+            Ok(rows) => self.restore_record(&rows, service, rollout).await,
             Err(error) => Err(error),
         };
         if let Err(error) = restored {
@@ -139,37 +139,48 @@
     }
 
     /// Writes again how a roll-out stands if the store has lost that. What the store says of a later order stays.
-    async fn restate(&self, rows: &Rows, service: &Name, known: &Known) -> Result<(), Error> {
-        let Some(standing) = &known.record else { return Ok(()) };
-        let held = find_record(rows, service);
-        let is_lost = rows.revision.era > known.version.era;
-        let expected = match held {
-            Some((record, version)) if is_of(&record, known) && !record.is_behind(standing) => {
+    async fn restore_record(
+        &self,
+        rows: &Rows,
+        service: &Name,
+        rollout: &TrackedRollout,
+    ) -> Result<(), Error> {
+        let Some(own_record) = &rollout.record else { return Ok(()) };
+        let stored = find_record(rows, service);
+        let is_lost = rows.revision.era > rollout.row_version.era;
+        let expected = match stored {
+            Some((record, version))
+                if belongs_to(&record, rollout) && !record.is_behind(own_record) =>
+            {
                 self.adopt(service, record, version, rows.now_ms);
                 return Ok(());
             }
-            Some((record, _)) if !is_of(&record, known) && record.order > known.issued() => {
+            Some((record, _))
+                if !belongs_to(&record, rollout) && record.order > rollout.order_id() =>
+            {
                 return Ok(());
             }
             // The row names the order by when it was written, so that has to be written again first.
-            _ if !is_lost || !self.is_listed_again(known) => return Ok(()),
-            held => held.map_or(Revision::NONE, |(_, version)| version),
+            _ if !is_lost || !self.is_order_listed_again(rollout) => return Ok(()),
+            stored => stored.map_or(Revision::NONE, |(_, version)| version),
         };
-        let record = Record { order: known.issued(), ..standing.clone() };
+        let record = Record { order: rollout.order_id(), ..own_record.clone() };
         let progress = progress(record.stage);
         log::info!(target: "rollout", service:% = service, version:% = record.target,
             stage:? = record.stage, era = rows.revision.era; "lost row written again");
-        if let Some(version) = self.write(service, known, &record, expected, progress).await? {
+        if let Some(version) =
+            self.write_record(service, rollout, &record, expected, progress).await?
+        {
             self.adopt(service, record, version, rows.now_ms);
         }
         Ok(())
     }
 
     /// All rows of a service.
-    async fn rows(&self, service: &Name) -> Result<Rows, Error> {
+    async fn read_rows(&self, service: &Name) -> Result<Rows, Error> {
         let prefix = record::prefix(service);
         let rows = self.watch.store.rows(record::NO_GROUP, record::TABLE, &prefix).await?;
-        self.watch.note_era(rows.revision.era);
+        self.watch.record_era(rows.revision.era);
         Ok(rows)
     }
 
@@ -179,139 +190,145 @@
 
     async fn carry_out(self: Arc<Self>, service: Name) {
         let now = Instant::now();
-        let mut course = Course {
+        let mut execution = Execution {
             service,
-            written: ByHost::new(),
-            era: 0,
-            next: now,
-            tell: now,
-            reported: (Vec::new(), now),
+            written_counts: CountsByHost::new(),
+            written_era: 0,
+            decide_at: now,
+            report_at: now,
+            last_report: (Vec::new(), now),
         };
-        self.begin(&course.service).await;
+        self.ensure_record(&execution.service).await;
         loop {
-            let Some(known) = self.watch.catalog.rollout(&course.service) else { return };
-            let Some(record) = &known.record else { return };
+            let Some(rollout) = self.watch.catalog.rollout(&execution.service) else { return };
+            let Some(record) = &rollout.record else { return };
             if record.stage.is_decided() {
                 return;
             }
-            let elapsed = elapsed(&known, clock::steady());
+            let elapsed = elapsed(&rollout, clock::steady());
             if canary::is_watched(record.stage, elapsed) {
-                self.look(&course.service, &known);
-                self.advance(&mut course, &known, canary::is_due(record.stage, elapsed)).await;
+                self.halt_if_bad(&execution.service, &rollout);
+                self.advance(&mut execution, &rollout, canary::is_due(record.stage, elapsed)).await;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
     /// Looks at all hosts' counts if it is time to, or tells this host's.
-    async fn advance(&self, course: &mut Course, known: &Known, is_due: bool) {
+    async fn advance(&self, execution: &mut Execution, rollout: &TrackedRollout, is_due: bool) {
         let now = Instant::now();
         if !self.watch.is_delegate() {
-            if now >= course.tell {
-                course.tell = now + TELL;
-                self.tell_counts(course, now);
+            if now >= execution.report_at {
+                execution.report_at = now + REPORT_INTERVAL;
+                self.report_counts(execution, now);
             }
             return;
         }
         // What the domain's own hosts counted may be enough.
-        let is_bad = canary::verdict(&counts::sum(&self.counted(course, known))) == Verdict::Bad;
-        if is_due || is_bad || now >= course.next {
-            if let Err(error) = self.decide(course, known).await {
-                log::warn!(target: "rollout", service:% = course.service, error:% = error;
+        let is_bad =
+            canary::verdict(&counts::sum(&self.domain_counts(execution, rollout))) == Verdict::Bad;
+        if is_due || is_bad || now >= execution.decide_at {
+            if let Err(error) = self.decide(execution, rollout).await {
+                log::warn!(target: "rollout", service:% = execution.service, error:% = error;
                     "roll-out undecided, tried again");
             }
             let jitter = 0.9 + rand::random::<f64>() / 5.0;
-            course.next = Instant::now() + EVERY.mul_f64(jitter);
+            execution.decide_at = Instant::now() + DECISION_INTERVAL.mul_f64(jitter);
         }
     }
 
     /// Tells the delegate what this host counted, if that is new: of hundreds of hosts most have counted
     /// nothing since they last reported it.
-    fn tell_counts(&self, course: &mut Course, now: Instant) {
-        let own = self.state().tally.of(&course.service);
-        let (reported, until) = &course.reported;
+    fn report_counts(&self, execution: &mut Execution, now: Instant) {
+        let own = self.state().tally.of(&execution.service);
+        let (reported, until) = &execution.last_report;
         if *reported != own || now >= *until {
-            course.reported = (own, now + TELL_AGAIN);
-            self.watch.share_counts();
+            execution.last_report = (own, now + REPEATED_REPORT_INTERVAL);
+            self.watch.notify_counts();
         }
     }
 
     /// What this host counted, and what the others of its domain reported.
-    fn counted(&self, course: &Course, known: &Known) -> ByHost {
-        let mut hosts = self.watch.counts.of(&course.service, known.issued());
-        hosts.insert(self.host.clone(), self.state().tally.of(&course.service));
+    fn domain_counts(&self, execution: &Execution, rollout: &TrackedRollout) -> CountsByHost {
+        let mut hosts = self.watch.counts.for_order(&execution.service, rollout.order_id());
+        hosts.insert(self.host.clone(), self.state().tally.of(&execution.service));
         hosts
     }
 
     /// Stops at once what this host's own answers speak against, before the others know.
-    fn look(&self, service: &Name, known: &Known) {
+    fn halt_if_bad(&self, service: &Name, rollout: &TrackedRollout) {
         let own = self.state().tally.of(service);
         let is_bad = canary::verdict(&own) == Verdict::Bad;
-        if is_bad && !known.halted.swap(true, Ordering::Relaxed) {
-            log::warn!(target: "rollout", service:% = service, version:% = known.order.target,
+        if is_bad && !rollout.is_halted.swap(true, Ordering::Relaxed) {
+            log::warn!(target: "rollout", service:% = service, version:% = rollout.order.target,
                 evidence:? = own; "this host stops sending to a bad version");
         }
     }
 
     /// Reads the record of the order, or makes it, or hears of it.
-    async fn begin(&self, service: &Name) {
+    async fn ensure_record(&self, service: &Name) {
         let began = Instant::now();
         loop {
-            let Some(known) = self.watch.catalog.rollout(service) else { return };
-            if known.record.is_some() {
+            let Some(rollout) = self.watch.catalog.rollout(service) else { return };
+            if rollout.record.is_some() {
                 return;
             }
-            if !self.watch.is_delegate() && began.elapsed() < HEAR {
-                tokio::time::sleep(LOOK).await;
+            if !self.watch.is_delegate() && began.elapsed() < DELEGATE_TIMEOUT {
+                tokio::time::sleep(CHECK_INTERVAL).await;
                 continue;
             }
-            match self.try_begin(service, &known).await {
+            match self.try_create_record(service, &rollout).await {
                 Ok(()) => {}
                 Err(error) => {
                     log::warn!(target: "rollout", service:% = service, error:% = error;
                         "roll-out not begun, tried again");
                 }
             }
-            if self.watch.catalog.rollout(service).is_some_and(|known| known.record.is_none()) {
-                tokio::time::sleep(PAUSE.mul_f64(0.5 + rand::random::<f64>())).await;
+            if self.watch.catalog.rollout(service).is_some_and(|rollout| rollout.record.is_none()) {
+                tokio::time::sleep(RETRY_DELAY.mul_f64(0.5 + rand::random::<f64>())).await;
             }
         }
     }
 
-    async fn try_begin(&self, service: &Name, known: &Known) -> Result<(), Error> {
-        let rows = self.rows(service).await?;
-        let held = find_record(&rows, service);
-        if let Some((record, version)) = held.as_ref().filter(|(r, _)| is_of(r, known)) {
+    async fn try_create_record(
+        &self,
+        service: &Name,
+        rollout: &TrackedRollout,
+    ) -> Result<(), Error> {
+        let rows = self.read_rows(service).await?;
+        let stored = find_record(&rows, service);
+        if let Some((record, version)) = stored.as_ref().filter(|(r, _)| belongs_to(r, rollout)) {
             self.adopt(service, record.clone(), *version, rows.now_ms);
             return Ok(());
         }
-        let seen = self.watch.catalog.base(service);
+        let common = self.watch.catalog.base_version(service);
         let made = Record {
-            order: known.issued(),
-            target: known.order.target.clone(),
-            base: record::base(held.as_ref().map(|(record, _)| record), &seen),
+            order: rollout.order_id(),
+            target: rollout.order.target.clone(),
+            base: record::base_version(stored.as_ref().map(|(record, _)| record), &common),
             stage: Stage::Trial,
-            began_ms: rows.now_ms.saturating_sub(clock::steady().since(known.began)),
+            began_ms: rows.now_ms.saturating_sub(clock::steady().since(rollout.started_at)),
         };
-        let expected = held.map_or(Revision::NONE, |(_, revision)| revision);
-        let made_at = self.write(service, known, &made, expected, Progress::Running).await?;
-        if let Some(version) = made_at {
+        let expected = stored.map_or(Revision::NONE, |(_, revision)| revision);
+        let made_version =
+            self.write_record(service, rollout, &made, expected, Progress::Running).await?;
+        if let Some(version) = made_version {
             self.adopt(service, made, version, rows.now_ms);
         }
         Ok(())
     }
 
-    async fn write(
+    async fn write_record(
         &self,
         service: &Name,
-        known: &Known,
+        rollout: &TrackedRollout,
         record: &Record,
         expected: Revision,
         progress: Progress,
     ) -> Result<Option<Revision>, Error> {
-        let value = record::write(record).map_err(Error::Malformed)?;
-        let change = record::change(record::TABLE, record::key(service), Some(expected), value);
-        let report = Report { order: known.order.clone(), progress };
+        let value = record::serialize(record).map_err(Error::Malformed)?;
+        let change = record::put(record::TABLE, record::key(service), Some(expected), value);
+        let report = Report { order: rollout.order.clone(), progress };
         match self.watch.store.commit(&change, Some(&report)).await? {
             Outcome::Committed(revision) => Ok(Some(revision)),
             Outcome::Conflict(_) => Ok(None),
@@ -321,43 +338,54 @@
     /// Takes over how the roll-out stands; `now_ms` is the store's clock.
     fn adopt(&self, service: &Name, record: Record, version: Revision, now_ms: u64) {
         let age_ms = now_ms.saturating_sub(record.began_ms);
-        self.watch.adopt(Snapshot { service: service.clone(), version, record, age_ms });
-        self.watch.share_records();
+        self.watch.adopt_rollout(RolloutState {
+            service: service.clone(),
+            version,
+            record,
+            age_ms,
+        });
+        self.watch.notify_rollouts();
     }
 
     /// Writes what this host, or its domain, counted, reads what others did, and makes the step
     /// that follows.
-    async fn decide(&self, course: &mut Course, known: &Known) -> Result<(), Error> {
-        let service = &course.service;
-        let rows = self.rows(service).await?;
-        if course.era != rows.revision.era {
-            course.era = rows.revision.era;
-            course.written.clear();
+    async fn decide(
+        &self,
+        execution: &mut Execution,
+        rollout: &TrackedRollout,
+    ) -> Result<(), Error> {
+        let service = &execution.service;
+        let rows = self.read_rows(service).await?;
+        if execution.written_era != rows.revision.era {
+            execution.written_era = rows.revision.era;
+            execution.written_counts.clear();
         }
-        let mut hosts = gather(&rows, service, known.issued());
-        for (host, routes) in self.counted(course, known) {
-            let held = hosts.entry(host).or_default();
-            routes.into_iter().for_each(|one| counts::merge(held, one));
+        let mut hosts = collect_counts(&rows, service, rollout.order_id());
+        for (host, routes) in self.domain_counts(execution, rollout) {
+            let stored = hosts.entry(host).or_default();
+            routes.into_iter().for_each(|one| counts::merge(stored, one));
         }
-        self.write_counts(course, known).await;
-        let service = &course.service;
-        let standing = known.record.as_ref();
+        self.write_counts(execution, rollout).await;
+        let service = &execution.service;
+        let own_record = rollout.record.as_ref();
         let is_newest = |row: &Record| {
-            is_of(row, known) && !standing.is_some_and(|standing| row.is_behind(standing))
+            belongs_to(row, rollout)
+                && !own_record.is_some_and(|own_record| row.is_behind(own_record))
         };
         let Some((record, version)) =
             find_record(&rows, service).filter(|(record, _)| is_newest(record))
         else {
-            return self.restate(&rows, service, known).await;
+            return self.restore_record(&rows, service, rollout).await;
         };
         // Also when only the clocks have parted: a host that stood still for a while must not go
         // on as if no time had passed.
         let began = clock::steady() - rows.now_ms.saturating_sub(record.began_ms);
-        let parted = began.since(known.began).max(known.began.since(began)) > DRIFT_MS;
-        if parted || known.record.as_ref() != Some(&record) {
+        let has_drifted = began.since(rollout.started_at).max(rollout.started_at.since(began))
+            > CLOCK_DRIFT_MAX_MS;
+        if has_drifted || rollout.record.as_ref() != Some(&record) {
             self.adopt(service, record.clone(), version, rows.now_ms);
         }
-        let (elapsed, evidence) = (elapsed(known, clock::steady()), counts::sum(&hosts));
+        let (elapsed, evidence) = (elapsed(rollout, clock::steady()), counts::sum(&hosts));
         let verdict = canary::verdict(&evidence);
         let Some(next) = canary::next(record.stage, elapsed, verdict) else { return Ok(()) };
         let progress = progress(next);
@@ -365,7 +393,8 @@
             stage:? = record.stage, next:? = next, verdict:? = verdict, elapsed,
             hosts = hosts.len(), evidence:? = evidence; "step decided");
         let changed = Record { stage: next, ..record };
-        if let Some(made) = self.write(service, known, &changed, version, progress).await? {
+        if let Some(made) = self.write_record(service, rollout, &changed, version, progress).await?
+        {
             self.adopt(service, changed, made, rows.now_ms);
         }
         Ok(())
@@ -373,37 +402,37 @@
 
     /// The others may not have these counts yet. That must not keep this host from what follows
     /// from theirs, so a failure is only logged; the row is written again next time.
-    async fn write_counts(&self, course: &mut Course, known: &Known) {
-        let hosts = self.counted(course, known);
-        if hosts == course.written {
+    async fn write_counts(&self, execution: &mut Execution, rollout: &TrackedRollout) {
+        let hosts = self.domain_counts(execution, rollout);
+        if hosts == execution.written_counts {
             return;
         }
         let is_alone = self.watch.follower(List::Operators).relay().is_alone(clock::steady());
-        let of = if is_alone { &self.host } else { &self.failure_domain };
-        let counted = Counted { order: known.issued(), hosts };
-        let value = match record::write(&counted) {
+        let writer = if is_alone { &self.host } else { &self.failure_domain };
+        let counted = CountsRow { order: rollout.order_id(), hosts };
+        let value = match record::serialize(&counted) {
             Ok(value) => value,
             Err(why) => {
                 log::error!(target: "rollout", why:% = why; "counts can't be written");
                 return;
             }
         };
-        let key = record::counted_key(&course.service, of);
-        let change = record::change(record::TABLE, key, None, value);
+        let key = record::counts_key(&execution.service, writer);
+        let change = record::put(record::TABLE, key, None, value);
         match self.watch.store.commit(&change, None).await {
-            Ok(_) => course.written = counted.hosts,
-            Err(error) => log::warn!(target: "rollout", service:% = course.service,
+            Ok(_) => execution.written_counts = counted.hosts,
+            Err(error) => log::warn!(target: "rollout", service:% = execution.service,
                 error:% = error; "counts not written"),
         }
     }
 }
 
-fn elapsed(known: &Known, now: Millis) -> f64 {
-    canary::elapsed(now.since(known.began), known.order.within_ms)
+fn elapsed(rollout: &TrackedRollout, now: Millis) -> f64 {
+    canary::elapsed(now.since(rollout.started_at), rollout.order.within_ms)
 }
 
-fn is_of(record: &Record, known: &Known) -> bool {
-    record.is_of(known.issued(), &known.order.target)
+fn belongs_to(record: &Record, rollout: &TrackedRollout) -> bool {
+    record.belongs_to(rollout.order_id(), &rollout.order.target)
 }
 
 /// What operators learn of a stage.
@@ -418,7 +447,7 @@
 fn find_record(rows: &Rows, service: &Name) -> Option<(Record, Revision)> {
     let key = record::key(service);
     let row = rows.rows.iter().find(|row| row.key == key)?;
-    match record::read(&row.value) {
+    match record::parse(&row.value) {
         Ok(record) => Some((record, row.version)),
         Err(why) => {
             log::error!(target: "rollout", key:% = key, why:% = why; "record unreadable, made anew");
@@ -428,12 +457,12 @@
 }
 
 /// All hosts' counts that the rows hold, each host's newest.
-fn gather(rows: &Rows, service: &Name, issued: Revision) -> ByHost {
+fn collect_counts(rows: &Rows, service: &Name, order_id: Revision) -> CountsByHost {
     let record_key = record::key(service);
-    let mut hosts = ByHost::new();
+    let mut hosts = CountsByHost::new();
     for row in rows.rows.iter().filter(|row| row.key != record_key) {
-        let counted = match record::read::<Counted>(&row.value) {
-            Ok(counted) if record::is_of(counted.order, issued) => counted,
+        let counted = match record::parse::<CountsRow>(&row.value) {
+            Ok(counted) if record::is_same_order(counted.order, order_id) => counted,
             Ok(_) => continue,
             Err(why) => {
                 log::error!(target: "rollout", key:% = row.key, why:% = why; "counts unreadable");
@@ -441,8 +470,8 @@
             }
         };
         for (host, routes) in counted.hosts {
-            let held = hosts.entry(host).or_default();
-            routes.into_iter().for_each(|one| counts::merge(held, one));
+            let stored = hosts.entry(host).or_default();
+            routes.into_iter().for_each(|one| counts::merge(stored, one));
         }
     }
     hosts
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -9,7 +9,7 @@
 use policy::poison::{Kind, Suspect, Verdict};
 use policy::time::Millis;
 
-use crate::catalog::{Catalog, Evacuated};
+use crate::catalog::{Catalog, EvacuatedDomain};
 use crate::follow::Follower;
 
 domain! {
@@ -34,17 +34,17 @@
         /// For how long this host has known of a change of each list that it lacks, in milliseconds.
         pub behind_ms: BTreeMap<Name, u64>,
         /// Failure domains that operators have evacuated.
-        pub evacuated: BTreeMap<Name, Evacuated>,
+        pub evacuated: BTreeMap<Name, EvacuatedDomain>,
         /// By service.
         pub services: BTreeMap<Name, Service>,
         /// Requests under way.
         pub requests: u64,
         /// Requests that servers ended under, which are not sent freely.
-        pub held: Vec<Held>,
+        pub held: Vec<HeldSuspect>,
     }
 
     /// A request, or a part of prompts, that servers ended under.
-    pub struct Held {
+    pub struct HeldSuspect {
         /// Its digest, as it stands in the logs.
         pub digest: Name,
         /// Which of the two.
@@ -110,7 +110,7 @@
 impl Status {
     /// As it is now.
     #[must_use]
-    pub fn of<C: Codec>(
+    pub fn collect<C: Codec>(
         state: &State<C>,
         catalog: &Catalog,
         followers: &[Follower],
@@ -121,9 +121,9 @@
         let requests = state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
         Self {
             table: world.index.version,
-            table_age_ms: catalog.table_at().map(|at| now.since(at)),
+            table_age_ms: catalog.table_accepted_at().map(|at| now.since(at)),
             backends_revision: world.revision,
-            store_age_ms: catalog.heard(now),
+            store_age_ms: catalog.list_ages_ms(now),
             peers: followers.iter().map(|follower| follower.relay().others(now)).max().unwrap_or(0),
             reads: followers
                 .iter()
@@ -147,8 +147,8 @@
     }
 }
 
-fn held(suspect: &Suspect, now: Millis) -> Held {
-    Held {
+fn held(suspect: &Suspect, now: Millis) -> HeldSuspect {
+    HeldSuspect {
         digest: Name::from(suspect.digest.to_string()),
         kind: suspect.kind,
         servers: suspect.crashes.iter().map(|crash| crash.server.clone()).collect(),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,9 +1,9 @@
 //! Follows the store's lists, and makes the world anew when they change.
 
+mod accept;
+mod fetch;
 mod peers;
-mod share;
 mod start;
-mod take;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,14 +30,14 @@
 
 /// An answer whose head comes so much later than the store was asked to hold it back comes from a
 /// store that was away meanwhile.
-const LATE: Duration = Duration::from_millis(150);
+const LATE_THRESHOLD: Duration = Duration::from_millis(150);
 /// Between two questions about backend servers when the first brought news. Many servers come or
 /// go together; one question for each of them would make most of a large fleet's calls. Work must
 /// not go to a leaving server for longer than about two seconds.
-const GATHER: Duration = Duration::from_secs(1);
+const BACKENDS_BATCH_DELAY: Duration = Duration::from_secs(1);
 /// Pause after a failed call, first and longest; drawn from half of it up to all of it.
-const PAUSE_MS: u64 = 100;
-const PAUSE_MAX_MS: u64 = 800;
+const RETRY_DELAY_MIN_MS: u64 = 100;
+const RETRY_DELAY_MAX_MS: u64 = 800;
 
 /// What the watchers share.
 pub struct Watch<S, C> {
@@ -62,7 +62,7 @@
     /// This host's part of the requests that may be sent again.
     pub budget: Budget,
     /// When the store's state was last known to be new, by any list.
-    pub fresh: AtomicU64,
+    pub fresh_at: AtomicU64,
     /// How often the store has come back from a copy, once that is known. Whoever writes rows of this host looks
     /// whether they are still there when it rises.
     pub era: watch::Sender<Option<Era>>,
@@ -80,12 +80,12 @@
     /// How often it has come back.
     pub number: u64,
     /// When this host learnt of the last return; none if it has not known the store before.
-    pub began: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
 
 /// Clocks of two hosts, or a host's and the store's, may part by this much in what they say of a
 /// roll-out's age, in milliseconds, before it is set right.
-pub const DRIFT_MS: u64 = 100;
+pub const CLOCK_DRIFT_MAX_MS: u64 = 100;
 
 /// What the other hosts of the failure domain are to be notified of.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -93,7 +93,7 @@
     /// All of them: how new the lists are that this host reads, and how roll-outs stand.
     Positions,
     /// All of them: how roll-outs stand, as this host has just written or read.
-    Records,
+    Rollouts,
     /// The one that speaks for the domain: what this host counted of roll-outs.
     Counts,
     /// All of them: a change of a list is on its way to this host that is too long to be passed on.
@@ -104,7 +104,7 @@
     Suspects,
     /// The one that gave a list: this host holds on to something against it, since the store has come back from a
     /// copy.
-    Doubts(List, SocketAddr),
+    Overrides(List, SocketAddr),
 }
 
 /// How long changes may take, as the settings say.
@@ -123,10 +123,10 @@
         if published.is_complete {
             self.state.started.cancel();
         }
-        for server in &published.gone {
+        for server in &published.vanished_servers {
             self.state.poison.ended(server);
         }
-        if !published.gone.is_empty() {
+        if !published.vanished_servers.is_empty() {
             self.state.poison.alarm();
         }
     }
@@ -142,8 +142,8 @@
     /// Follows one list until the process ends.
     pub async fn run(self: Arc<Self>, list: List) {
         let follower = self.follower(list);
-        let mut pause_ms = PAUSE_MS;
-        let mut reached = true;
+        let mut delay_ms = RETRY_DELAY_MIN_MS;
+        let mut has_store = true;
         loop {
             let hold = match follower.action(clock::steady()) {
                 Action::Read { hold_ms } => Duration::from_millis(hold_ms),
@@ -154,51 +154,51 @@
                 }
             };
             let asked = clock::steady();
-            let answer = match follower.asked_after() {
+            let answer = match follower.request_after() {
                 None => self.read_whole(list).await,
                 Some(after) => {
-                    let on_head = |bytes| self.announce(list, bytes);
+                    let on_head = |bytes| self.accept_head(list, bytes);
                     self.store.follow(list, after, hold, on_head).await
                 }
             };
             follower.set_incoming(false);
-            count(list, hold, &answer);
+            record_call(list, hold, &answer);
             if let Ok(Answer { update, arrival }) = &answer {
-                follower.note_bytes(arrival.bytes, update.is_whole);
+                follower.record_bytes(arrival.bytes, update.is_whole);
             }
             let took = Duration::from_millis(clock::steady().since(asked));
-            if was_away(&answer, took, hold) {
+            if was_store_away(&answer, took, hold) {
                 log::info!(target: "watch", list:? = list, took_ms = took.as_millis() as u64,
                     hold_ms = hold.as_millis() as u64; "late answer, the store was away meanwhile");
-                self.away(list);
+                self.record_absence(list);
             }
             let update = answer.map(|answer| answer.update);
-            let changes = match self.hear(list, update) {
+            let changes = match self.accept_answer(list, update) {
                 Ok(count) => {
-                    if !reached {
+                    if !has_store {
                         log::info!(target: "watch", list:? = list; "store regained");
                     }
-                    reached = true;
-                    pause_ms = PAUSE_MS;
+                    has_store = true;
+                    delay_ms = RETRY_DELAY_MIN_MS;
                     if list == List::Backends { count } else { 0 }
                 }
                 Err(error) => {
-                    if reached {
+                    if has_store {
                         log::warn!(target: "watch", list:? = list, error:% = error; "store lost");
                     }
-                    reached = false;
+                    has_store = false;
                     // Callers learn at once that this host can't serve them yet.
                     self.state.started.cancel();
-                    self.take_without_the_store(list);
+                    self.fetch_missing(list);
                     // Until the store has answered again nothing is held back: a question asked
                     // while it is silent is never answered, and its return must be heard at once.
-                    follower.relay().failed(pause_ms, rand::random(), clock::steady());
-                    pause_ms = (pause_ms * 2).min(PAUSE_MAX_MS);
+                    follower.relay().failed(delay_ms, rand::random(), clock::steady());
+                    delay_ms = (delay_ms * 2).min(RETRY_DELAY_MAX_MS);
                     0
                 }
             };
             if changes > 0 {
-                tokio::time::sleep(self.gather(list, changes)).await;
+                tokio::time::sleep(self.batch_delay(list, changes)).await;
             }
         }
     }
@@ -206,7 +206,7 @@
     /// An answer of the store has begun; whether it is read on. A change of the table that takes this host's
     /// link too long the others read themselves, and begin now: once this host has all of it, the way
     /// through the domain would be late. A long table in which little has changed is passed on as an edit.
-    fn announce(&self, list: List, bytes: u64) -> bool {
+    fn accept_head(&self, list: List, bytes: u64) -> bool {
         if bytes <= exchange::MESSAGE_BYTES_MAX as u64 {
             return true;
         }
@@ -220,20 +220,20 @@
                 "long answer begins, others notified");
             self.notify(Notice::Incoming(list));
         }
-        !follower.is_shorter_afresh(bytes)
+        !follower.is_reread_shorter(bytes)
     }
 
     /// How long changes gather before the store is asked for more, behind so many.
-    fn gather(&self, list: List, changes: usize) -> Duration {
+    fn batch_delay(&self, list: List, changes: usize) -> Duration {
         let relay = self.follower(list).relay();
         match relay.reads_for_others(clock::steady()) {
             true => Duration::from_millis(relay.gather_ms(changes)),
-            false => GATHER,
+            false => BACKENDS_BATCH_DELAY,
         }
     }
 
     /// What the store answered; how many changes it brought.
-    fn hear(&self, list: List, update: Result<Update, Error>) -> Result<usize, Error> {
+    fn accept_answer(&self, list: List, update: Result<Update, Error>) -> Result<usize, Error> {
         let follower = self.follower(list);
         let update = match update {
             Ok(update) => update,
@@ -241,24 +241,24 @@
                 let after = follower.revision().unwrap_or_default();
                 log::info!(target: "watch", list:? = list, why:% = error, after:%;
                     "list read afresh");
-                follower.forgotten();
+                follower.mark_incomplete();
                 return Ok(0);
             }
             Err(error) => {
-                self.away(list);
+                self.record_absence(list);
                 return Err(error);
             }
         };
-        self.reached(list, clock::steady());
+        self.record_contact(list, clock::steady());
         let own = follower.revision().unwrap_or_default();
-        let is_old = update.is_whole && update.revision < own.stored();
-        if !self.take(list, &update) || is_old {
+        let is_stale = update.is_whole && update.revision < own.stored();
+        if !self.accept(list, &update) || is_stale {
             // Read afresh in a moment: the store has answered from an old state.
-            follower.relay().failed(PAUSE_MS, rand::random(), clock::steady());
+            follower.relay().failed(RETRY_DELAY_MIN_MS, rand::random(), clock::steady());
             return Ok(0);
         }
-        follower.read(clock::steady());
-        self.share_positions();
+        follower.record_read(clock::steady());
+        self.notify_positions();
         Ok(update.entries.len())
     }
 
@@ -268,15 +268,15 @@
     /// hosts as well. A host that reads alone knows that from its calls. Among others a call that
     /// fails says nothing: another host has read meanwhile. To take that for an absence would keep
     /// servers in use for seconds that had really left.
-    fn reached(&self, list: List, fresh: Millis) {
-        self.catalog.set_heard(list.name(), clock::steady());
-        let before = Millis(self.fresh.fetch_max(fresh.0, Ordering::Relaxed));
+    fn record_contact(&self, list: List, fresh_at: Millis) {
+        self.catalog.set_answered_at(list.name(), clock::steady());
+        let before = Millis(self.fresh_at.fetch_max(fresh_at.0, Ordering::Relaxed));
         let relay = self.follower(list).relay();
         let (is_alone, away_ms) = (relay.is_alone(clock::steady()), relay.away_ms());
         drop(relay);
-        let was_away = !is_alone && before > Millis(0) && fresh.since(before) > away_ms;
+        let was_away = !is_alone && before > Millis(0) && fresh_at.since(before) > away_ms;
         if was_away {
-            log::info!(target: "watch", list:? = list, without_ms = fresh.since(before);
+            log::info!(target: "watch", list:? = list, without_ms = fresh_at.since(before);
                 "the store was away for all hosts of the domain");
         }
         self.catalog.with_roster(|roster| {
@@ -288,24 +288,24 @@
     }
 
     /// The hosts of the failure domain that are known by now share its requests that may be sent again.
-    pub fn share_repeats(&self) {
-        self.budget.set_hosts(self.directory.count() + 1);
+    pub fn update_retry_budget(&self) {
+        self.budget.set_host_count(self.directory.count() + 1);
         self.state.allowance.store(Arc::new(self.budget.allowance()));
     }
 
     /// Tells the others how new the lists are that this host reads, and how roll-outs stand.
-    pub fn share_positions(&self) {
+    pub fn notify_positions(&self) {
         self.notify(Notice::Positions);
     }
 
     /// Tells the others how roll-outs stand. Whoever has written that tells them, also if another
     /// host is the delegate by now.
-    pub fn share_records(&self) {
-        self.notify(Notice::Records);
+    pub fn notify_rollouts(&self) {
+        self.notify(Notice::Rollouts);
     }
 
     /// Tells the delegate of the domain what this one counted.
-    pub fn share_counts(&self) {
+    pub fn notify_counts(&self) {
         self.notify(Notice::Counts);
     }
 
@@ -318,9 +318,9 @@
 
     /// Whether the store has come back from a copy lately: what was written shortly before may be lost.
     #[must_use]
-    pub fn is_back_within(&self, ms: u64, now: Millis) -> bool {
-        let began = self.era.borrow().and_then(|era| era.began);
-        began.is_some_and(|began| now.since(began) < ms)
+    pub fn was_restored_within(&self, ms: u64, now: Millis) -> bool {
+        let started_at = self.era.borrow().and_then(|era| era.started_at);
+        started_at.is_some_and(|started_at| now.since(started_at) < ms)
     }
 
     /// Has the other hosts of the failure domain notified.
@@ -333,14 +333,14 @@
     }
 
     /// A host alone could not read, or late: entries that lapse meanwhile are no deaths.
-    fn away(&self, list: List) {
+    fn record_absence(&self, list: List) {
         if self.follower(list).relay().is_alone(clock::steady()) {
             self.catalog.with_roster(|roster| roster.away(clock::steady()));
         }
     }
 
     /// Lets requests know which hosts of the failure domain live.
-    fn see_peers(&self) {
+    fn publish_peers(&self) {
         let hash = |name: &Name| place::hash(name.as_bytes());
         let relay = self.follower(List::Backends).relay();
         let others = relay.alive(clock::steady()).map(hash).collect();
@@ -350,29 +350,29 @@
 
     /// What was held on to against the store's lists since its return from a copy, and was not written again, is given
     /// up when its time has come.
-    fn settle_doubts(&self) {
+    fn expire_overrides(&self) {
         for list in List::ALL {
-            if let Some(update) = self.follower(list).settle(clock::steady()) {
+            if let Some(update) = self.follower(list).expire_overrides(clock::steady()) {
                 log::info!(target: "watch", list:? = list, revision:% = update.revision,
                     count = update.entries.len(); "what was not written again is given up");
-                self.take(list, &update);
+                self.accept(list, &update);
             }
         }
     }
 
     /// Gives up lapsed backend servers when their time has come, and tells of lists that are behind;
     /// runs until the process ends.
-    pub async fn settle(self: Arc<Self>) {
-        const EVERY: Duration = Duration::from_millis(100);
+    pub async fn maintain(self: Arc<Self>) {
+        const INTERVAL: Duration = Duration::from_millis(100);
         /// Looks between two at who is there.
-        const PEERS: usize = 10;
-        for look in 1.. {
-            tokio::time::sleep(EVERY).await;
-            if look % PEERS == 0 {
-                self.see_peers();
+        const PEERS_ROUNDS: usize = 10;
+        for round in 1.. {
+            tokio::time::sleep(INTERVAL).await;
+            if round % PEERS_ROUNDS == 0 {
+                self.publish_peers();
             }
             self.followers.iter().for_each(|follower| follower.log_behind(clock::steady()));
-            self.settle_doubts();
+            self.expire_overrides();
             if self.catalog.next_lapse().is_some_and(|lapse| lapse <= clock::steady()) {
                 log::info!(target: "watch", "lapsed backend servers given up");
                 self.publish();
@@ -387,16 +387,16 @@
 /// link was taken for an absence, and servers that left in the two seconds behind it were kept in
 /// use as lapsed.
 #[must_use]
-pub fn was_away(answer: &Result<Answer, Error>, took: Duration, hold: Duration) -> bool {
+pub fn was_store_away(answer: &Result<Answer, Error>, took: Duration, hold: Duration) -> bool {
     let waited = match answer {
         Ok(answer) => Duration::from_millis(answer.arrival.head_ms),
         Err(_) => took,
     };
-    waited > hold + LATE
+    waited > hold + LATE_THRESHOLD
 }
 
 /// What a call of the store took, for operators.
-fn count(list: List, hold: Duration, answer: &Result<Answer, Error>) {
+fn record_call(list: List, hold: Duration, answer: &Result<Answer, Error>) {
     let outcome = answer.as_ref().map_or_else(Error::label, |_| "answered");
     let name = list.name();
     metrics::counter!("node_store_calls_total", "list" => name, "outcome" => outcome).increment(1);
--- a/crates/node/src/watch/take.rs
+++ b/crates/node/src/watch/accept.rs
@@ -15,7 +15,7 @@
 
 impl<S: Store, C: Codec> Watch<S, C> {
     /// Takes what came; false if it is older than what is known, or made of what is not known.
-    pub(super) fn take(&self, list: List, update: &Update) -> bool {
+    pub(super) fn accept(&self, list: List, update: &Update) -> bool {
         let follower = self.follower(list);
         let Some(update) = follower.resolve(update) else {
             log::info!(target: "watch", list:? = list, revision:% = update.revision;
@@ -24,26 +24,26 @@
         };
         let update = follower.reconcile(&update, clock::steady());
         let taken = match list {
-            List::Operators => self.take_operators(&update),
-            List::Backends => self.take_backends(&update),
+            List::Operators => self.accept_operators(&update),
+            List::Backends => self.accept_backends(&update),
         };
         if taken {
-            follower.taken(&update, clock::steady());
-            self.note_era(update.revision.era);
+            follower.record_accepted(&update, clock::steady());
+            self.record_era(update.revision.era);
         }
         taken
     }
 
     /// The store was heard in an era. A later one than before tells that it has come back from a copy, and that rows
     /// of this host may be lost.
-    pub fn note_era(&self, number: u64) {
+    pub fn record_era(&self, number: u64) {
         let now = clock::steady();
         let is_back = self.era.send_if_modified(|held| match *held {
             Some(known) if known.number >= number => false,
             known => {
-                let began = known.map(|_| now);
-                *held = Some(Era { number, began });
-                began.is_some()
+                let started_at = known.map(|_| now);
+                *held = Some(Era { number, started_at });
+                started_at.is_some()
             }
         });
         if is_back {
@@ -52,7 +52,7 @@
         }
     }
 
-    fn take_operators(&self, update: &Update) -> bool {
+    fn accept_operators(&self, update: &Update) -> bool {
         let mut changed = false;
         for Entry { key, revision, fact } in &update.entries {
             let revision = *revision;
@@ -71,8 +71,9 @@
                 Fact::Order(order) => {
                     let service = order.service.clone();
                     let target = order.target.clone();
-                    let is_rewritten = self.is_back_within(recovery::REWRITTEN_MS, clock::steady());
-                    let taken = self.catalog.take_order(order.clone(), revision, is_rewritten);
+                    let is_rewritten =
+                        self.was_restored_within(recovery::REWRITTEN_MS, clock::steady());
+                    let taken = self.catalog.accept_order(order.clone(), revision, is_rewritten);
                     changed |= taken;
                     log::info!(target: "watch", service:% = service, version:% = target, revision:%,
                         taken; "order read");
@@ -87,7 +88,7 @@
                 Fact::Backend(_) | Fact::Edit(_) | Fact::Evacuation(_) | Fact::Removed => {}
             }
         }
-        changed |= self.take_evacuations(update);
+        changed |= self.accept_evacuations(update);
         if changed {
             self.publish();
         }
@@ -95,7 +96,7 @@
     }
 
     /// Takes orders to evacuate failure domains, and their ends; whether there are any.
-    fn take_evacuations(&self, update: &Update) -> bool {
+    fn accept_evacuations(&self, update: &Update) -> bool {
         let entry = |entry: &Entry| {
             let failure_domain = match &entry.fact {
                 Fact::Evacuation(failure_domain) => Some(failure_domain.clone()),
@@ -106,7 +107,7 @@
             Some(evacuation::Entry { key, revision, failure_domain })
         };
         let entries: Vec<_> = update.entries.iter().filter_map(entry).collect();
-        let Change { begun, ended } = self.catalog.take_evacuations(
+        let Change { begun, ended } = self.catalog.accept_evacuations(
             &entries,
             update.revision,
             update.is_whole,
@@ -114,7 +115,7 @@
         );
         let revision = update.revision;
         for domain in &begun {
-            let servers = self.catalog.servers_in(domain);
+            let servers = self.catalog.count_servers_in(domain);
             log::info!(target: "watch", domain:% = domain, revision:%, servers; "evacuation begins");
             if servers == Some(0) {
                 log::warn!(target: "watch", domain:% = domain, revision:%;
@@ -127,7 +128,7 @@
         !begun.is_empty() || !ended.is_empty()
     }
 
-    fn take_backends(&self, update: &Update) -> bool {
+    fn accept_backends(&self, update: &Update) -> bool {
         let now = clock::steady();
         let count = update.entries.len();
         let revision = update.revision;
@@ -157,11 +158,11 @@
             }
         });
         if taken {
-            let listed = update.entries.iter().filter_map(|entry| match &entry.fact {
+            let backends = update.entries.iter().filter_map(|entry| match &entry.fact {
                 Fact::Backend(backend) => Some(backend),
                 _ => None,
             });
-            listed.for_each(|backend| self.catalog.warms(backend, now));
+            backends.for_each(|backend| self.catalog.set_warmup(backend, now));
         }
         match update.is_whole {
             true => log::info!(target: "watch", revision:%, count; "all backend servers listed"),
--- a/crates/node/src/watch/share.rs
+++ b/crates/node/src/watch/fetch.rs
@@ -11,28 +11,28 @@
 use policy::tree;
 
 use super::{Notice, Watch};
-use crate::exchange::{self, Given, Holds};
-use crate::record::Snapshot;
+use crate::exchange::{self, Availability, Reply};
+use crate::record::RolloutState;
 use crate::store::{List, Store, Update};
 
 /// Part of the time in which changes must be in force that is left for finding a host that gives them.
 /// Past it the store is asked: work must not go to a leaving server for much longer.
-const FIND_PART: f64 = 0.5;
+const FETCH_TIME_FRACTION: f64 = 0.5;
 /// Longest wait for a host that is being given the news itself, in milliseconds. Another one is asked
 /// then.
-const PATIENCE_MS: u64 = 600;
+const SOURCE_TIMEOUT_MS: u64 = 600;
 /// Pause before a host that has nothing yet is asked again, first and longest; a part of it is drawn.
-const PAUSE_MS: u64 = 40;
-const PAUSE_MAX_MS: u64 = 320;
+const RETRY_DELAY_MIN_MS: u64 = 40;
+const RETRY_DELAY_MAX_MS: u64 = 320;
 /// Hosts asked first, in the order that all hosts agree on.
-const OWN_SOURCES: usize = 2;
+const ASSIGNED_SOURCES_COUNT: usize = 2;
 /// Of the hosts asked behind those one in so many is the one that announced the news.
-const OTHERS_BETWEEN: u32 = 3;
+const ROOT_INTERVAL: u32 = 3;
 
 impl<S: Store, C: Codec> Watch<S, C> {
     /// Takes changes behind a revision, at `least` up to another one and however long they are, from
     /// the hosts that have them, or asks the store. `root` has announced them.
-    pub(super) async fn catch_up(
+    pub(super) async fn fetch_update(
         self: Arc<Self>,
         root: Name,
         list: List,
@@ -40,39 +40,40 @@
         least: Revision,
     ) {
         let change_ms = self.follower(list).relay().change_ms();
-        let until = clock::steady() + (change_ms as f64 * FIND_PART) as u64;
-        let waits = || clock::steady() < until;
-        let is_taken = self.take_from_others(&root, list, after, least, waits).await;
-        self.end_taking(list, is_taken);
+        let until = clock::steady() + (change_ms as f64 * FETCH_TIME_FRACTION) as u64;
+        let has_time = || clock::steady() < until;
+        let is_accepted = self.fetch_from_peers(&root, list, after, least, has_time).await;
+        self.end_fetch(list, is_accepted);
     }
 
     /// Takes all of a list from other hosts, until it is had or this host's turn has come to read it
     /// from the store. `changed` is the list's newest change, as the other one announced, and `fresh`
     /// when nothing newer was there.
-    pub(super) async fn take_first(
+    pub(super) async fn fetch_first(
         self: Arc<Self>,
         root: Name,
         list: List,
         changed: Revision,
-        fresh: Millis,
+        fresh_at: Millis,
     ) {
         let relay = || self.follower(list).relay();
-        let waits = || {
+        let has_time = || {
             relay().taking(clock::steady());
-            relay().may_take(fresh, clock::steady())
+            relay().may_take(fresh_at, clock::steady())
         };
-        let is_taken = self.take_from_others(&root, list, Revision::NONE, changed, waits).await;
-        if is_taken {
-            relay().took(fresh);
+        let is_accepted =
+            self.fetch_from_peers(&root, list, Revision::NONE, changed, has_time).await;
+        if is_accepted {
+            relay().took(fresh_at);
         }
-        self.end_taking(list, is_taken);
+        self.end_fetch(list, is_accepted);
     }
 
     /// What another host has was taken, or is to be had from the store.
-    fn end_taking(&self, list: List, is_taken: bool) {
+    fn end_fetch(&self, list: List, is_accepted: bool) {
         let follower = self.follower(list);
-        follower.end_taking();
-        if !is_taken {
+        follower.end_fetch();
+        if !is_accepted {
             log::info!(target: "watch", list:? = list; "news not had from peers");
             follower.relay().force();
         }
@@ -81,94 +82,101 @@
 
     /// Takes what this host lacks from one of those whose turn it is to give it, or else from any that
     /// has it; false if nobody gave it, at `least` up to a revision, while this host waits.
-    async fn take_from_others(
+    async fn fetch_from_peers(
         &self,
         root: &Name,
         list: List,
         after: Revision,
         least: Revision,
-        waits: impl Fn() -> bool,
+        has_time: impl Fn() -> bool,
     ) -> bool {
         let alive = self.directory.alive(clock::steady());
         let hosts = alive.iter().map(|(name, class)| (name, *class));
-        let first =
-            tree::sources((&self.host, self.class), root, hosts).into_iter().take(OWN_SOURCES);
+        let first = tree::sources((&self.host, self.class), root, hosts)
+            .into_iter()
+            .take(ASSIGNED_SOURCES_COUNT);
         // When those are lost to many hosts, all asking the one that announced the news would keep it from
         // giving them to anybody. Others have them by then.
-        let others = (1..).map(|number| match number % OTHERS_BETWEEN {
+        let fallbacks = (1..).map(|number| match number % ROOT_INTERVAL {
             0 => root.clone(),
-            _ => any(&alive).unwrap_or(root).clone(),
+            _ => random_host(&alive).unwrap_or(root).clone(),
         });
-        let mut sources = first.chain(others);
-        let mut pause_ms = PAUSE_MS;
-        while waits() {
+        let mut sources = first.chain(fallbacks);
+        let mut delay_ms = RETRY_DELAY_MIN_MS;
+        while has_time() {
             let Some(source) = sources.next() else { break };
-            let until = clock::steady() + PATIENCE_MS;
-            while waits() {
+            let until = clock::steady() + SOURCE_TIMEOUT_MS;
+            while has_time() {
                 if after > Revision::NONE && self.follower(list).revision() >= Some(least) {
                     return true;
                 }
-                match self.ask(&source, list, after, least).await {
-                    Given::Update(update) => return self.take_given(&source, list, &update).await,
-                    Given::Later if clock::steady() < until => {}
-                    Given::Later | Given::Nothing => break,
+                match self.request_from(&source, list, after, least).await {
+                    Reply::Update(update) => return self.accept_from(&source, list, &update).await,
+                    Reply::Later if clock::steady() < until => {}
+                    Reply::Later | Reply::Nothing => break,
                 }
-                tokio::time::sleep(drawn(&mut pause_ms)).await;
+                tokio::time::sleep(random_delay(&mut delay_ms)).await;
             }
-            tokio::time::sleep(drawn(&mut pause_ms)).await;
+            tokio::time::sleep(random_delay(&mut delay_ms)).await;
         }
         false
     }
 
     /// What another host has to give; nothing if it can't be reached.
-    async fn ask(&self, source: &Name, list: List, after: Revision, least: Revision) -> Given {
-        let Some(address) = self.directory.address(source) else { return Given::Nothing };
-        let given = exchange::request_update(address, (list, after, least), &self.cache).await;
-        let outcome = match &given {
-            Ok(Given::Update(_)) => "answered",
-            Ok(Given::Later) => "later",
-            Ok(Given::Nothing) => "nothing",
+    async fn request_from(
+        &self,
+        source: &Name,
+        list: List,
+        after: Revision,
+        least: Revision,
+    ) -> Reply {
+        let Some(address) = self.directory.address(source) else { return Reply::Nothing };
+        let reply = exchange::request_update(address, (list, after, least), &self.cache).await;
+        let outcome = match &reply {
+            Ok(Reply::Update(_)) => "answered",
+            Ok(Reply::Later) => "later",
+            Ok(Reply::Nothing) => "nothing",
             Err(error) => error.label(),
         };
         metrics::counter!("node_relay_calls_total", "list" => list.name(), "outcome" => outcome)
             .increment(1);
-        given.unwrap_or_else(|error| {
+        reply.unwrap_or_else(|error| {
             log::info!(target: "watch", list:? = list, from:% = source, error:% = error;
                 "news not given by a peer");
-            Given::Nothing
+            Reply::Nothing
         })
     }
 
-    async fn take_given(&self, source: &Name, list: List, update: &Update) -> bool {
+    async fn accept_from(&self, source: &Name, list: List, update: &Update) -> bool {
         log::info!(target: "watch", list:? = list, from:% = source, revision:% = update.revision,
             count = update.entries.len(), whole = update.is_whole; "news taken from a peer");
-        let is_taken = self.take(list, update);
-        self.tell_doubts(source, list, update);
-        if is_taken && update.is_whole && list == List::Operators {
-            self.take_records(source).await;
+        let is_accepted = self.accept(list, update);
+        self.notify_overrides(source, list, update);
+        if is_accepted && update.is_whole && list == List::Operators {
+            self.fetch_rollouts(source).await;
         }
-        is_taken
+        is_accepted
     }
 
     /// Tells the host that gave all of a list that this one knows of something which the store may have lost, and which
     /// that host has never heard of.
-    fn tell_doubts(&self, source: &Name, list: List, update: &Update) {
-        let is_doubted = self.follower(list).has_overrides();
-        let is_told = !update.is_whole || update.overrides.is_some();
+    fn notify_overrides(&self, source: &Name, list: List, update: &Update) {
+        let has_overrides = self.follower(list).has_overrides();
+        let is_known_to_source = !update.is_whole || update.overrides.is_some();
         if let Some(address) = self.directory.address(source)
-            && is_doubted
-            && !is_told
+            && has_overrides
+            && !is_known_to_source
         {
-            self.notify(Notice::Doubts(list, address));
+            self.notify(Notice::Overrides(list, address));
         }
     }
 
     /// Takes over how roll-outs stand. Without that an order that was carried out long ago would
     /// look like one that has just come.
-    async fn take_records(&self, source: &Name) {
+    async fn fetch_rollouts(&self, source: &Name) {
         let Some(address) = self.directory.address(source) else { return };
-        match exchange::ask_records(address).await {
-            Ok(records) => records.into_iter().for_each(|snapshot| self.adopt(snapshot)),
+        match exchange::request_rollouts(address).await {
+            Ok(records) => records.into_iter().for_each(|rollout| self.adopt_rollout(rollout)),
             Err(error) => {
                 log::warn!(target: "watch", from:% = source, error:% = error;
                     "no roll-outs from a peer, the store is asked");
@@ -178,33 +186,33 @@
 }
 
 impl<S: Store, C: Codec> exchange::Source for Watch<S, C> {
-    fn holds(&self, list: List, least: Revision) -> Holds {
+    fn availability(&self, list: List, least: Revision) -> Availability {
         let follower = self.follower(list);
         match follower.revision() {
-            Some(revision) if revision >= least => Holds::Up(follower.changed()),
+            Some(revision) if revision >= least => Availability::UpTo(follower.last_change()),
             // Its own source has it, or will have.
-            None => Holds::Later,
-            Some(_) if follower.is_taking() => Holds::Later,
-            Some(_) => Holds::Nothing,
+            None => Availability::Later,
+            Some(_) if follower.is_fetching() => Availability::Later,
+            Some(_) => Availability::Nothing,
         }
     }
 
-    fn update(&self, list: List, after: Revision) -> Option<Update> {
-        self.follower(list).behind(after, clock::steady())
+    fn update_since(&self, list: List, after: Revision) -> Option<Update> {
+        self.follower(list).update_since(after, clock::steady())
     }
 
-    fn records(&self) -> Vec<Snapshot> {
-        self.catalog.records(clock::steady())
+    fn rollouts(&self) -> Vec<RolloutState> {
+        self.catalog.rollout_states(clock::steady())
     }
 }
 
-fn any(hosts: &[(Name, u8)]) -> Option<&Name> {
+fn random_host(hosts: &[(Name, u8)]) -> Option<&Name> {
     (!hosts.is_empty()).then(|| &hosts[rand::random_range(..hosts.len())].0)
 }
 
 /// A part of the pause; the next one is longer.
-fn drawn(pause_ms: &mut u64) -> Duration {
-    let drawn = Duration::from_millis(*pause_ms).mul_f64(rand::random());
-    *pause_ms = (*pause_ms * 2).min(PAUSE_MAX_MS);
+fn random_delay(delay_ms: &mut u64) -> Duration {
+    let drawn = Duration::from_millis(*delay_ms).mul_f64(rand::random());
+    *delay_ms = (*delay_ms * 2).min(RETRY_DELAY_MAX_MS);
     drawn
 }
--- a/crates/node/src/watch/peers.rs
+++ b/crates/node/src/watch/peers.rs
@@ -7,14 +7,14 @@
 use policy::name::Name;
 use policy::revision::Revision;
 
-use super::{DRIFT_MS, Watch};
+use super::{CLOCK_DRIFT_MAX_MS, Watch};
 use crate::follow::{Changes, Position};
-use crate::record::Snapshot;
+use crate::record::RolloutState;
 use crate::store::{List, Store, Update};
 
 impl<S: Store, C: Codec> Watch<S, C> {
     /// Another host reads a change of a list that is too long to be passed on.
-    pub fn incoming(&self, peer: &Name, list: List) {
+    pub fn accept_incoming(&self, peer: &Name, list: List) {
         let follower = self.follower(list);
         if !follower.is_incoming() {
             follower.relay().incoming(peer, clock::steady());
@@ -23,20 +23,21 @@
     }
 
     /// Takes over how a roll-out stands, unless it is known.
-    pub fn adopt(&self, snapshot: Snapshot) {
+    pub fn adopt_rollout(&self, rollout: RolloutState) {
         let now = clock::steady();
-        let Some(before) = self.catalog.rollout(&snapshot.service) else { return };
-        let is_news = before.record.as_ref() != Some(&snapshot.record);
-        let began = now - snapshot.age_ms;
-        let parted_ms = began.since(before.began).max(before.began.since(began));
-        if (!is_news && parted_ms <= DRIFT_MS) || !self.catalog.set_record(&snapshot, now) {
+        let Some(before) = self.catalog.rollout(&rollout.service) else { return };
+        let is_new = before.record.as_ref() != Some(&rollout.record);
+        let started_at = now - rollout.age_ms;
+        let drift_ms = started_at.since(before.started_at).max(before.started_at.since(started_at));
+        if (!is_new && drift_ms <= CLOCK_DRIFT_MAX_MS) || !self.catalog.accept_record(&rollout, now)
+        {
             return;
         }
-        if is_news {
-            let record = &snapshot.record;
-            log::info!(target: "rollout", service:% = snapshot.service, version:% = record.target,
-                base:% = record.base, stage:? = record.stage, row:% = snapshot.version,
-                since_ms = snapshot.age_ms; "roll-out stands");
+        if is_new {
+            let record = &rollout.record;
+            log::info!(target: "rollout", service:% = rollout.service, version:% = record.target,
+                base:% = record.base, stage:? = record.stage, row:% = rollout.version,
+                since_ms = rollout.age_ms; "roll-out stands");
         }
         self.publish();
     }
@@ -49,21 +50,21 @@
     }
 
     /// Another host of the failure domain is there.
-    pub fn met(&self, peer: &Name, class: u8) {
+    pub fn record_peer(&self, peer: &Name, class: u8) {
         for follower in self.followers.iter() {
             follower.relay().met_class(peer, class, clock::steady());
         }
     }
 
     /// Another host says how new its state of a list is; what this one lacks is had from there.
-    pub fn hear_position(self: &Arc<Self>, peer: &Name, position: Position) {
+    pub fn accept_position(self: &Arc<Self>, peer: &Name, position: Position) {
         let follower = self.follower(position.list);
         let now = clock::steady();
         follower.relay().heard(peer, now - position.age_ms, now);
-        follower.note_bytes(position.bytes, false);
-        self.reached(position.list, now - position.age_ms);
+        follower.record_bytes(position.bytes, false);
+        self.record_contact(position.list, now - position.age_ms);
         if follower.revision().is_some_and(|own| own < position.changed) {
-            follower.note_missing(position.changed, peer, now);
+            follower.record_missing(position.changed, peer, now);
         }
         match (follower.revision(), &position.changes) {
             (Some(own), Some(Changes { after, update }))
@@ -71,7 +72,7 @@
             {
                 log::info!(target: "watch", list:? = position.list, from:% = peer, after:% = own,
                     revision:% = update.revision, count = update.entries.len(); "news sent by a peer");
-                if !self.take(position.list, update) {
+                if !self.accept(position.list, update) {
                     follower.relay().force();
                 }
                 follower.wake();
@@ -79,21 +80,26 @@
             // This host is being sent it, or something newer.
             (Some(own), None) if own < position.changed && follower.is_incoming() => {}
             (Some(own), _) if own < position.changed => {
-                if follower.begin_taking() {
+                if follower.begin_fetch() {
                     let (list, changed) = (position.list, position.changed);
-                    tokio::spawn(Arc::clone(self).catch_up(peer.clone(), list, own, changed));
+                    tokio::spawn(Arc::clone(self).fetch_update(peer.clone(), list, own, changed));
                 }
             }
             (Some(_), _) => {
                 let nothing = Update { revision: position.revision, ..Update::default() };
-                follower.taken(&nothing, now);
+                follower.record_accepted(&nothing, now);
                 follower.wake();
             }
             (None, _) if follower.relay().may_take(now - position.age_ms, now) => {
-                if follower.begin_taking() {
+                if follower.begin_fetch() {
                     let (list, changed) = (position.list, position.changed);
-                    let fresh = now - position.age_ms;
-                    tokio::spawn(Arc::clone(self).take_first(peer.clone(), list, changed, fresh));
+                    let fresh_at = now - position.age_ms;
+                    tokio::spawn(Arc::clone(self).fetch_first(
+                        peer.clone(),
+                        list,
+                        changed,
+                        fresh_at,
+                    ));
                 }
             }
             (None, _) => follower.wake(),
@@ -102,13 +108,13 @@
 
     /// Another host holds on to something that the store may have lost with its return from a copy. If this host started
     /// behind that, it has taken what the store says, and takes the other's list in its place.
-    pub fn hear_doubts(self: &Arc<Self>, peer: &Name, list: List, revision: Revision) {
+    pub fn accept_overrides(self: &Arc<Self>, peer: &Name, list: List, revision: Revision) {
         let follower = self.follower(list);
         let own = follower.revision().filter(|own| own.era == revision.era && *own < revision);
         if let Some(own) = own
-            && follower.begin_taking()
+            && follower.begin_fetch()
         {
-            tokio::spawn(Arc::clone(self).catch_up(peer.clone(), list, own, revision));
+            tokio::spawn(Arc::clone(self).fetch_update(peer.clone(), list, own, revision));
         }
     }
 
@@ -116,12 +122,12 @@
     ///
     /// A host that starts while the store is away would refuse every caller until it is back, with
     /// neighbours beside it that serve theirs by what they have read.
-    pub fn take_over(self: &Arc<Self>, peer: &Name) {
+    pub fn adopt_lists(self: &Arc<Self>, peer: &Name) {
         for list in List::ALL {
             let follower = self.follower(list);
-            if follower.is_wanting() && follower.begin_taking() {
+            if follower.accepts_any_peer() && follower.begin_fetch() {
                 let nothing = Revision::NONE;
-                tokio::spawn(Arc::clone(self).catch_up(peer.clone(), list, nothing, nothing));
+                tokio::spawn(Arc::clone(self).fetch_update(peer.clone(), list, nothing, nothing));
             }
         }
     }
@@ -130,12 +136,12 @@
     ///
     /// Long changes are read from the store by each host for itself; one that can't reach it would
     /// serve by the table before for as long as that lasts.
-    pub(super) fn take_without_the_store(self: &Arc<Self>, list: List) {
+    pub(super) fn fetch_missing(self: &Arc<Self>, list: List) {
         let follower = self.follower(list);
-        if let (Some(own), Some(from)) = (follower.revision(), follower.missing_source())
-            && follower.begin_taking()
+        if let (Some(own), Some(from)) = (follower.revision(), follower.missing_update_source())
+            && follower.begin_fetch()
         {
-            tokio::spawn(Arc::clone(self).catch_up(from, list, own, own));
+            tokio::spawn(Arc::clone(self).fetch_update(from, list, own, own));
         }
     }
 }
