--- a/crates/node/src/watch/start.rs
+++ b/crates/node/src/watch/start.rs
@@ -8,12 +8,12 @@
 use wire::store::Error;
 
 use super::{Notice, Watch};
-use crate::peers::Found;
+use crate::peers::ListedHost;
 use crate::store::{Answer, List, Store};
 
 /// Between two tellings that this host is reading all of a list. Several may be lost before the
 /// others take it for gone.
-const TELL_EVERY: Duration = Duration::from_millis(100);
+const READING_NOTICE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl<S: Store, C: Codec> Watch<S, C> {
     /// Reads all of a list, and tells the others meanwhile: those that start as well wait for it.
@@ -21,14 +21,14 @@
         let mut answer = std::pin::pin!(self.store.read(list));
         loop {
             self.notify(Notice::WholeRead(list));
-            if let Ok(answer) = tokio::time::timeout(TELL_EVERY, &mut answer).await {
+            if let Ok(answer) = tokio::time::timeout(READING_NOTICE_INTERVAL, &mut answer).await {
                 return answer;
             }
         }
     }
 
     /// These other hosts of the failure domain are listed.
-    pub fn found(&self, listed: &[Found]) {
+    pub fn set_listed_peers(&self, listed: &[ListedHost]) {
         for follower in self.followers.iter() {
             let listed = listed.iter().map(|host| (&host.name, host.class));
             follower.relay().found(listed, clock::steady());
@@ -38,13 +38,13 @@
 
     /// Lists of which this host knows nothing yet.
     #[must_use]
-    pub fn lacking(&self) -> Vec<List> {
+    pub fn unread_lists(&self) -> Vec<List> {
         let lacks = |list: &List| self.follower(*list).revision().is_none();
         List::ALL.into_iter().filter(lacks).collect()
     }
 
     /// Another host is reading all of a list.
-    pub fn peer_reads(&self, peer: &Name, list: List) {
+    pub fn record_peer_reading(&self, peer: &Name, list: List) {
         self.follower(list).relay().reading(peer, clock::steady());
     }
 }
--- a/crates/node/tests/catalog.rs
+++ b/crates/node/tests/catalog.rs
@@ -60,7 +60,7 @@
 fn warmup_ms(listed: wire::routing::Backend) -> u64 {
     let (catalog, place) = (catalog(), ArcSwap::from_pointee(World::default()));
     catalog.with_roster(|roster| roster.put(listed.clone(), 1.into()));
-    catalog.warms(&listed, NOW);
+    catalog.set_warmup(&listed, NOW);
     catalog.publish(&place, NOW);
     left(&place, NOW)
 }
@@ -112,11 +112,11 @@
         revision,
         failure_domain,
     };
-    catalog.take_evacuations(&[entry(2.into(), Some(Name::from("b")))], 2.into(), false, NOW);
+    catalog.accept_evacuations(&[entry(2.into(), Some(Name::from("b")))], 2.into(), false, NOW);
     catalog.publish(&place, NOW);
     assert!(place.load().pools[SERVICE].backends.is_empty());
     let back = NOW + 9_000;
-    catalog.take_evacuations(&[entry(3.into(), None)], 3.into(), false, back);
+    catalog.accept_evacuations(&[entry(3.into(), None)], 3.into(), false, back);
     catalog.publish(&place, back);
     assert_eq!(left(&place, back), WARMUP.ms);
 }
--- a/crates/node/tests/exchange.rs
+++ b/crates/node/tests/exchange.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use node::exchange::{self, Cache, Given, Holds, Source};
-use node::record::Snapshot;
+use node::exchange::{self, Availability, Cache, Reply, Source};
+use node::record::RolloutState;
 use node::store::{Entry, Fact, List, Update};
 use policy::name::Name;
 use policy::revision::Revision;
@@ -23,25 +23,25 @@
 /// A host that has so many entries, or is being given them.
 struct Giver {
     entries: usize,
-    holds: Holds,
+    holds: Availability,
     /// How often all of them were looked up.
     asked: AtomicUsize,
 }
 
 impl Source for Giver {
-    fn holds(&self, _: List, least: Revision) -> Holds {
+    fn availability(&self, _: List, least: Revision) -> Availability {
         match self.holds {
-            Holds::Up(changed) if changed < least => Holds::Nothing,
+            Availability::UpTo(changed) if changed < least => Availability::Nothing,
             holds => holds,
         }
     }
 
-    fn update(&self, _: List, _: Revision) -> Option<Update> {
+    fn update_since(&self, _: List, _: Revision) -> Option<Update> {
         self.asked.fetch_add(1, Ordering::Relaxed);
         Some(update(self.entries))
     }
 
-    fn records(&self) -> Vec<Snapshot> {
+    fn rollouts(&self) -> Vec<RolloutState> {
         Vec::new()
     }
 }
@@ -60,7 +60,7 @@
     }
 }
 
-async fn give(entries: usize, holds: Holds, cache: &Cache) -> (SocketAddr, Arc<Giver>) {
+async fn give(entries: usize, holds: Availability, cache: &Cache) -> (SocketAddr, Arc<Giver>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let giver = Arc::new(Giver { entries, holds, asked: AtomicUsize::new(0) });
@@ -68,16 +68,16 @@
     (address, giver)
 }
 
-async fn ask(from: SocketAddr, after: u64, least: Revision) -> Result<Given, Error> {
+async fn ask(from: SocketAddr, after: u64, least: Revision) -> Result<Reply, Error> {
     exchange::request_update(from, (LIST, after.into(), least), &Cache::default()).await
 }
 
 /// Guards against a host that packs thousands of entries anew for each of those that ask.
 #[tokio::test(flavor = "multi_thread")]
 async fn ask_the_same_news_are_packed_once() {
-    let (from, giver) = give(10_000, Holds::Up(REVISION), &Cache::default()).await;
+    let (from, giver) = give(10_000, Availability::UpTo(REVISION), &Cache::default()).await;
     for _ in 0..8 {
-        assert_eq!(ask(from, 0, REVISION).await, Ok(Given::Update(update(10_000))));
+        assert_eq!(ask(from, 0, REVISION).await, Ok(Reply::Update(update(10_000))));
     }
     assert_eq!(giver.asked.load(Ordering::Relaxed), 1);
 }
@@ -85,32 +85,32 @@
 /// What was given to a host it passes on before it has taken it in, and without packing it.
 #[tokio::test(flavor = "multi_thread")]
 async fn ask_news_are_passed_on_as_they_came() {
-    let (first, _) = give(5_000, Holds::Up(REVISION), &Cache::default()).await;
+    let (first, _) = give(5_000, Availability::UpTo(REVISION), &Cache::default()).await;
     let cache = Cache::default();
-    let (second, busy) = give(0, Holds::Later, &cache).await;
-    assert_eq!(ask(second, 0, REVISION).await, Ok(Given::Later));
+    let (second, busy) = give(0, Availability::Later, &cache).await;
+    assert_eq!(ask(second, 0, REVISION).await, Ok(Reply::Later));
     let given = exchange::request_update(first, (LIST, Revision::NONE, REVISION), &cache).await;
-    assert_eq!(given, Ok(Given::Update(update(5_000))));
-    assert_eq!(ask(second, 0, REVISION).await, Ok(Given::Update(update(5_000))));
+    assert_eq!(given, Ok(Reply::Update(update(5_000))));
+    assert_eq!(ask(second, 0, REVISION).await, Ok(Reply::Update(update(5_000))));
     assert_eq!(busy.asked.load(Ordering::Relaxed), 0);
     // Those who know another revision lack something else.
-    assert_eq!(ask(second, 7, REVISION).await, Ok(Given::Later));
+    assert_eq!(ask(second, 7, REVISION).await, Ok(Reply::Later));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn ask_a_host_that_is_behind_gives_nothing() {
-    let (from, _) = give(10, Holds::Up(REVISION), &Cache::default()).await;
-    assert_eq!(ask(from, 5, Revision::new(0, NUMBER + 1)).await, Ok(Given::Nothing));
+    let (from, _) = give(10, Availability::UpTo(REVISION), &Cache::default()).await;
+    assert_eq!(ask(from, 5, Revision::new(0, NUMBER + 1)).await, Ok(Reply::Nothing));
 }
 
 /// Guards against old news that are passed on when a host has newer ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn ask_newer_changes_are_not_answered_with_what_was_packed_before() {
-    let (first, _) = give(10, Holds::Up(REVISION), &Cache::default()).await;
+    let (first, _) = give(10, Availability::UpTo(REVISION), &Cache::default()).await;
     let cache = Cache::default();
     drop(exchange::request_update(first, (LIST, Revision::NONE, Revision::NONE), &cache).await);
-    let (newer, giver) = give(20, Holds::Up(Revision::new(0, NUMBER + 50)), &cache).await;
-    assert_eq!(ask(newer, 0, Revision::NONE).await, Ok(Given::Update(update(20))));
+    let (newer, giver) = give(20, Availability::UpTo(Revision::new(0, NUMBER + 50)), &cache).await;
+    assert_eq!(ask(newer, 0, Revision::NONE).await, Ok(Reply::Update(update(20))));
     assert_eq!(giver.asked.load(Ordering::Relaxed), 1);
 }
 
@@ -155,15 +155,15 @@
 /// Guards against half a list that is taken for all of it.
 #[tokio::test(flavor = "multi_thread")]
 async fn ask_list_that_is_cut_off_is_an_error() {
-    let (from, _) = give(20_000, Holds::Up(REVISION), &Cache::default()).await;
+    let (from, _) = give(20_000, Availability::UpTo(REVISION), &Cache::default()).await;
     for bytes in [0, 10, 5_000, 40_000, 100_000] {
         let cache = Cache::default();
         let cut = way(from, bytes, End::Closed).await;
         let given = exchange::request_update(cut, (LIST, Revision::NONE, REVISION), &cache).await;
         assert!(given.is_err(), "{bytes} {given:?}");
         // Nor is it passed on.
-        let (next, _) = give(0, Holds::Later, &cache).await;
-        assert_eq!(ask(next, 0, REVISION).await, Ok(Given::Later));
+        let (next, _) = give(0, Availability::Later, &cache).await;
+        assert_eq!(ask(next, 0, REVISION).await, Ok(Reply::Later));
     }
 }
 
@@ -191,7 +191,7 @@
 /// which the first pieces came.
 #[tokio::test(flavor = "multi_thread")]
 async fn ask_host_that_falls_silent_between_pieces_is_left() {
-    let (from, _) = give(20_000, Holds::Up(REVISION), &Cache::default()).await;
+    let (from, _) = give(20_000, Availability::UpTo(REVISION), &Cache::default()).await;
     for bytes in [10, 40_000, 100_000] {
         let silent = way(from, bytes, End::Silent).await;
         let asked = tokio::time::timeout(PATIENCE, ask(silent, 0, REVISION));
@@ -205,16 +205,16 @@
 async fn ask_place_of_a_silent_host_is_given_to_another() {
     /// More than the hosts that are served at once.
     const SILENT: usize = 24;
-    let (from, _) = give(20_000, Holds::Up(REVISION), &Cache::default()).await;
+    let (from, _) = give(20_000, Availability::UpTo(REVISION), &Cache::default()).await;
     let mut silent = Vec::new();
     for _ in 0..SILENT {
         silent.push(tokio::spawn(ask(way(from, 40_000, End::Silent).await, 0, REVISION)));
     }
     for asked in silent {
-        assert!(!matches!(asked.await.unwrap(), Ok(Given::Update(_))));
+        assert!(!matches!(asked.await.unwrap(), Ok(Reply::Update(_))));
     }
     let given = async {
-        while ask(from, 0, REVISION).await != Ok(Given::Update(update(20_000))) {
+        while ask(from, 0, REVISION).await != Ok(Reply::Update(update(20_000))) {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
--- a/crates/node/tests/history.rs
+++ b/crates/node/tests/history.rs
@@ -32,14 +32,14 @@
 #[test]
 fn behind_list_read_afresh_is_told_as_changes() {
     let mut history = History::new(0);
-    history.take(&update(10, true, &[("a", 3), ("b", 4), ("c", 5)]));
-    history.take(&update(20, false, &[("b", 18)]));
-    history.take(&update(30, true, &[("a", 3), ("b", 25), ("d", 27)]));
-    let behind = history.behind(Revision::from(20), NOW).unwrap();
+    history.apply(&update(10, true, &[("a", 3), ("b", 4), ("c", 5)]));
+    history.apply(&update(20, false, &[("b", 18)]));
+    history.apply(&update(30, true, &[("a", 3), ("b", 25), ("d", 27)]));
+    let behind = history.update_since(Revision::from(20), NOW).unwrap();
     assert!(!behind.is_whole);
     assert_eq!(keys(&behind), BTreeSet::from([("b", false), ("c", true), ("d", false)]));
-    assert_eq!(history.changed(), Revision::from(30));
-    let earlier = history.behind(Revision::from(10), NOW).unwrap();
+    assert_eq!(history.last_change(), Revision::from(30));
+    let earlier = history.update_since(Revision::from(10), NOW).unwrap();
     assert!(!earlier.is_whole);
     assert_eq!(keys(&earlier), keys(&behind));
 }
@@ -47,39 +47,39 @@
 #[test]
 fn behind_list_read_afresh_without_changes_is_empty() {
     let mut history = History::new(0);
-    history.take(&update(10, true, &[("a", 3)]));
-    history.take(&update(30, true, &[("a", 3)]));
-    assert_eq!(history.behind(Revision::from(10), NOW).unwrap().entries, []);
-    assert_eq!(history.changed(), Revision::from(10));
+    history.apply(&update(10, true, &[("a", 3)]));
+    history.apply(&update(30, true, &[("a", 3)]));
+    assert_eq!(history.update_since(Revision::from(10), NOW).unwrap().entries, []);
+    assert_eq!(history.last_change(), Revision::from(10));
     assert_eq!(history.revision(), Some(Revision::from(30)));
 }
 
 #[test]
 fn behind_nothing_known_is_the_whole_list() {
     let mut history = History::new(0);
-    assert_eq!(history.behind(Revision::from(0), NOW), None);
-    history.take(&update(0, true, &[]));
-    history.take(&update(5, false, &[("a", 5)]));
-    assert!(history.behind(Revision::from(0), NOW).unwrap().is_whole);
-    assert!(!history.behind(Revision::from(4), NOW).unwrap().is_whole);
+    assert_eq!(history.update_since(Revision::from(0), NOW), None);
+    history.apply(&update(0, true, &[]));
+    history.apply(&update(5, false, &[("a", 5)]));
+    assert!(history.update_since(Revision::from(0), NOW).unwrap().is_whole);
+    assert!(!history.update_since(Revision::from(4), NOW).unwrap().is_whole);
 }
 
 #[test]
 fn behind_older_than_the_first_read_is_the_whole_list() {
     let mut history = History::new(0);
-    history.take(&update(10, true, &[("a", 3)]));
-    history.take(&update(12, false, &[("a", 12)]));
-    assert!(history.behind(Revision::from(9), NOW).unwrap().is_whole);
-    assert!(!history.behind(Revision::from(10), NOW).unwrap().is_whole);
+    history.apply(&update(10, true, &[("a", 3)]));
+    history.apply(&update(12, false, &[("a", 12)]));
+    assert!(history.update_since(Revision::from(9), NOW).unwrap().is_whole);
+    assert!(!history.update_since(Revision::from(10), NOW).unwrap().is_whole);
 }
 
 /// A late answer of the store brought back an old state of the list.
 #[test]
 fn take_older_list_removes_nothing() {
     let mut history = History::new(0);
-    history.take(&update(30, true, &[("a", 3), ("b", 25)]));
-    history.take(&update(20, true, &[("a", 3)]));
-    assert_eq!(history.behind(Revision::from(30), NOW).unwrap().entries, []);
+    history.apply(&update(30, true, &[("a", 3), ("b", 25)]));
+    history.apply(&update(20, true, &[("a", 3)]));
+    assert_eq!(history.update_since(Revision::from(30), NOW).unwrap().entries, []);
     assert_eq!(history.revision(), Some(Revision::from(30)));
 }
 
@@ -118,19 +118,19 @@
 #[test]
 fn behind_table_is_told_as_edits() {
     let (mut reader, mut other) = (History::new(0), History::new(0));
-    reader.take(&table_update(1, true));
-    other.take(&table_update(1, true));
-    (2..6).for_each(|version| reader.take(&table_update(version, false)));
-    let behind = reader.behind(Revision::from(10), NOW).unwrap();
+    reader.apply(&table_update(1, true));
+    other.apply(&table_update(1, true));
+    (2..6).for_each(|version| reader.apply(&table_update(version, false)));
+    let behind = reader.update_since(Revision::from(10), NOW).unwrap();
     assert_eq!(behind.entries.len(), 4);
     assert!(behind.entries.iter().all(is_edit));
     assert!(serde_json::to_vec(&behind).unwrap().len() < 3_000);
     let made = other.resolve(&behind).unwrap();
     assert_eq!(made.entries.last().unwrap().fact, table(5, 1_005));
-    other.take(&made);
+    other.apply(&made);
     assert_eq!(
-        other.behind(Revision::from(40), NOW).unwrap(),
-        reader.behind(Revision::from(40), NOW).unwrap()
+        other.update_since(Revision::from(40), NOW).unwrap(),
+        reader.update_since(Revision::from(40), NOW).unwrap()
     );
     // Heard twice, or late, they change nothing.
     assert_eq!(other.resolve(&behind).unwrap().entries.last().unwrap().fact, table(5, 1_005));
@@ -140,12 +140,12 @@
 #[test]
 fn resolve_edit_of_an_unknown_table_is_none() {
     let mut reader = History::new(0);
-    (1..4).for_each(|version| reader.take(&table_update(version, version == 1)));
-    let behind = reader.behind(Revision::from(20), NOW).unwrap();
+    (1..4).for_each(|version| reader.apply(&table_update(version, version == 1)));
+    let behind = reader.update_since(Revision::from(20), NOW).unwrap();
     assert!(behind.entries.iter().all(is_edit));
     assert!(History::new(0).resolve(&behind).is_none());
     let mut older = History::new(0);
-    older.take(&table_update(1, true));
+    older.apply(&table_update(1, true));
     assert!(older.resolve(&behind).is_none());
 }
 
@@ -153,9 +153,9 @@
 #[test]
 fn behind_older_than_the_edits_is_the_whole_table() {
     let mut reader = History::new(0);
-    (1..40).for_each(|version| reader.take(&table_update(version, version == 1)));
-    assert!(!is_edit(&reader.behind(Revision::from(100), NOW).unwrap().entries[0]));
-    assert!(is_edit(&reader.behind(Revision::from(380), NOW).unwrap().entries[0]));
+    (1..40).for_each(|version| reader.apply(&table_update(version, version == 1)));
+    assert!(!is_edit(&reader.update_since(Revision::from(100), NOW).unwrap().entries[0]));
+    assert!(is_edit(&reader.update_since(Revision::from(380), NOW).unwrap().entries[0]));
 }
 
 /// Guards against hosts that are sent the whole list since more servers were replaced than removals are
@@ -166,22 +166,22 @@
         let mut history = History::new(0);
         let keys: Vec<String> = (0..2 * servers).map(|number| format!("i-{number}")).collect();
         let first: Vec<(&str, u64)> = keys[..servers].iter().map(|key| (key.as_str(), 1)).collect();
-        history.take(&update(1, true, &first));
+        history.apply(&update(1, true, &first));
         let replaced = servers * 9 / 20;
         for number in 0..replaced {
             let revision = 2 + 2 * number as u64;
-            history.take(&update(revision, false, &[(&keys[servers + number], revision)]));
+            history.apply(&update(revision, false, &[(&keys[servers + number], revision)]));
             let gone = Entry { fact: Fact::Removed, ..entry(&keys[number], revision + 1) };
-            history.take(&Update {
+            history.apply(&Update {
                 entries: vec![gone],
                 revision: (revision + 1).into(),
                 ..Update::default()
             });
         }
-        let behind = history.behind(Revision::from(1), NOW).unwrap();
+        let behind = history.update_since(Revision::from(1), NOW).unwrap();
         assert!(!behind.is_whole);
         assert_eq!(behind.entries.len(), 2 * replaced);
-        assert_eq!(history.behind(Revision::from(0), NOW).unwrap().entries.len(), servers);
+        assert_eq!(history.update_since(Revision::from(0), NOW).unwrap().entries.len(), servers);
     }
 }
 
@@ -189,16 +189,16 @@
 #[test]
 fn take_removals_are_bounded_by_what_is_listed() {
     let mut history = History::new(0);
-    history.take(&update(1, true, &[("first", 1)]));
+    history.apply(&update(1, true, &[("first", 1)]));
     for revision in 2..6_000 {
         let key = format!("i-{revision}");
         let gone = Entry { fact: Fact::Removed, ..entry(&key, revision) };
-        history.take(&Update {
+        history.apply(&Update {
             entries: vec![gone],
             revision: revision.into(),
             ..Update::default()
         });
     }
-    assert!(history.behind(Revision::from(1), NOW).unwrap().is_whole);
-    assert_eq!(history.behind(Revision::from(5_000), NOW).unwrap().entries.len(), 999);
+    assert!(history.update_since(Revision::from(1), NOW).unwrap().is_whole);
+    assert_eq!(history.update_since(Revision::from(5_000), NOW).unwrap().entries.len(), 999);
 }
--- a/crates/node/tests/message.rs
+++ b/crates/node/tests/message.rs
@@ -2,7 +2,7 @@
 
 use gateway::backend::{Prefill, Restricted, Restriction};
 use node::peers::message::{BYTES_MAX, Entry, Message};
-use node::record::{Record, Snapshot};
+use node::record::{Record, RolloutState};
 use policy::canary::Stage;
 use policy::name::Name;
 use policy::poison::{Crash, Digest, Suspect};
@@ -13,7 +13,12 @@
 
 fn record(stage: Stage) -> Entry {
     let record = Record { target: Name::from("v2"), stage, ..Record::default() };
-    Entry::Record(Snapshot { service: Name::from("desk"), version: 7.into(), record, age_ms: 400 })
+    Entry::Record(RolloutState {
+        service: Name::from("desk"),
+        version: 7.into(),
+        record,
+        age_ms: 400,
+    })
 }
 
 fn suspect(number: u64) -> Entry {
@@ -51,21 +56,21 @@
     let suspects = (0..100).map(suspect);
     let entries: Vec<Entry> =
         suspects.chain([record(Stage::Done)]).chain((0..50).map(limit)).collect();
-    let pieces = message(entries.clone()).pieces();
+    let pieces = message(entries.clone()).datagrams();
     assert!(pieces.iter().all(|piece| piece.len() <= BYTES_MAX));
     assert_eq!(read(&pieces), entries);
 }
 
 #[test]
 fn pieces_short_message_is_one() {
-    assert_eq!(message(vec![record(Stage::Moving), limit(1)]).pieces().len(), 1);
-    assert_eq!(message(Vec::new()).pieces().len(), 1);
+    assert_eq!(message(vec![record(Stage::Moving), limit(1)]).datagrams().len(), 1);
+    assert_eq!(message(Vec::new()).datagrams().len(), 1);
 }
 
 #[test]
 fn pieces_entry_that_fits_nowhere_does_not_take_others_along() {
     let backend = Name::from("x".repeat(2 * BYTES_MAX));
     let long = Entry::Prefill(Prefill { backend, read_ms: 5, rank: 0 });
-    let pieces = message(vec![long, record(Stage::Done)]).pieces();
+    let pieces = message(vec![long, record(Stage::Done)]).datagrams();
     assert_eq!(read(&pieces), [record(Stage::Done)]);
 }
--- a/crates/node/tests/restored.rs
+++ b/crates/node/tests/restored.rs
@@ -47,27 +47,27 @@
 /// Takes news as a host does.
 fn take(history: &mut History, update: &Update, now: Millis) {
     let reconciled = history.reconcile(update, now).update.into_owned();
-    history.take(&reconciled);
+    history.apply(&reconciled);
 }
 
 /// Takes what is due from what was held on to.
 fn settle(history: &mut History, now: Millis) -> usize {
-    let due = history.settle(now);
-    due.iter().for_each(|update| history.take(update));
+    let due = history.expire_overrides(now);
+    due.iter().for_each(|update| history.apply(update));
     due.map_or(0, |update| update.entries.len())
 }
 
 /// What a host has under a key, as another one is given it.
 fn held(history: &History, key: &str) -> Option<Fact> {
-    let all = history.behind(Revision::NONE, BACK).unwrap();
+    let all = history.update_since(Revision::NONE, BACK).unwrap();
     all.entries.into_iter().find(|entry| &*entry.key == key).map(|entry| entry.fact)
 }
 
 /// A host that knows what was written up to 500; the store comes back as of 300.
 fn knows(entries: Vec<Entry>) -> History {
     let mut history = History::new(MISSING_MS);
-    history.take(&update(1, 300, true, vec![entry("a", 1, 250, server("a", false))]));
-    history.take(&update(1, 500, false, entries));
+    history.apply(&update(1, 300, true, vec![entry("a", 1, 250, server("a", false))]));
+    history.apply(&update(1, 500, false, entries));
     history
 }
 
@@ -85,7 +85,7 @@
     take(&mut host, &copy(), BACK + 500);
     assert_eq!(held(&host, "a"), Some(server("a", true)));
     let mut late = History::new(MISSING_MS);
-    take(&mut late, &host.behind(Revision::NONE, BACK + 500).unwrap(), BACK + 500);
+    take(&mut late, &host.update_since(Revision::NONE, BACK + 500).unwrap(), BACK + 500);
     assert_eq!(held(&late, "a"), Some(server("a", true)));
 }
 
@@ -98,7 +98,7 @@
     take(&mut late, &copy(), BACK);
     assert!(late.revision() < host.revision());
     let own = late.revision().unwrap();
-    take(&mut late, &host.behind(own, BACK + 10).unwrap(), BACK + 10);
+    take(&mut late, &host.update_since(own, BACK + 10).unwrap(), BACK + 10);
     assert_eq!(held(&late, "a"), None);
     // And it does not stay so for good if the server is there after all.
     assert_eq!(settle(&mut late, BACK + REWRITTEN_MS - 1), 0);
@@ -126,8 +126,8 @@
 #[test]
 fn reconcile_table_never_goes_back() {
     let mut host = History::new(REWRITTEN_MS);
-    host.take(&update(1, 300, true, vec![entry("config", 1, 250, table(7))]));
-    host.take(&update(1, 500, false, vec![entry("config", 1, 490, table(9))]));
+    host.apply(&update(1, 300, true, vec![entry("config", 1, 250, table(7))]));
+    host.apply(&update(1, 500, false, vec![entry("config", 1, 490, table(9))]));
     let copy = update(2, 310, true, vec![entry("config", 2, 250, table(7))]);
     take(&mut host, &copy, BACK);
     settle(&mut host, BACK + 2 * REWRITTEN_MS);
@@ -144,8 +144,8 @@
 fn reconcile_evacuation_holds_until_written_again() {
     let evacuation = Fact::Evacuation(Name::from("a"));
     let mut host = History::new(REWRITTEN_MS);
-    host.take(&update(1, 300, true, Vec::new()));
-    host.take(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, evacuation.clone())]));
+    host.apply(&update(1, 300, true, Vec::new()));
+    host.apply(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, evacuation.clone())]));
     take(&mut host, &update(2, 310, true, Vec::new()), BACK);
     assert_eq!(held(&host, "evacuate/a"), Some(evacuation.clone()));
     // Written again it is no longer held on to, and its end counts.
@@ -156,10 +156,10 @@
     assert_eq!(held(&host, "evacuate/a"), None);
     // One that had ended, and is ordered anew at a number that was given out before.
     let mut other = History::new(REWRITTEN_MS);
-    other.take(&update(1, 300, true, vec![entry("evacuate/a", 1, 200, evacuation.clone())]));
-    other.take(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, Fact::Removed)]));
-    let fresh = entry("evacuate/a", 2, 400, evacuation.clone());
-    take(&mut other, &update(2, 400, true, vec![fresh]), BACK);
+    other.apply(&update(1, 300, true, vec![entry("evacuate/a", 1, 200, evacuation.clone())]));
+    other.apply(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, Fact::Removed)]));
+    let fresh_at = entry("evacuate/a", 2, 400, evacuation.clone());
+    take(&mut other, &update(2, 400, true, vec![fresh_at]), BACK);
     assert_eq!(held(&other, "evacuate/a"), Some(evacuation));
 }
 
@@ -167,8 +167,8 @@
 #[test]
 fn reconcile_older_order_is_not_taken() {
     let mut host = History::new(REWRITTEN_MS);
-    host.take(&update(1, 300, true, vec![entry("rollout/desk", 1, 200, order("v2", 200))]));
-    host.take(&update(1, 500, false, vec![entry("rollout/desk", 1, 480, order("v3", 480))]));
+    host.apply(&update(1, 300, true, vec![entry("rollout/desk", 1, 200, order("v2", 200))]));
+    host.apply(&update(1, 500, false, vec![entry("rollout/desk", 1, 480, order("v3", 480))]));
     let copy = update(2, 310, true, vec![entry("rollout/desk", 2, 200, order("v2", 200))]);
     take(&mut host, &copy, BACK);
     assert_eq!(held(&host, "rollout/desk"), Some(order("v3", 480)));
--- a/crates/node/tests/restored_fleet.rs
+++ b/crates/node/tests/restored_fleet.rs
@@ -83,7 +83,7 @@
     fn take(&mut self, update: &Update, now: Millis) {
         let resolved = self.history.resolve(update).expect("edits of a known table").into_owned();
         let reconciled = self.history.reconcile(&resolved, now).update.into_owned();
-        self.history.take(&reconciled);
+        self.history.apply(&reconciled);
     }
 
     fn own(&self) -> Revision {
@@ -92,7 +92,7 @@
 
     /// What it has under a key.
     fn fact(&self, key: &str) -> Option<Fact> {
-        let all = self.history.behind(Revision::NONE, START)?.entries;
+        let all = self.history.update_since(Revision::NONE, START)?.entries;
         all.into_iter().find(|entry| &*entry.key == key).map(|entry| entry.fact)
     }
 }
@@ -129,8 +129,8 @@
         let here = (domain..count).step_by(DOMAINS);
         let here: Vec<usize> = here.filter(|host| self.hosts[*host].cut_until <= now).collect();
         for host in &here {
-            if let Some(update) = self.hosts[*host].history.settle(now) {
-                self.hosts[*host].history.take(&update);
+            if let Some(update) = self.hosts[*host].history.expire_overrides(now) {
+                self.hosts[*host].history.apply(&update);
             }
         }
         let Some(reader) = here.first().copied() else { return };
@@ -142,7 +142,7 @@
             for host in &here {
                 let own = self.hosts[*host].own();
                 if own < self.hosts[ahead].own() {
-                    let update = self.hosts[ahead].history.behind(own, now).unwrap();
+                    let update = self.hosts[ahead].history.update_since(own, now).unwrap();
                     self.hosts[*host].take(&update, now);
                 }
             }
--- a/crates/node/tests/watch.rs
+++ b/crates/node/tests/watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use node::store::{Answer, Arrival, Update};
-use node::watch::was_away;
+use node::watch::was_store_away;
 use wire::store::Error;
 
 const HOLD: Duration = Duration::from_millis(1_200);
@@ -20,15 +20,15 @@
     // entry that goes within two seconds of one is kept as lapsed: the server that had left went on
     // getting work (3 of 6 requests, 1.3 s after its removal).
     let took = Duration::from_millis(1_300);
-    assert!(!was_away(&answer(6, 1_300), took, Duration::ZERO));
-    assert!(!was_away(&answer(1_190, 2_200), Duration::from_millis(2_200), HOLD));
+    assert!(!was_store_away(&answer(6, 1_300), took, Duration::ZERO));
+    assert!(!was_store_away(&answer(1_190, 2_200), Duration::from_millis(2_200), HOLD));
 }
 
 #[test]
 fn was_away_late_head_or_late_failure_is_one() {
     // The store was asked to hold the question back for 1.2 s, and said nothing for half a second more.
-    assert!(was_away(&answer(1_700, 1_701), Duration::from_millis(1_701), HOLD));
+    assert!(was_store_away(&answer(1_700, 1_701), Duration::from_millis(1_701), HOLD));
     let lost = Err(Error::Lost("no answer in time".to_owned()));
-    assert!(was_away(&lost, Duration::from_millis(1_900), HOLD));
-    assert!(!was_away(&answer(1_203, 1_204), Duration::from_millis(1_204), HOLD));
+    assert!(was_store_away(&lost, Duration::from_millis(1_900), HOLD));
+    assert!(!was_store_away(&answer(1_203, 1_204), Duration::from_millis(1_204), HOLD));
 }
