--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -1,24 +1,27 @@
-//! How often this host may send requests again: its part of what all hosts together may.
+//! Retry budget: this host's quota of the extra attempts that all hosts together may send.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use policy::repeat::{self, Allowance};
 use wire::settings;
 
-/// What the part follows from.
+/// What the quota is computed from.
 struct Inputs {
     repeats: settings::Repeats,
-    /// Failure domains of the deployment; none if the settings don't name them.
+    /// Failure domains of the deployment; `None` if the settings don't name them.
     domain_count: Option<usize>,
-    /// Hosts of this one's domain, itself among them; none before it has found the others.
+    /// Hosts of this host's failure domain, this host included; `None` until it has found the
+    /// others.
     host_count: Option<usize>,
 }
 
-/// The host's part. It changes with the settings, and with the hosts that share its domain's.
+/// This host's quota of extra attempts. It changes with the settings and with the number of hosts
+/// that share the quota of the failure domain.
 pub struct Budget(Mutex<Inputs>);
 
 impl Budget {
-    /// At the start of a host. One that has no address for others is alone in its domain.
+    /// Budget of a host that starts. A host without an address for peers counts as alone in its
+    /// failure domain.
     #[must_use]
     pub fn new(settings: &settings::Node) -> Self {
         Self(Mutex::new(Inputs {
@@ -28,19 +31,19 @@
         }))
     }
 
-    /// The settings have changed.
+    /// Applies settings that were read again while the process runs.
     pub fn update_settings(&self, settings: &settings::Node) {
         let mut inputs = self.lock();
         inputs.repeats = settings.repeats.clone();
         inputs.domain_count = domain_count(settings);
     }
 
-    /// The domain has so many hosts, this one among them.
+    /// Sets the number of hosts in the failure domain, this host included.
     pub fn set_host_count(&self, host_count: usize) {
         self.lock().host_count = Some(host_count);
     }
 
-    /// What this host may send.
+    /// Extra attempts that this host may send now.
     #[must_use]
     pub fn allowance(&self) -> Allowance {
         let inputs = self.lock();
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -1,4 +1,4 @@
-//! What the hosts of a failure domain counted of roll-outs, as they reported.
+//! What each host of a failure domain counted of the answers during a roll-out.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,27 +8,30 @@
 use policy::name::Name;
 use policy::revision::Revision;
 
-/// Counts of one order by host, each by route.
+/// Counts of one order, by host; each host's list has one element for each route.
 pub type CountsByHost = BTreeMap<Name, Vec<Evidence>>;
 
 domain! {
-    /// What one host counted of a roll-out, as it is sent to the delegate of the domain.
+    /// What one host counted during a roll-out, as it is sent to the delegate of the failure domain
+    /// (the host that calls the store for the others).
     pub struct HostCounts {
-        /// The service.
+        /// The service that is rolled out.
         pub service: Name,
-        /// The order that it was counted for, by when it was written.
+        /// Identifies the order that the counts belong to: the revision at which it was written.
         pub order: Revision,
-        /// By route; a part of them if they are many.
+        /// Counts by route. A long report is sent as several messages, each with some of the
+        /// routes.
         pub routes: Vec<Evidence>,
     }
 }
 
-/// Counts of all services.
+/// Reported counts of all services, each with the order that they belong to.
 #[derive(Default)]
 pub struct Counts(Mutex<BTreeMap<Name, (Revision, CountsByHost)>>);
 
 impl Counts {
-    /// Another host reported what it counted.
+    /// Adds what another host counted. A report of a newer order replaces all counts of the one
+    /// before; a report of an older order is ignored.
     pub fn accept(&self, host: &Name, report: HostCounts) {
         let mut all = self.lock();
         let (order, hosts) = all.entry(report.service).or_default();
@@ -43,7 +46,7 @@
         }
     }
 
-    /// What was reported of an order.
+    /// What peers reported for an order; empty if the latest reports belong to another one.
     #[must_use]
     pub fn for_order(&self, service: &Name, order: Revision) -> CountsByHost {
         let all = self.lock();
@@ -56,8 +59,9 @@
     }
 }
 
-/// Takes a host's count of a route if it is newer: counts only grow, and messages may overtake each
-/// other. A stream that breaks after it was counted makes one more failure of as many answers.
+/// Replaces a host's counts of a route if the new ones are more recent: counts only grow, and
+/// messages may overtake each other. With as many answers, more failures are more recent, because a
+/// stream that breaks after it was counted turns an answer into a failure.
 pub fn merge(existing: &mut Vec<Evidence>, counts: Evidence) {
     let seen = |one: &Evidence| (one.old.answers + one.new.answers, one.old.bad + one.new.bad);
     match existing.iter_mut().find(|existing| existing.route == counts.route) {
@@ -67,7 +71,7 @@
     }
 }
 
-/// All hosts' counts together, by route.
+/// Adds up all hosts' counts, by route.
 #[must_use]
 pub fn sum(hosts: &CountsByHost) -> Vec<Evidence> {
     let mut sum: Vec<Evidence> = Vec::new();
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -1,4 +1,4 @@
-//! The other hosts of the failure domain, and where they listen.
+//! The peers in the failure domain, and the addresses at which they listen.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,24 +9,25 @@
 use policy::pulse;
 use policy::time::Millis;
 
-/// Hosts remembered at most, which bounds memory only.
+/// Most peers that are remembered. The limit only bounds memory.
 const HOSTS_MAX: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     address: SocketAddr,
-    /// When it was last heard of, or found listed.
+    /// When the peer last sent a message or was found listed in the store.
     last_seen: Millis,
-    /// Its strength.
+    /// Strength class of the peer's machine.
     class: u8,
 }
 
-/// By name.
+/// The known peers, by name.
 #[derive(Default)]
 pub struct Directory(Mutex<HashMap<Name, Peer>>);
 
 impl Directory {
-    /// A host of a strength was heard of, or found listed; whether it was not known before.
+    /// Records that a peer sent a message or was found listed. Returns whether it was unknown
+    /// before.
     pub fn record(&self, name: &Name, address: SocketAddr, class: u8, now: Millis) -> bool {
         let mut hosts = self.lock();
         let has_room = hosts.len() < HOSTS_MAX;
@@ -41,38 +42,40 @@
         }
     }
 
-    /// Forgets those that were not heard of for long.
+    /// Evicts peers that have been silent for so long that their addresses are no longer worth
+    /// keeping.
     pub fn evict_silent(&self, now: Millis) {
         let mut hosts = self.lock();
         let forget_ms = pulse::forget_ms(hosts.len());
         hosts.retain(|_, peer| now.since(peer.last_seen) < forget_ms);
     }
 
-    /// Where a host listens.
+    /// The address at which a peer listens; `None` if it is not known.
     #[must_use]
     pub fn address(&self, name: &Name) -> Option<SocketAddr> {
         self.lock().get(name).map(|peer| peer.address)
     }
 
-    /// Between two signs of life to all of them.
+    /// Interval between two heartbeats that this host sends to all peers. It grows with their
+    /// number.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(pulse::every_ms(self.lock().len()))
     }
 
-    /// How many are known, also of those that may be gone.
+    /// Number of known peers, including those that may be gone.
     #[must_use]
     pub fn count(&self) -> usize {
         self.lock().len()
     }
 
-    /// Where all of them listen.
+    /// Addresses of all known peers.
     #[must_use]
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.lock().values().map(|peer| peer.address).collect()
     }
 
-    /// Those that were heard of, or found, lately, each with its strength.
+    /// Names and strength classes of the peers that sent a message or were found listed recently.
     #[must_use]
     pub fn alive(&self, now: Millis) -> Vec<(Name, u8)> {
         let hosts = self.lock();
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,12 +1,12 @@
-//! Why the process can't start.
+//! Errors that keep the process from starting.
 
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Faults of the process itself.
+/// An error of the process itself, as opposed to one of a request or of the store.
 #[derive(Debug)]
 pub enum Error {
-    /// A listening socket could not be opened.
+    /// A listening socket can't be opened at this address.
     Listen(SocketAddr, std::io::Error),
 }
 
--- a/crates/node/src/helpers.rs
+++ b/crates/node/src/helpers.rs
@@ -1,7 +1,9 @@
-//! Finds hosts of other failure domains that take requests of this one, when it reaches no backend server.
+//! Finds hosts of other failure domains that take this host's requests when it reaches no backend
+//! server.
 //!
-//! The store is asked only then: what changes in other domains does not concern a host as long as it
-//! serves by its own links, and to follow it would take calls that grow with the hosts.
+//! The store is asked only in that state. As long as a host serves by its own links, changes in
+//! other failure domains don't concern it, and following them would cost calls that grow with the
+//! number of hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,13 +21,13 @@
 use crate::store::Store;
 use crate::watch::Watch;
 
-/// Hosts of one failure domain that are asked whether they are there; rows of some that are gone stay
-/// listed.
+/// Hosts of one failure domain that are probed in a round. Several, because rows of hosts that are
+/// gone stay listed.
 const PROBED_COUNT: usize = 8;
-/// Between two rounds: hosts that were cut off when they were asked may serve again.
+/// Pause between two rounds of probes: hosts that were cut off in the last round may serve again.
 const ROUND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Finds them until the process ends.
+/// Searches for such hosts whenever this host needs them; runs until the process ends.
 pub async fn find<S: Store, C: Codec>(settings: settings::Node, watch: Arc<Watch<S, C>>) {
     let state = &watch.state;
     let mut isolated = state.reach.watch();
@@ -47,12 +49,12 @@
     }
 }
 
-/// Adds some hosts of a failure domain that answer.
+/// Probes a random sample of a failure domain's hosts and adds those that answer.
 async fn add_hosts<S: Store, C: Codec>(watch: &Watch<S, C>, domain: &Name) {
     let found = match read_hosts(&*watch.store, domain).await {
         Ok(found) => found,
         Err(error) => {
-            log::warn!(target: "peers", domain:% = domain, error:% = error; "hosts not found");
+            log::warn!(target: "peers", domain:% = domain, error:% = error; "hosts of another failure domain can't be read from the store");
             return;
         }
     };
@@ -64,7 +66,7 @@
         "hosts of another failure domain found");
 }
 
-/// Adds a host if it answers; whether it does.
+/// Adds a host if it accepts a connection. Returns whether it does.
 async fn probe_and_add<C: Codec>(state: &State<C>, found: &ListedHost, domain: &Name) -> bool {
     let Some(address) = found.forward else { return false };
     let host = Backend::host(found.name.clone(), address, domain.clone(), false);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,10 +1,10 @@
-//! One process that routes requests by what the platform's store says.
+//! The process that runs on each host and routes requests by what the platform's store says.
 //!
-//! The store holds everything that must last; the process holds only what it can read again.
-//! [`watch`] follows the store's lists, [`catalog`] makes of them the world that requests are
-//! decided by, [`rollout`] carries out orders to change a version together with the other hosts,
-//! [`process`] starts and stops it all. How the store spells and sends things is behind
-//! [`store::Store`].
+//! Everything that must outlast a process is in the store; a process holds only what it can read
+//! again. [`watch`] follows the store's two lists, [`catalog`] builds from them the snapshot that
+//! requests read, [`rollout`] carries out orders to change a service's version together with the
+//! other hosts, and [`process`] starts and stops all of them. The store's protocol is behind the
+//! trait [`store::Store`].
 
 pub mod budget;
 pub mod catalog;
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, and metrics.
+//! HTTP endpoint for operators: liveness, readiness for the load balancer, metrics and status.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,25 +18,25 @@
 use crate::follow::Follower;
 use crate::status::Status;
 
-/// What is asked about.
+/// State that the endpoint reports.
 pub struct Context<C> {
-    /// What requests share.
+    /// State that all requests share.
     pub state: Arc<State<C>>,
     /// What was read from the store.
     pub catalog: Arc<Catalog>,
-    /// How its lists are followed.
+    /// Followers of the store's two lists.
     pub followers: Arc<[Follower; 2]>,
-    /// The metrics' recorder.
+    /// Renders the recorded metrics.
     pub metrics: PrometheusHandle,
 }
 
-/// Serves until the process ends.
+/// Serves the endpoint until the process ends.
 pub async fn serve<C: Codec>(listener: TcpListener, context: Arc<Context<C>>) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!(target: "operators", error:% = error; "accept failed");
+                log::warn!(target: "operators", error:% = error; "connection of an operator not accepted");
                 continue;
             }
         };
@@ -48,7 +48,7 @@
         tokio::spawn(async move {
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!(target: "operators", error:% = error; "connection ended");
+                log::debug!(target: "operators", error:% = error; "connection of an operator ended with an error");
             }
         });
     }
@@ -88,14 +88,14 @@
     (status, format!("{{\"state\":\"{why}\",\"table\":{table},\"backends\":{backends}}}\n"))
 }
 
-/// What this host believes, and since when.
+/// JSON of [`Status`]: what this host knows, and how old it is.
 fn status<C: Codec>(context: &Context<C>) -> String {
     let status =
         Status::collect(&context.state, &context.catalog, &*context.followers, clock::steady());
     match serde_json::to_string(&status) {
         Ok(text) => text,
         Err(error) => {
-            log::error!(target: "operators", error:% = error; "status can't be written");
+            log::error!(target: "operators", error:% = error; "status can't be serialized");
             String::new()
         }
     }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: what it listens on, what it runs, how it stops.
+//! Starts and stops the parts of the process, and opens its sockets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,41 +38,43 @@
 use crate::store::{List, Store};
 use crate::watch::{self, Watch};
 
-/// After the signal to stop new connections are still taken for a while: the balancer goes on
-/// sending them until it has seen twice, a second apart, that the process is not ready.
+/// How long new connections are accepted after the signal to stop. The load balancer goes on
+/// sending them until two checks, a second apart, have found the process not ready.
 const CLOSE_DELAY: Duration = Duration::from_millis(2_600);
-/// Ports tried that are free for both UDP and TCP.
+/// Ports that are tried to find one that is free for both UDP and TCP.
 const BIND_TRIES_MAX: u32 = 16;
-/// Notices that wait to be sent.
+/// Longest queue of notices to peers.
 const NOTICE_QUEUE_MAX: usize = 8;
-/// Prefills that wait to be announced.
+/// Longest queue of prefills to be announced to peers.
 const PREFILL_QUEUE_MAX: usize = 64;
-/// Limits of backend servers that wait to be sent.
+/// Longest queue of backend servers' limits to be sent to peers.
 const RESTRICTION_QUEUE_MAX: usize = 64;
-/// Requests that wait for leave to be tried.
+/// Longest queue of suspect requests that wait for permission to be tried.
 const TRIAL_QUEUE_MAX: usize = 16;
-/// Kept of the time to stop, for the process's own end.
+/// Part of the drain time that is left for the process itself to end.
 const STOP_RESERVE: Duration = Duration::from_millis(500);
 
-/// Sockets that the process listens on.
+/// Open sockets of the process.
 pub struct Listeners {
-    /// Callers come in here.
+    /// Connections of client accounts.
     pub callers: TcpListener,
-    /// Readiness and metrics.
+    /// Readiness, metrics and status.
     pub operators: TcpListener,
-    /// Metrics on an address of their own.
+    /// The same as `operators` on another address; `None` if the settings have no such address.
     pub metrics: Option<TcpListener>,
-    /// Messages of the other hosts of the failure domain, and their questions for news.
+    /// Messages of peers by UDP, and their calls for updates of lists by TCP; `None` if the
+    /// settings have no address for peers.
     pub peers: Option<(UdpSocket, TcpListener)>,
-    /// Requests that other hosts pass on.
+    /// Requests that other hosts forward because they reach no backend server; `None` if this host
+    /// takes none.
     pub forward: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Opens them; port 0 lets the system choose.
+    /// Opens the sockets; for port 0 the system chooses a port.
     ///
     /// # Errors
-    /// [`Error::Listen`].
+    /// [`Error::Listen`] for the first address that can't be opened.
     pub async fn bind(settings: &settings::Node) -> Result<Self, Error> {
         let metrics = match settings.metrics {
             Some(address) => Some(bind(address).await?),
@@ -95,7 +97,7 @@
     TcpListener::bind(address).await.map_err(|error| Error::Listen(address, error))
 }
 
-/// The same port by UDP and by TCP.
+/// Opens a UDP and a TCP socket on the same port.
 async fn bind_both(address: SocketAddr) -> Result<(UdpSocket, TcpListener), Error> {
     let mut tries = if address.port() == 0 { BIND_TRIES_MAX } else { 1 };
     loop {
@@ -104,17 +106,18 @@
         let bound = listener.local_addr().map_err(|error| Error::Listen(address, error))?;
         match UdpSocket::bind(bound).await {
             Ok(socket) => return Ok((socket, listener)),
-            // A port chosen by the system for the one may be taken for the other.
+            // The system chose a port that is free for TCP, but taken for UDP.
             Err(_) if tries > 0 => {}
             Err(error) => return Err(Error::Listen(bound, error)),
         }
     }
 }
 
-/// Runs until `stop`, then shuts down without cutting off a request that can still end in time.
+/// Runs until `stop` is cancelled, then shuts down without cutting off requests that can still end
+/// in the drain time.
 ///
-/// New settings that come while it runs take effect where they can: how often requests may be sent
-/// again. The others are logged and need a restart.
+/// Settings that arrive through `changes` take effect where they can: the retry budget and the
+/// drain time. Other changes are logged as needing a restart.
 pub async fn run<S: Store, C: Codec>(
     settings: settings::Node,
     mut changes: mpsc::UnboundedReceiver<settings::Node>,
@@ -227,7 +230,7 @@
     let deadline =
         Instant::now() + Duration::from_millis(current.drain_ms).saturating_sub(STOP_RESERVE);
     log::info!(target: "process", connections = connections.len(),
-        requests = state.in_flight.load(std::sync::atomic::Ordering::Relaxed); "stopping, not ready");
+        requests = state.in_flight.load(std::sync::atomic::Ordering::Relaxed); "stopping: not ready any more, open requests go on");
     tokio::time::sleep_until(deadline.min(Instant::now() + CLOSE_DELAY)).await;
     close.cancel();
     drop(caller_task.await);
@@ -238,7 +241,7 @@
     drop(background);
 }
 
-/// The port that a listener has; 0 without one.
+/// Port of a listener; 0 without a listener.
 fn port(listener: Option<&TcpListener>) -> u16 {
     let address = listener.and_then(|listener| listener.local_addr().ok());
     address.map_or(0, |address| address.port())
@@ -277,8 +280,8 @@
         state.relays.wait().await;
     };
     match tokio::time::timeout_at(deadline, ended).await {
-        Ok(()) => log::info!(target: "process", "stopped, nothing cut off"),
+        Ok(()) => log::info!(target: "process", "stopped, no request was cut off"),
         Err(_) => log::warn!(target: "process", connections = connections.len(),
-            streams = state.relays.len(); "stopped, the time was over"),
+            streams = state.relays.len(); "stopped at the end of the drain time, open requests were cut off"),
     }
 }
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -1,4 +1,4 @@
-//! Rows of our own about roll-outs.
+//! Rows about roll-outs that the hosts keep in the store.
 
 use policy::canary::Stage;
 use policy::domain;
@@ -8,65 +8,70 @@
 
 use crate::counts::CountsByHost;
 
-/// The table that they lie in.
+/// The table of these rows.
 pub const TABLE: &str = "rollout";
-/// The group of rows that lie in none of their own.
+/// The group of rows that belong to no failure domain.
 pub const NO_GROUP: &str = "";
 
 domain! {
-    /// How a service's roll-out stands; one row, changed only under its revision.
+    /// State of a service's roll-out. All hosts share one row for it and change it only if its
+    /// revision is still the one they read.
     #[derive(Default)]
     pub struct Record {
-        /// The order that it belongs to, by when it was written.
+        /// Identifies the order that the record belongs to: the revision at which it was written.
         pub order: Revision,
-        /// The version wanted.
+        /// The version that the service changes to.
         pub target: Name,
-        /// The version before.
+        /// The version that the service changes from.
         pub base: Name,
-        /// How far it has come.
+        /// How far the roll-out has come.
         pub stage: Stage,
-        /// When it began, by the store's clock in milliseconds.
+        /// When the roll-out began, in milliseconds of the store's clock.
         pub began_ms: u64,
     }
 
-    /// What hosts counted: a failure domain's, or one host's if it stands alone.
+    /// Row with counts of answers: those of all hosts of a failure domain, or of one host that
+    /// reads the store for itself alone.
     #[derive(Default)]
     pub struct CountsRow {
-        /// The order that it was counted for, by when it was written.
+        /// Identifies the order that was counted for: the revision at which it was written.
         pub order: Revision,
-        /// By host. Two rows may have the same host's, one of them older.
+        /// Counts by host. Two rows may have counts of the same host, and one of them is older.
         pub hosts: CountsByHost,
     }
 
-    /// How a roll-out stands, as one host tells the others.
+    /// State of a roll-out as one host sends it to another.
     pub struct RolloutState {
-        /// The service.
+        /// The service that is rolled out.
         pub service: Name,
-        /// The row's version.
+        /// Revision of the record's row.
         pub version: Revision,
-        /// The row.
+        /// The record, as that row holds it.
         pub record: Record,
-        /// How long ago the roll-out began, in milliseconds.
+        /// How long ago the roll-out began, in milliseconds. An age instead of a time, because
+        /// hosts share no clock.
         pub age_ms: u64,
     }
 }
 
 impl Record {
-    /// Whether it belongs to an order.
+    /// Whether the record belongs to the order with this id and target version.
     #[must_use]
     pub fn belongs_to(&self, order_id: Revision, target: &Name) -> bool {
         is_same_order(self.order, order_id) && self.target == *target
     }
 
-    /// Whether it stands as it did before another state of the same roll-out: no roll-out goes back.
+    /// Whether the record is of an earlier stage than `other`, a record of the same roll-out. A
+    /// roll-out never goes back to an earlier stage.
     #[must_use]
     pub fn is_behind(&self, other: &Self) -> bool {
         self.stage.is_behind(other.stage)
     }
 }
 
-/// Whether what names an order means the one issued then: what was written before the store came back from a copy
-/// names it by its counter of that time, which the order has kept if the copy has both.
+/// Whether `order`, an id that stands in a row, means the order with `order_id`. A row written
+/// before the store was restored from a copy has the id of an earlier era; the number in it is the
+/// same if the copy holds both the row and the order.
 #[must_use]
 pub fn is_same_order(order: Revision, order_id: Revision) -> bool {
     order.number == order_id.number && order.era <= order_id.era
@@ -78,35 +83,37 @@
     Name::from(format!("{service}/record"))
 }
 
-/// Key of the counts that one host writes, for its failure domain or for itself.
+/// Key of the row with counts that `writer` writes: a failure domain or, for a host that reads the
+/// store for itself alone, that host.
 #[must_use]
 pub fn counts_key(service: &Name, writer: &str) -> Name {
     Name::from(format!("{service}/counted/{writer}"))
 }
 
-/// What all rows of a service begin with.
+/// Prefix of the keys of all rows of a service.
 #[must_use]
 pub fn prefix(service: &Name) -> String {
     format!("{service}/")
 }
 
-/// Reads a row.
+/// Parses the value of a row.
 ///
 /// # Errors
-/// Why it can't be read.
+/// The parser's message, if the value is not a `T`.
 pub fn parse<T: serde::de::DeserializeOwned>(value: &str) -> Result<T, String> {
     serde_json::from_str(value).map_err(|error| error.to_string())
 }
 
-/// Writes a row.
+/// Serializes the value of a row.
 ///
 /// # Errors
-/// Why it can't be written.
+/// The serializer's message.
 pub fn serialize<T: serde::Serialize>(value: &T) -> Result<String, String> {
     serde_json::to_string(value).map_err(|error| error.to_string())
 }
 
-/// Writes a row, if it is still at a version; 0 if it must not exist, none if it may be anything.
+/// Transaction that writes a row if its revision is still `expected`: revision 0 means that the row
+/// must not exist, `None` that it may have any revision.
 #[must_use]
 pub fn put(table: &str, key: Name, expected: Option<Revision>, value: String) -> Transaction {
     let table = Name::from(table);
@@ -116,12 +123,14 @@
     Transaction { conditions, writes: vec![write], ..Transaction::default() }
 }
 
-/// The version before, when an order comes on top of an earlier roll-out.
+/// The base version of a new roll-out, given the record of the `previous` one: the target version if
+/// that one succeeded, else its base version. Without a record it is `current`, the version that
+/// requests go to now.
 #[must_use]
-pub fn base_version(previous: Option<&Record>, common: &Name) -> Name {
+pub fn base_version(previous: Option<&Record>, current: &Name) -> Name {
     match previous {
         Some(record) if record.stage == Stage::Done => record.target.clone(),
         Some(record) if !record.base.is_empty() => record.base.clone(),
-        _ => common.clone(),
+        _ => current.clone(),
     }
 }
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -301,11 +301,11 @@
             self.adopt(service, record.clone(), *version, rows.now_ms);
             return Ok(());
         }
-        let common = self.watch.catalog.base_version(service);
+        let current = self.watch.catalog.base_version(service);
         let made = Record {
             order: rollout.order_id(),
             target: rollout.order.target.clone(),
-            base: record::base_version(stored.as_ref().map(|(record, _)| record), &common),
+            base: record::base_version(stored.as_ref().map(|(record, _)| record), &current),
             stage: Stage::Trial,
             began_ms: rows.now_ms.saturating_sub(clock::steady().since(rollout.started_at)),
         };
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -1,4 +1,4 @@
-//! What a host believes and since when, for operators.
+//! What a host knows and how old it is, for operators.
 
 use std::collections::BTreeMap;
 
@@ -13,102 +13,108 @@
 use crate::follow::Follower;
 
 domain! {
-    /// What `GET /status` says.
+    /// Answer to `GET /status`.
     #[derive(Default)]
     pub struct Status {
-        /// Version of the table of routes in force; 0 if there is none.
+        /// Version of the routing table in force; 0 if there is none.
         pub table: u64,
-        /// How long ago it was taken, in milliseconds.
+        /// How long ago the routing table was accepted, in milliseconds; `None` before the first.
         pub table_age_ms: Option<u64>,
         /// Revision of the list of backend servers.
         pub backends_revision: u64,
         /// How long ago each of the store's lists last answered, in milliseconds.
         pub store_age_ms: BTreeMap<Name, u64>,
-        /// Other hosts of the failure domain that were heard of lately.
+        /// Peers in the failure domain that sent a message or were found listed recently.
         pub peers: usize,
-        /// Whether this host reaches no backend server, so that requests go by way of others.
+        /// Whether this host reaches no backend server, so that its requests go through other
+        /// hosts.
         pub isolated: bool,
-        /// Whether this host reads each of the store's lists itself, for others or for itself
-        /// alone; else it takes them from the host of its failure domain that does.
+        /// For each of the store's lists, whether this host reads it from the store, for its peers
+        /// or for itself alone. If not, it takes the list from the peer that reads it.
         pub reads: BTreeMap<Name, bool>,
-        /// For how long this host has known of a change of each list that it lacks, in milliseconds.
+        /// For each list, how long this host has known of a change that it lacks, in milliseconds;
+        /// 0 if it lacks none.
         pub behind_ms: BTreeMap<Name, u64>,
         /// Failure domains that operators have evacuated.
         pub evacuated: BTreeMap<Name, EvacuatedDomain>,
-        /// By service.
+        /// Services that have a pool of backend servers or stand in the routing table, by name.
         pub services: BTreeMap<Name, Service>,
-        /// Requests under way.
+        /// Requests in flight at this host.
         pub requests: u64,
-        /// Requests that servers ended under, which are not sent freely.
+        /// Requests and parts of prompts that are suspected of crashing servers and therefore not
+        /// sent freely.
         pub held: Vec<HeldSuspect>,
     }
 
-    /// A request, or a part of prompts, that servers ended under.
+    /// A request, or a part of prompts, that was in flight at servers when they crashed.
     pub struct HeldSuspect {
-        /// Its digest, as it stands in the logs.
+        /// Digest of the request or part, as it stands in the logs.
         pub digest: Name,
-        /// Which of the two.
+        /// Whether it is a request or a part of prompts.
         pub kind: Kind,
-        /// The servers' starts.
+        /// Ids of the servers that crashed.
         pub servers: Vec<Name>,
-        /// Until it is tried again, in milliseconds; 0 if one host at a time may send it now.
+        /// Time until a trial is allowed, in milliseconds; 0 if one host at a time may send it now.
         pub hold_ms: u64,
     }
 
-    /// One service.
+    /// State of one service.
     #[derive(Default)]
     pub struct Service {
-        /// The version that requests go to, but for a roll-out.
+        /// The version that gets all requests except those that a roll-out sends to its target
+        /// version.
         pub version: Name,
-        /// Its roll-out, if there was one.
+        /// The latest roll-out of the service; `None` if there was none.
         pub rollout: Option<Rollout>,
-        /// Backend servers that leave.
+        /// Number of backend servers that finish their work and take no more.
         pub leaving: usize,
-        /// Backend servers that would take new work, but stand in evacuated failure domains.
+        /// Number of backend servers that would take requests, but stand in evacuated failure
+        /// domains.
         pub evacuated: usize,
-        /// Backend servers that take new work, by id.
+        /// Backend servers that take requests, by id.
         pub backends: BTreeMap<Name, Backend>,
     }
 
-    /// A roll-out.
+    /// State of a roll-out.
     pub struct Rollout {
-        /// The version wanted.
+        /// The version that the service changes to.
         pub target: Name,
-        /// How far it has come.
+        /// How far the roll-out has come.
         pub stage: Stage,
-        /// The share of requests that it gets here now.
+        /// Share of this host's requests that the target version gets now.
         pub share: f64,
-        /// How long ago it began, in milliseconds.
+        /// How long ago the roll-out began, in milliseconds.
         pub age_ms: u64,
     }
 
-    /// A backend server.
+    /// State of a backend server, as this host sees it.
     pub struct Backend {
-        /// Its version.
+        /// Version of the service that the server runs.
         pub version: Name,
-        /// Where it is reached.
+        /// Address at which the server takes requests.
         pub address: String,
-        /// Requests of this host there.
+        /// Requests of this host in flight at the server.
         pub requests: u32,
-        /// Requests there by its last report, others' included.
+        /// Requests in flight at the server by its last report, those of other hosts included.
         pub reported: u32,
-        /// Share of requests that it is expected to fail.
+        /// Share of requests that the server is expected to fail.
         pub suspicion: f64,
-        /// The factor by which its work takes longer than that of others.
+        /// How many times as long the server takes for its work as the others do.
         pub slowdown: f64,
-        /// No new work for this long, in milliseconds: it was found ill.
+        /// How much longer the server gets no requests because it was found ill, in milliseconds.
         pub ill_ms: u64,
-        /// Requests a second that it takes from all hosts together, if they are limited.
+        /// Limit of requests per second that the server takes from all hosts together; `None` if it
+        /// has none.
         pub per_second: Option<f64>,
-        /// It wants nothing from this host for so long, in milliseconds.
+        /// How much longer the server wants no requests from this host, in milliseconds.
         pub pause_ms: u64,
-        /// Until it is believed to be warm, in milliseconds.
+        /// Time until the server is assumed to be warm, in milliseconds.
         pub warmup_ms: u64,
     }
 }
 
 impl Status {
-    /// As it is now.
+    /// Collects the state as of `now`.
     #[must_use]
     pub fn collect<C: Codec>(
         state: &State<C>,
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store as controllers see it: two lists to follow, rows of our own to agree by.
+//! The platform's store as a host uses it: two lists to follow, and rows by which the hosts agree.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,91 +11,97 @@
 use wire::store::{Error, Outcome, Rows, Transaction};
 
 domain! {
-    /// A list that the store keeps for us to read.
+    /// A list in the store that hosts read and never write.
     #[derive(Copy, Eq, Ord, PartialOrd)]
     pub enum List {
-        /// The table of routes, and orders: to change versions, to evacuate failure domains.
+        /// The routing table, and operators' orders to change versions and to evacuate failure
+        /// domains.
         Operators,
         /// Backend servers, as they report themselves.
         Backends,
     }
 
-    /// What an entry of a list says.
+    /// Content of a list's entry.
     pub enum Fact {
-        /// The table of routes; shared, since it can be long and each host keeps it to pass on.
+        /// The routing table. Shared, since it can be long and each host keeps it to pass it on.
         Table(Arc<Table>),
-        /// What makes it of the version before, as hosts tell each other.
+        /// What changed in the routing table since its version before. Only peers send it to each
+        /// other; the store always sends the whole table.
         Edit(Arc<Edit>),
-        /// An order to change a version.
+        /// An order to change a service's version.
         Order(Order),
-        /// An order to send nothing more to a failure domain's backend servers.
+        /// An order to send no more requests to a failure domain's backend servers.
         Evacuation(Name),
         /// A backend server.
         Backend(Backend),
-        /// The entry was removed.
+        /// The entry was removed from the list.
         Removed,
-        /// It can't be read; why.
+        /// The entry can't be parsed; the text says why.
         Unreadable(String),
     }
 
     /// An entry of a list.
     pub struct Entry {
-        /// Its key; of a backend server its id.
+        /// Key of the entry; a backend server's key is its id.
         pub key: Name,
-        /// Of its last change.
+        /// Revision of the entry's last change.
         pub revision: Revision,
-        /// What it says.
+        /// Content of the entry.
         pub fact: Fact,
     }
 
-    /// Entries of a list.
+    /// Changes of a list, or all of it.
     #[derive(Default)]
     pub struct Update {
-        /// All of them, or those changed, oldest change first.
+        /// All entries, or only the changed ones; the oldest change comes first.
         pub entries: Vec<Entry>,
-        /// The store's newest revision at that moment.
+        /// The store's newest revision when it answered.
         pub revision: Revision,
-        /// These are all entries of the list; what is not among them is no longer there.
+        /// Whether these are all entries of the list. An entry that is missing here has then been
+        /// removed.
         #[serde(default)]
         pub is_whole: bool,
-        /// What the host that gives them knows of the store's return from a copy; none if it has not seen one, or
-        /// the store gives them.
+        /// Entries that the sending host overrides since the store was restored from a copy. `None`
+        /// in an update from the store, and from a host that has not seen a restore.
         #[serde(default)]
         #[serde(rename = "doubts")]
         pub overrides: Option<Overrides>,
     }
 
-    /// What a host makes of a list since the store came back from a copy.
+    /// A host's own entries that it holds against a list after the store was restored from a copy,
+    /// because the copy may lack changes that the store had acknowledged.
     pub struct Overrides {
-        /// How long ago it saw that, in milliseconds.
+        /// How long ago the host noticed the restore, in milliseconds.
         pub age_ms: u64,
-        /// What the list has in place of entries that it holds on to, by key; none of those that the list lacks.
+        /// What the list says in place of each overridden entry, by key; `None` for an entry that
+        /// the list lacks.
         pub held: BTreeMap<Name, Option<Entry>>,
     }
 }
 
-/// How an answer came. A store that is slow and an answer that is long look alike without it.
+/// How long an answer took to arrive. It tells a store that answers late from an answer that is
+/// long.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Arrival {
-    /// From the question to the head of the answer, in milliseconds.
+    /// From sending the request to the head of the answer, in milliseconds.
     pub head_ms: u64,
-    /// From the question to the last byte, in milliseconds.
+    /// From sending the request to the last byte of the answer, in milliseconds.
     pub whole_ms: u64,
-    /// Length of the body.
+    /// Length of the answer's body.
     pub bytes: u64,
 }
 
-/// What the store answered.
+/// Answer of the store to a call that reads or follows a list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answer {
-    /// What it says.
+    /// What the store says of the list.
     pub update: Update,
-    /// How it came.
+    /// How long the answer took to arrive.
     pub arrival: Arrival,
 }
 
 impl Arrival {
-    /// Of two answers, one asked for after the other.
+    /// Total of two answers, where the second was requested after the first had come.
     #[must_use]
     pub fn then(self, next: Self) -> Self {
         let is_first = self == Self::default();
@@ -108,10 +114,11 @@
 }
 
 impl List {
-    /// All lists.
+    /// Both lists, in the order in which [`Watch::followers`](crate::watch::Watch::followers) has
+    /// them.
     pub const ALL: [Self; 2] = [Self::Operators, Self::Backends];
 
-    /// For people.
+    /// Name of the list in metrics and in `GET /status`.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -121,25 +128,29 @@
     }
 }
 
-/// What operators learn of an order.
+/// What operators are told of an order, together with a change of the roll-out's record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The order.
+    /// The order that is carried out.
     pub order: Order,
-    /// How far it has come.
+    /// How far the roll-out has come.
     pub progress: Progress,
 }
 
-/// The store.
+/// Calls of the platform's store.
 pub trait Store: Send + Sync + 'static {
-    /// A whole list.
+    /// Reads all of a list.
     fn read(&self, list: List) -> impl Future<Output = Result<Answer, Error>> + Send;
 
-    /// What has changed in a list behind a revision, as soon as there is something; nothing if
-    /// there is none within the wait; [`Error::Forgotten`] also if the store has come back from a copy since
-    /// that revision. `on_head` is given the length of the answer when its head
-    /// has come, 0 if the head does not say it, and
-    /// says whether to read on; [`Error::Declined`] if not.
+    /// Waits until a list has changes behind the revision `after` and returns them, or returns an
+    /// empty update when `wait` is over.
+    ///
+    /// `on_head` is called when the head of the answer has come, with the length of the body, or 0
+    /// if the head does not tell it. It returns whether to read on.
+    ///
+    /// # Errors
+    /// [`Error::Forgotten`] if the store does not have all changes behind `after`, also because it
+    /// was restored from a copy since. [`Error::Declined`] if `on_head` returned false.
     fn follow(
         &self,
         list: List,
@@ -148,7 +159,7 @@
         on_head: impl FnOnce(u64) -> bool + Send,
     ) -> impl Future<Output = Result<Answer, Error>> + Send;
 
-    /// Rows of a group, in a table of our own, whose keys begin so.
+    /// Reads the rows of a group whose keys begin with `prefix`, from a table that the hosts write.
     fn rows(
         &self,
         group: &str,
@@ -156,7 +167,8 @@
         prefix: &str,
     ) -> impl Future<Output = Result<Rows, Error>> + Send;
 
-    /// Changes rows of our own if all are as expected, and tells operators of an order with it.
+    /// Changes rows if all conditions of the transaction hold. `report` tells operators of an
+    /// order's progress in the same transaction.
     fn commit(
         &self,
         change: &Transaction,
