--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -1,4 +1,4 @@
-//! All that is known from the store, and the world made of it.
+//! Everything that was read from the store, and the snapshot for requests that is built from it.
 
 mod rollout;
 
@@ -26,65 +26,67 @@
 
 use crate::record::{Record, RolloutState};
 
-/// Longest time for which a backend server is believed not to be warm, in milliseconds.
+/// Longest warm-up of a backend server that is believed, in milliseconds. Otherwise a wrong entry
+/// could keep a server from its work for good.
 const WARMUP_MAX_MS: u64 = 60_000;
 
 domain! {
-    /// An evacuated failure domain.
+    /// What is left in an evacuated failure domain.
     #[derive(Copy, Default)]
     pub struct EvacuatedDomain {
-        /// Backend servers that stand there.
+        /// Backend servers that are listed in the failure domain.
         pub servers: usize,
-        /// Requests of this host under way there, which began before the order.
+        /// Requests of this host still in flight there, which began before the evacuation.
         pub requests: u32,
     }
 }
 
-/// What became of a world that was made.
+/// Result of publishing a snapshot.
 #[derive(Debug, Default)]
 pub struct Published {
-    /// Everything that requests need has been read.
+    /// Whether everything that requests need has been read from the store.
     pub is_complete: bool,
-    /// Servers that took work until now and are no longer listed, without having said that they leave.
+    /// Servers that took requests in the snapshot before and are no longer listed, without having
+    /// announced that they leave. They have probably crashed.
     pub vanished_servers: Vec<Name>,
 }
 
-/// What was read.
+/// What was read from the store, and what was derived from it.
 #[derive(Default)]
 struct Inner {
     index: Arc<Index>,
     roster: Roster<wire::routing::Backend>,
     has_read_backends: bool,
     backends: HashMap<Name, Arc<Backend>>,
-    /// Those that are not listed any more, for as long as their entries may come back: what they said
-    /// of themselves still holds then.
+    /// Servers that are no longer listed, for as long as their entries may come back. What they
+    /// said of themselves, such as limits, still holds then.
     unlisted: HashMap<Name, Arc<Backend>>,
     rollouts: BTreeMap<Name, TrackedRollout>,
     base_versions: HashMap<Name, Name>,
     table_accepted_at: Option<Millis>,
     answered_at: BTreeMap<Name, Millis>,
     evacuations: Evacuations,
-    /// Backend servers that are not warm, and when they are.
+    /// When each backend server that is still cold will be warm.
     warm_at: HashMap<Name, Millis>,
 }
 
-/// Everything known, under one lock; requests see only the worlds made of it.
+/// Everything known from the store, under one lock. Requests read only the snapshots built from it.
 pub struct Catalog {
     failure_domain: Name,
-    /// Part of a service's requests that a bad version may get in a roll-out.
+    /// Largest share of a service's requests that a bad version may get in a roll-out, from 0 to 1.
     exposure_share: f64,
     inner: Mutex<Inner>,
 }
 
 impl Catalog {
-    /// Nothing known yet.
+    /// Catalog of a host in `failure_domain` that has read nothing yet.
     #[must_use]
     pub fn new(failure_domain: Name) -> Self {
         let exposure_share = canary::ALLOWED_MIN;
         Self { failure_domain, exposure_share, inner: Mutex::default() }
     }
 
-    /// With this part of a service's requests that a bad version may get.
+    /// Sets the share of a service's requests that a bad version may get in a roll-out.
     #[must_use]
     pub fn with_exposure_share(self, exposure_share: f64) -> Self {
         Self { exposure_share, ..self }
@@ -94,8 +96,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a table of routes; false if it is not newer. An old one read from a stale list would
-    /// bring back dropped routes and keys.
+    /// Replaces the routing table. Returns false for a table that is not newer: an old one from a
+    /// stale list would bring back dropped routes and keys.
     pub fn accept_table(&self, table: Table) -> bool {
         let mut inner = self.lock();
         if table.version <= inner.index.version {
@@ -106,25 +108,25 @@
         true
     }
 
-    /// When the table in force was taken.
+    /// When the routing table in force was accepted; `None` before the first.
     #[must_use]
     pub fn table_accepted_at(&self) -> Option<Millis> {
         self.lock().table_accepted_at
     }
 
-    /// One of the store's lists answered.
+    /// Records that one of the store's lists was read, from the store or through a peer.
     pub fn set_answered_at(&self, list: &str, now: Millis) {
         self.lock().answered_at.insert(Name::from(list), now);
     }
 
-    /// How long ago each of the store's lists last answered, in milliseconds.
+    /// How long ago each of the store's lists was last heard of, in milliseconds.
     #[must_use]
     pub fn list_ages_ms(&self, now: Millis) -> BTreeMap<Name, u64> {
         let inner = self.lock();
         inner.answered_at.iter().map(|(list, at)| (list.clone(), now.since(*at))).collect()
     }
 
-    /// Changes the list of backend servers.
+    /// Runs `change` on the list of backend servers, under the catalog's lock.
     pub fn with_roster<T>(
         &self,
         change: impl FnOnce(&mut Roster<wire::routing::Backend>) -> T,
@@ -132,7 +134,8 @@
         change(&mut self.lock().roster)
     }
 
-    /// A backend server said that it is warm in so long, or has just been listed and says nothing.
+    /// Records how long a backend server will be cold: as long as its entry says, or for the
+    /// service's usual warm-up if the server is new and says nothing.
     pub fn set_warmup(&self, backend: &wire::routing::Backend, now: Millis) {
         let mut inner = self.lock();
         let service = inner.index.services.get(&backend.service);
@@ -142,7 +145,7 @@
         let ms = backend.warmup_ms.or(usual_ms.filter(|_| is_new)).unwrap_or_default();
         if ms > WARMUP_MAX_MS {
             log::warn!(target: "watch", backend:% = backend.id, warmup_ms = ms;
-                "backend server says that it warms up for too long, believed for a minute");
+                "backend server announces too long a warm-up, limited to a minute");
         }
         if ms > 0 {
             let until = now + ms.min(WARMUP_MAX_MS);
@@ -151,13 +154,14 @@
         }
     }
 
-    /// The list of backend servers was read whole.
+    /// Records that the whole list of backend servers was read. Before that this host is not ready.
     pub fn set_backends_read(&self) {
         self.lock().has_read_backends = true;
     }
 
-    /// Takes an order; false if it is known. `is_rewritten` says whether operators may just be writing again what
-    /// they had written.
+    /// Accepts an order to change a version. Returns false if the order is already known.
+    /// `is_rewritten` says whether operators may be writing again what the store lost, so that the
+    /// same order under a newer revision is not a new one.
     pub fn accept_order(&self, order: Order, revision: Revision, is_rewritten: bool) -> bool {
         let mut inner = self.lock();
         match inner.rollouts.get_mut(&order.service) {
@@ -166,7 +170,8 @@
                 if known.order.is_same(&order)
                     && (is_rewritten || known.revision.era < revision.era) =>
             {
-                // One that is only held on to was not written again yet.
+                // A revision with steps was given by this host to an entry that it overrides.
+                // Operators have not written the order again yet.
                 if revision.step == 0 {
                     known.reissue(order, revision);
                 }
@@ -186,7 +191,8 @@
         true
     }
 
-    /// Takes orders to evacuate failure domains, as a list had them at a revision.
+    /// Applies orders to evacuate failure domains, as the list had them at a revision. Returns
+    /// which evacuations began and ended.
     pub fn accept_evacuations(
         &self,
         entries: &[evacuation::Entry],
@@ -200,7 +206,7 @@
         change
     }
 
-    /// Failure domains that are evacuated, and what this host still has there.
+    /// Evacuated failure domains, each with what this host still has there.
     #[must_use]
     pub fn evacuated(&self) -> BTreeMap<Name, EvacuatedDomain> {
         let inner = self.lock();
@@ -208,13 +214,13 @@
         domains.map(|domain| (domain.clone(), inner.evacuated(domain))).collect()
     }
 
-    /// A backend server that is listed.
+    /// A listed backend server, by its id.
     #[must_use]
     pub fn backend(&self, id: &Name) -> Option<Arc<Backend>> {
         self.lock().backends.get(id).cloned()
     }
 
-    /// What backend servers said lately of how much they take.
+    /// Limits, pauses and other restrictions that backend servers have recently set on what they take.
     #[must_use]
     pub fn restrictions(&self, now: Millis) -> Vec<Restricted> {
         let inner = self.lock();
@@ -222,8 +228,9 @@
         restricted.flat_map(|backend| backend.restrictions(now)).collect()
     }
 
-    /// Takes what another host heard of a backend server, with times of its clock; whether the world is
-    /// another one now. What was said of another start means nothing.
+    /// Applies a restriction that a peer heard from a backend server, with `from` as the peer's
+    /// clock and `now` as this host's. Returns whether a new snapshot must be published. A
+    /// restriction from another start of the server is ignored.
     pub fn accept_restriction(&self, restricted: &Restricted, from: Millis, now: Millis) -> bool {
         let backend = self.backend(&restricted.backend);
         let backend = backend.filter(|backend| backend.born == restricted.born);
@@ -231,7 +238,7 @@
         backend.is_some_and(|backend| backend.learn(&restriction, now))
     }
 
-    /// Backend servers that stand in a failure domain; none before their list was read.
+    /// Number of backend servers listed in a failure domain; `None` before their list was read.
     #[must_use]
     pub fn count_servers_in(&self, failure_domain: &Name) -> Option<usize> {
         let inner = self.lock();
@@ -240,19 +247,21 @@
         inner.has_read_backends.then(|| here.count())
     }
 
-    /// A roll-out.
+    /// The latest roll-out of a service; `None` if none was ordered.
     #[must_use]
     pub fn rollout(&self, service: &Name) -> Option<TrackedRollout> {
         self.lock().rollouts.get(service).cloned()
     }
 
-    /// Notes how a roll-out stands; false if that is older than what is known, or of another order.
+    /// Accepts the state of a roll-out from the store or a peer. Returns false if it is older than
+    /// the known state or belongs to another order.
     pub fn accept_record(&self, rollout: &RolloutState, now: Millis) -> bool {
         let mut inner = self.lock();
         let Some(known) = inner.rollouts.get_mut(&rollout.service) else { return false };
         let order_id = known.order_id();
         let is_same_order = rollout.record.belongs_to(order_id, &known.order.target);
-        // A row that the store has lost is made anew by hosts that know nothing of it.
+        // After a restore, hosts that don't know the lost row create it anew, with an earlier
+        // stage.
         let is_behind = known.record.as_ref().is_some_and(|held| rollout.record.is_behind(held));
         if !is_same_order || is_behind || rollout.version < known.row_version {
             return false;
@@ -263,7 +272,7 @@
         true
     }
 
-    /// Services with a roll-out that was decided.
+    /// Services whose roll-out has succeeded or was stopped.
     #[must_use]
     pub fn decided_services(&self) -> Vec<Name> {
         let inner = self.lock();
@@ -273,7 +282,7 @@
         decided.map(|known| known.order.service.clone()).collect()
     }
 
-    /// Services with a roll-out that is not decided, each with its order.
+    /// Services whose roll-out is under way, each with the id of its order.
     #[must_use]
     pub fn open_orders(&self) -> Vec<(Name, Revision)> {
         let inner = self.lock();
@@ -285,7 +294,7 @@
         open.map(|known| (known.order.service.clone(), known.order_id())).collect()
     }
 
-    /// How all roll-outs stand, for other hosts.
+    /// States of all roll-outs, to be sent to peers.
     #[must_use]
     pub fn rollout_states(&self, now: Millis) -> Vec<RolloutState> {
         let inner = self.lock();
@@ -300,17 +309,18 @@
         snapshots.collect()
     }
 
-    /// The version that requests for a service go to, but for a roll-out.
+    /// The version that gets all requests for a service except those of a roll-out; empty if there
+    /// is none.
     #[must_use]
     pub fn base_version(&self, service: &Name) -> Name {
         self.lock().base_versions.get(service).cloned().unwrap_or_default()
     }
 
-    /// Makes the world as it is now what requests are decided by.
+    /// Builds a snapshot from the current state and publishes it to requests.
     ///
-    /// Both lists publish, on any thread. Were the lock given up in between, a world made before a
-    /// table came could replace the one made after, and all requests be refused until the next
-    /// change.
+    /// The followers of both lists publish, on any thread. The lock is held until the snapshot is
+    /// stored: otherwise one built before a routing table arrived could replace the one built after
+    /// it, and all requests would be rejected until the next change.
     pub fn publish(&self, target: &ArcSwap<World>, now: Millis) -> Published {
         let mut inner = self.lock();
         let before = target.load_full();
@@ -321,7 +331,8 @@
         Published { is_complete, vanished_servers }
     }
 
-    /// When the world changes by itself, if it does.
+    /// When an entry of a backend server lapses, so that a new snapshot must be published; `None`
+    /// if none is about to.
     #[must_use]
     pub fn next_lapse(&self) -> Option<Millis> {
         self.lock().roster.next_lapse()
@@ -337,8 +348,8 @@
         for row in &entries {
             let near = row.failure_domain == at.failure_domain;
             let known = self.backends.remove(&row.id).or_else(|| self.unlisted.remove(&row.id));
-            // Another start knows nothing of the one before: neither its caches and load nor its
-            // connections are the new one's.
+            // A server that has restarted knows nothing of its previous run. Its caches, load and
+            // connections are new, so it gets a new state.
             let known =
                 known.filter(|known| known.server.address == row.address && known.born == row.born);
             let backend = known.unwrap_or_else(|| Arc::new(Backend::new(row, near)));
@@ -374,7 +385,7 @@
         }
     }
 
-    /// Keeps servers that are no longer listed.
+    /// Keeps the state of servers that are no longer listed, in case their entries come back.
     fn keep_unlisted(&mut self, unlisted: HashMap<Name, Arc<Backend>>) {
         unlisted.values().for_each(|backend| backend.server.retire(true));
         self.unlisted.extend(unlisted);
@@ -391,8 +402,8 @@
         })
     }
 
-    /// Backend servers of failure domains that take requests again had none for a while: until they
-    /// say how they stand they are taken for cold.
+    /// Marks the backend servers of failure domains whose evacuation has ended as cold, until they
+    /// report otherwise: they had no requests for a while.
     fn mark_cold(&mut self, failure_domains: &[Name], now: Millis) {
         for row in self.roster.entries(now) {
             let service = self.index.services.get(&row.service);
@@ -403,14 +414,14 @@
         }
     }
 
-    /// What a backend server takes until it is warm.
+    /// Limit of a backend server that is still cold; `None` if it is warm.
     fn warmup_limit(&self, row: &wire::routing::Backend, now: Millis) -> Option<Limit> {
         let until = self.warm_at.get(&row.id)?;
         let warmup = self.index.services.get(&row.service)?.warmup?;
         Some(Limit::warmup(warmup.per_second, *until, now))
     }
 
-    /// Servers of an earlier world that are no longer listed, or have started again.
+    /// Servers of an earlier snapshot that are no longer listed or have restarted.
     fn vanished_servers(&self, before: &World) -> Vec<Name> {
         let served = before.pools.values().flat_map(|pool| &pool.backends);
         let vanished = served.filter(|backend| {
@@ -425,9 +436,12 @@
         self.index.version > 0 && self.has_read_backends && self.rollouts.values().all(is_known)
     }
 
-    /// A version that nobody ordered gets no requests: servers of a new version may be listed
-    /// before the order to try it has come. A version exists for as long as one of its servers is listed,
-    /// also if all leave or are evacuated: else the other one would get all requests, and keep them.
+    /// Chooses the version that gets all requests except those of a roll-out.
+    ///
+    /// A version that nobody ordered gets no requests, because servers of a new version may be
+    /// listed before the order to try it arrives. A version exists for as long as one of its
+    /// servers is listed, even if all of them leave or are evacuated. Otherwise the other version
+    /// would get all requests, and keep them.
     fn choose_base_version(
         &mut self,
         service: &Name,
@@ -453,7 +467,7 @@
     }
 }
 
-/// The version that most servers have, but for one on trial.
+/// The version that most servers of a pool run, not counting the target version of a roll-out.
 fn most_common_version(pool: &Pool, target: Option<&Name>) -> Option<Name> {
     let mut counts: BTreeMap<&Name, usize> = BTreeMap::new();
     for backend in &pool.backends {
--- a/crates/node/src/catalog/rollout.rs
+++ b/crates/node/src/catalog/rollout.rs
@@ -1,4 +1,4 @@
-//! A roll-out as this host knows it.
+//! State of a service's roll-out at this host.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -9,39 +9,41 @@
 
 use crate::record::Record;
 
-/// A roll-out as this host knows it.
+/// A roll-out that was ordered, under way or decided.
 #[derive(Clone, Debug)]
 pub struct TrackedRollout {
-    /// The order.
+    /// What operators ordered.
     pub order: Order,
-    /// Its revision.
+    /// Revision of the order's entry in the list.
     pub revision: Revision,
-    /// How it stands, once that was read or written.
+    /// State that all hosts share; `None` until it was read from the store, written there or sent
+    /// by a peer.
     pub record: Option<Record>,
-    /// The version of that row.
+    /// Revision of the record's row in the store.
     pub row_version: Revision,
-    /// When it began, by this host's clock.
+    /// When the roll-out began, by this host's clock.
     pub started_at: Millis,
-    /// This host's own answers speak against the new version.
+    /// Whether this host has stopped sending requests to the new version, because the answers to
+    /// its own requests were bad.
     pub is_halted: Arc<AtomicBool>,
 }
 
 impl TrackedRollout {
-    /// When the order was written, by which all hosts name it.
+    /// Identifies the order on all hosts: the revision at which operators wrote it.
     #[must_use]
     pub fn order_id(&self) -> Revision {
         Revision::new(self.revision.era, self.order.issue)
     }
 
-    /// The store has come back from a copy, and lists the order as it was or was written again: it is the same, under
-    /// another revision.
+    /// Takes over the order's entry as the store lists it after a restore from a copy, or as
+    /// operators have written it again. It is the same order under another revision.
     pub(super) fn reissue(&mut self, order: Order, revision: Revision) {
         self.order = order;
         self.revision = revision;
         let order_id = self.order_id();
         if let Some(record) = &mut self.record {
             if record.order.number != order_id.number {
-                // The row names the order by another number, so it is written again.
+                // The row has the order's previous number, so it must be written again.
                 self.row_version = Revision::NONE;
             }
             record.order = order_id;
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -1,6 +1,7 @@
-//! How a host takes changes of a list from another one: one call on a connection of its own.
+//! Calls by which a host fetches updates of a list from a peer, each on a connection of its own.
 //!
-//! Calls are few, and a connection that is kept can go silent while new ones work.
+//! Calls are rare, and a connection that is kept open can go silent while new connections still
+//! work.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -27,100 +28,102 @@
 use crate::record::RolloutState;
 use crate::store::{List, Update};
 
-/// Longest wait for a connection. Past it another host is asked.
+/// Longest wait for a connection to a peer; after it another peer is asked.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest time that one call may take: a host with a small part of a core that is taking thousands of
-/// changes itself needs some hundred milliseconds.
+/// Longest duration of a call. A host with a small share of a core that is applying thousands of
+/// changes itself needs some hundred milliseconds to answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest message.
+/// Longest message, in bytes.
 pub const MESSAGE_BYTES_MAX: usize = 64 << 10;
-/// Length of a piece: each comes within the time of a call on a narrow link that several share, so that
-/// the whole may be of any length.
+/// Length of a piece of a package. A piece arrives within the call timeout even on a narrow link
+/// that several hosts share, so a package may be of any length.
 const PIECE_BYTES: usize = 32 << 10;
-/// Longest news that are passed on, compressed and not.
+/// Longest update that is passed on, compressed (`PACKED`) and uncompressed (`UNPACKED`).
 const PACKED_BYTES_MAX: u64 = 8 << 20;
 const UNPACKED_BYTES_MAX: u64 = 64 << 20;
-/// All packed news that are kept together take so many bytes at most, but for the newest.
+/// Total length of the cached packages. The newest one is kept even if it is longer.
 const CACHE_BYTES_MAX: usize = 4 << 20;
-/// Packed news kept: for those that start, and for those that know one of the last few revisions.
+/// Cached packages: one for hosts that start, the others for hosts whose copies are at one of the
+/// last few revisions.
 const CACHED_COUNT_MAX: usize = 6;
-/// Hosts that read from one host at once, beyond those that ask it first: some whose own sources are lost.
-/// More of them would share its link, and fill it for longer than their callers wait.
+/// Peers that may read from a host at once, beyond those that ask it first: some whose own sources
+/// are lost. More of them would share its link and fill it for longer than their callers wait.
 const SPARE_SLOTS_COUNT: usize = 2;
-/// How long a host that is about to have the news keeps one that asks for them.
+/// How long a host keeps a request for an update that it is about to receive itself, before it
+/// answers [`Offer::Later`].
 const HOLD: Duration = Duration::from_millis(120);
-/// Between two looks whether it has them.
+/// Interval at which a host that keeps a request checks whether it has received the update.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Served by each host to the others of its failure domain.
+/// Service of each host for its peers in the failure domain.
 #[tarpc::service]
 pub trait Host {
-    /// Opens what a host lacks that knows a list as of a revision, 0 for nothing, if it reaches at least up
-    /// to another one.
+    /// Opens the changes of a list behind `after` (the whole list for revision 0) for reading on
+    /// this connection, if they reach at least up to `least`.
     async fn give(list: List, after: Revision, least: Revision) -> Offer;
-    /// A piece of what was opened, from a byte on; empty behind the last one.
+    /// The piece of the opened package that begins at byte `from`; empty behind the end.
     async fn piece(from: u64) -> Bytes;
-    /// How roll-outs stand.
+    /// States of all roll-outs that the host knows.
     async fn records() -> Vec<RolloutState>;
 }
 
 domain! {
-    /// What a host is offered.
+    /// Answer to a request for an update.
     pub enum Offer {
-        /// What it lacks, compressed, to be read in pieces on this connection.
+        /// The update is compressed and can be read in pieces on this connection.
         Opened {
-            /// The revision that it reaches up to.
+            /// Revision up to which the update reaches.
             revision: Revision,
-            /// Its length in bytes.
+            /// Length of the whole package, in bytes.
             bytes: u64,
-            /// The first piece.
+            /// First piece of the package.
             first: Bytes,
         },
-        /// This host is being given it itself, or gives to enough others.
+        /// This host is about to receive the update itself, or already serves enough peers.
         Later,
-        /// This host has not got it.
+        /// This host does not have the update.
         Nothing,
     }
 
-    /// Whether a host has what another one lacks.
+    /// Whether a host has an update that a peer requests.
     #[derive(Copy, Eq)]
     pub enum Availability {
-        /// It has, and the newest change that it knows is this one.
+        /// The host has it; its copy of the list includes changes up to this revision.
         #[serde(rename = "Up")]
         UpTo(Revision),
-        /// It is being given it itself.
+        /// The host is fetching the update itself.
         Later,
-        /// It has not.
+        /// The host does not have the update and is not fetching it.
         Nothing,
     }
 
-    /// What a host was given.
+    /// Result of requesting an update from a peer.
     pub enum Reply {
-        /// What it lacks.
+        /// The update that the peer gave.
         #[serde(rename = "News")]
         Update(Update),
-        /// Nothing yet.
+        /// The peer will have the update soon, or serves enough others now.
         Later,
-        /// Nothing.
+        /// The peer does not have the update.
         Nothing,
     }
 }
 
-/// What has the news.
+/// Copy of the lists from which peers are served.
 pub trait Source: Send + Sync + 'static {
-    /// Whether this host knows a list at least up to a revision.
+    /// Whether this host's copy of a list reaches at least up to revision `least`.
     fn availability(&self, list: List, least: Revision) -> Availability;
-    /// What a host lacks that knows a list as of a revision.
+    /// What a peer lacks whose copy of a list is at revision `after`.
     fn update_since(&self, list: List, after: Revision) -> Option<Update>;
-    /// How roll-outs stand.
+    /// States of all roll-outs that this host knows.
     fn rollouts(&self) -> Vec<RolloutState>;
 }
 
-/// News as they are passed on, until newer ones are.
+/// Compressed update, kept until a newer one replaces it.
 ///
-/// Most of those who ask know the same, and what this host was given itself it gives to others as it
-/// came: to unpack and to pack thousands of entries at each step takes a small core longer than its
-/// link.
+/// Most peers that ask lack the same changes. A package that this host received is passed on as it
+/// came: to unpack and pack thousands of entries at each step takes a small core longer than its
+/// link takes for the bytes.
 #[derive(Clone, Debug)]
 struct Package {
     list: List,
@@ -129,12 +132,12 @@
     bytes: Bytes,
 }
 
-/// What this host passes on.
+/// Packages that this host passes on, newest first.
 #[derive(Clone, Default)]
 pub struct Cache(Arc<Mutex<Vec<Package>>>);
 
 impl Cache {
-    /// What was packed for those who know a list as of a revision, if it reaches up to another one.
+    /// The package for a copy at revision `after`, if it reaches at least up to `least`.
     fn find(&self, list: List, after: Revision, least: Revision) -> Option<Package> {
         let held = lock(&self.0);
         let is_match =
@@ -155,14 +158,14 @@
     }
 }
 
-/// What is read in pieces on one connection.
+/// A package that is being read in pieces on one connection.
 struct OpenedPackage {
     packed: Bytes,
-    /// Frees the place for another host when the connection ends.
+    /// Frees the slot for another peer when the connection ends.
     _slot: OwnedSemaphorePermit,
 }
 
-/// Serves one connection.
+/// Server of one connection.
 struct Server<S> {
     source: Arc<S>,
     slots: Arc<Semaphore>,
@@ -205,11 +208,11 @@
 }
 
 impl<S: Source> Server<S> {
-    /// Makes news ready for being read in pieces.
+    /// Opens the requested update for reading in pieces, if there is a free slot.
     fn offer(&self, list: List, after: Revision, least: Revision) -> Offer {
         let Ok(slot) = Arc::clone(&self.slots).try_acquire_owned() else { return Offer::Later };
         let held = self.source.availability(list, least);
-        // What has just come to this host is passed on before the host has taken it in itself.
+        // A package that has just been received is passed on before this host has applied it.
         let newest =
             if let Availability::UpTo(changed) = held { changed.max(least) } else { least };
         let packed = self.cache.find(list, after, newest);
@@ -232,7 +235,8 @@
     fn pack_and_cache(&self, list: List, after: Revision) -> Option<Package> {
         let update = self.source.update_since(list, after)?;
         let bytes = pack(&update).inspect_err(|error| {
-            log::error!(target: "peers", list:? = list, error:% = error; "news not written");
+            log::error!(target: "peers", list:? = list, error:% = error;
+                "update can't be serialized");
         });
         let packed = Package { list, after, revision: update.revision, bytes: bytes.ok()? };
         self.cache.insert(packed.clone());
@@ -245,8 +249,8 @@
     packed.slice(from..packed.len().min(from + PIECE_BYTES))
 }
 
-/// News as they are passed on. Thousands of entries that are much alike take a fourth of the bytes, and
-/// the links are what hosts that start together wait for.
+/// Compresses an update. Thousands of similar entries shrink to a fourth, and hosts that start
+/// together wait for the links.
 fn pack(update: &Update) -> Result<Bytes, Error> {
     let malformed = |error: &dyn std::fmt::Display| Error::Malformed(error.to_string());
     let mut packer = ZlibEncoder::new(Vec::new(), Compression::fast());
@@ -259,7 +263,8 @@
     rmp_serde::from_read(unpacked).map_err(|error| Error::Malformed(error.to_string()))
 }
 
-/// Serves other hosts until the process ends; a host of a higher class serves more at once.
+/// Serves peers until the process ends. A host of a higher strength class serves more of them at
+/// once.
 pub async fn serve<S: Source>(listener: TcpListener, source: Arc<S>, cache: Cache, class: u8) {
     let slots = Arc::new(Semaphore::new(tree::children(class, 0) + SPARE_SLOTS_COUNT));
     loop {
@@ -273,12 +278,12 @@
                 };
                 tokio::spawn(serve_connection(stream, server));
             }
-            Err(error) => log::warn!(target: "peers", error:% = error; "accept failed"),
+            Err(error) => log::warn!(target: "peers", error:% = error; "accepting a peer failed"),
         }
     }
 }
 
-/// Serves one connection for as long as calls come on it.
+/// Serves one connection until it ends or no call comes within the call timeout.
 async fn serve_connection<S: Source>(stream: TcpStream, server: Server<S>) {
     let calls = BaseChannel::with_defaults(transport(stream)).execute(server.serve());
     let mut calls = std::pin::pin!(calls);
@@ -287,18 +292,20 @@
             Ok(Some(call)) => call.await,
             Ok(None) => return,
             Err(_) => {
-                log::debug!(target: "peers", "connection left open by the other host");
+                log::debug!(target: "peers",
+                    "connection closed: no call from the peer within the timeout");
                 return;
             }
         }
     }
 }
 
-/// Asks another host for what this one lacks of a list behind a revision, at least up to another one,
-/// and passes it on from then on.
+/// Requests the changes of a list behind `after`, at least up to `least`, from the peer at `from`.
+/// The received package goes into `cache`, from where it is passed on at once.
 ///
 /// # Errors
-/// When a piece does not come in time, or the whole can't be read; reading has no effect.
+/// If the connection fails, a piece is late or the update can't be decoded. The request can be
+/// repeated: it changes nothing at the peer.
 pub async fn request_update(
     from: SocketAddr,
     (list, after, least): (List, Revision, Revision),
@@ -322,10 +329,10 @@
     Error::Lost(error.to_string())
 }
 
-/// Reads on in what another host has opened.
+/// Reads the rest of an opened package, piece by piece.
 async fn read_pieces(host: &HostClient, length: u64, first: Bytes) -> Result<Bytes, Error> {
     if length > PACKED_BYTES_MAX {
-        return Err(Error::Malformed(format!("{length} bytes")));
+        return Err(Error::Malformed(format!("a package of {length} bytes")));
     }
     let mut packed = first.to_vec();
     while (packed.len() as u64) < length {
@@ -333,17 +340,17 @@
         let piece =
             with_timeout(async { host.piece(context(), from).await.map_err(call_error) }).await?;
         if piece.is_empty() {
-            return Err(Error::Partial(format!("the end after {from} bytes of {length}")));
+            return Err(Error::Partial(format!("the package ends after {from} of {length} bytes")));
         }
         packed.extend_from_slice(&piece);
     }
     Ok(Bytes::from(packed))
 }
 
-/// Asks another host how roll-outs stand.
+/// Requests the states of all roll-outs from the peer at `from`.
 ///
 /// # Errors
-/// When it gives no answer in time; reading has no effect.
+/// If there is no answer in time. The request can be repeated: it changes nothing at the peer.
 pub async fn request_rollouts(from: SocketAddr) -> Result<Vec<RolloutState>, Error> {
     with_timeout(async {
         let answer = connect(from).await?.records(context()).await;
@@ -354,12 +361,13 @@
 
 async fn with_timeout<T>(exchange: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
     let answer = tokio::time::timeout(CALL_TIMEOUT, exchange).await;
-    answer.unwrap_or_else(|_| Err(Error::Lost("no answer in time".to_owned())))
+    answer.unwrap_or_else(|_| Err(Error::Lost("no answer within the call timeout".to_owned())))
 }
 
 async fn connect(to: SocketAddr) -> Result<HostClient, Error> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
-    let connected = connecting.map_err(|_| Error::Refused("no connection in time".to_owned()))?;
+    let connected =
+        connecting.map_err(|_| Error::Refused("no connection within the timeout".to_owned()))?;
     let stream = connected.map_err(|error| Error::Refused(error.to_string()))?;
     Ok(HostClient::new(client::Config::default(), transport(stream)).spawn())
 }
@@ -372,7 +380,8 @@
     Out: serde::Serialize,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(target: "peers", error:% = error; "small packets may wait");
+        log::debug!(target: "peers", error:% = error;
+            "TCP_NODELAY not set, short messages may be delayed");
     }
     let mut codec = LengthDelimitedCodec::builder();
     let framed = codec.max_frame_length(MESSAGE_BYTES_MAX).new_framed(stream);
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -1,4 +1,4 @@
-//! One list of the store as this host follows it: by itself, or through the host that reads it.
+//! Follows one list of the store, by reading it or through the peer that reads it.
 
 use std::borrow::Cow;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,81 +18,86 @@
 use crate::history::{History, Reconciled};
 use crate::store::{Entry, Fact, List, Update};
 
-/// Changes sent with a position at most; more are had by a call.
+/// Most changes that are sent along with a position. A peer that lacks more requests them in a
+/// call.
 const SENT_CHANGES_MAX: usize = 4;
-/// Changes this many times as long as the list are not read. Two changes of one long entry are, and
-/// an entry that has grown by half is not.
+/// If the changes are longer than this many times the list, the whole list is read instead. At 1.6,
+/// two changes of one long entry exceed it, and an entry that grew by half does not.
 const REREAD_FACTOR: f64 = 1.6;
-/// A change this many times as long as the list, and a message more, is read by each host.
+/// A change that is longer than this many times the list, plus one message, is read from the store
+/// by each host itself.
 const LONG_CHANGE_FACTOR: u64 = 4;
-/// A list that has been behind for this long is logged, in milliseconds. Most changes
-/// are taken over in a few.
+/// A list that has been behind for this long is logged, in milliseconds. Most changes arrive from a
+/// peer within a few milliseconds.
 const BEHIND_LOG_THRESHOLD_MS: u64 = 1_000;
 
 domain! {
-    /// How new a host's state of a list is, as it tells the others.
+    /// How new a host's copy of a list is, as the host tells its peers.
     pub struct Position {
-        /// The list.
+        /// The list that the host reads.
         pub list: List,
-        /// The store's revision that it knows.
+        /// The newest revision of the store that the copy includes.
         pub revision: Revision,
-        /// That of the list's newest change: a host that knows the list as of then lacks nothing.
+        /// Revision of the list's newest change. A copy at this revision lacks nothing, even if the
+        /// store has moved on.
         pub changed: Revision,
-        /// How long ago it read that, in milliseconds.
+        /// How long ago the host read the list, in milliseconds.
         pub age_ms: u64,
-        /// Length of the list as the store sends it, in bytes.
+        /// Length of the list as the store sends it, in bytes; 0 if the sender does not tell it.
         #[serde(default)]
         pub bytes: u64,
-        /// What it has last read, if that is little.
+        /// The changes read last, if there are few; `None` if peers have to request them.
         #[serde(default)]
         pub changes: Option<Changes>,
     }
 
     /// All changes of a list behind a revision.
     pub struct Changes {
-        /// The revision.
+        /// The revision behind which these changes are.
         pub after: Revision,
-        /// The changes.
+        /// The changes, and the revision up to which they are complete.
         #[serde(rename = "news")]
         pub update: Update,
     }
 }
 
-/// A list that is followed.
+/// State of one followed list.
 pub struct Follower {
-    /// Which.
+    /// The list that is followed.
     pub list: List,
     history: Mutex<History>,
     relay: Mutex<Relay>,
     read_at: Mutex<Option<Millis>>,
-    /// The revision before the last news.
+    /// Revision of the copy before the last changes were applied.
     previous_revision: Mutex<Revision>,
     wake: Notify,
-    /// News are being taken from another host; one call at a time is enough.
+    /// Whether an update is being fetched from a peer. One fetch at a time is enough.
     is_fetching: AtomicBool,
-    /// Changes behind this revision are not asked of the store any more.
+    /// The store can't give the changes behind this revision, or they are too long, so the whole
+    /// list is read at this revision.
     incomplete_after: Mutex<Option<Revision>>,
-    /// A long answer of the store is on its way to this host.
+    /// Whether a long answer of the store is arriving at this host.
     is_incoming: AtomicBool,
-    /// Length of the list as the store last sent all of it, in bytes, or of a longer change since.
+    /// Length of the whole list as the store last sent it, or of a longer change since, in bytes.
     list_bytes: AtomicU64,
-    /// What this host has heard of and has not taken in.
+    /// The change that this host has heard of and not received; `None` if it lacks none.
     missing: Mutex<Option<Missing>>,
 }
 
-/// A change that this host knows of and lacks.
+/// A change that this host has heard of and not received.
 #[derive(Clone, Debug)]
 struct Missing {
     revision: Revision,
-    /// Who announced it last.
+    /// The peer that announced the change last.
     announced_by: Name,
     since: Millis,
-    /// The log says so.
+    /// Whether the delay has been logged.
     is_logged: bool,
 }
 
-/// How long entries that a copy lacks are kept, in milliseconds. Servers list themselves again within about two
-/// seconds, and are gone if they do not; operators say nothing of when they do.
+/// How long entries that a restored copy lacks are kept, in milliseconds. Servers list themselves
+/// again within about two seconds, and those that don't are gone. Operators give no time within
+/// which they write their entries again.
 fn missing_retention_ms(list: List) -> u64 {
     match list {
         List::Operators => recovery::REWRITTEN_MS,
@@ -101,7 +106,7 @@
 }
 
 impl Follower {
-    /// Nothing read yet.
+    /// Follower of a list that has not been read yet.
     #[must_use]
     pub fn new(list: List, relay: Relay) -> Self {
         Self {
@@ -119,51 +124,52 @@
         }
     }
 
-    /// Who reads it.
+    /// Decides which host of the failure domain reads the list.
     pub fn relay(&self) -> MutexGuard<'_, Relay> {
         lock(&self.relay)
     }
 
-    /// What to do now.
+    /// What this host does next: read the list, or listen to the peer that reads it.
     pub fn action(&self, now: Millis) -> Action {
         self.relay().action(now)
     }
 
-    /// Waits, but no longer than until something changes what is to be done.
+    /// Waits until [`Self::wake`] is called, at most `within`.
     pub async fn wait(&self, within: Duration) {
-        // Woken or not, what is to be done is looked at anew.
+        // The caller asks for the next action again, whether the wait was ended by `wake` or not.
         let _ = tokio::time::timeout(within, self.wake.notified()).await;
     }
 
-    /// Makes whoever waits look anew.
+    /// Ends a wait, because the next action may be another one now.
     pub fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// The newest revision taken in; none before it was read.
+    /// The newest revision that the copy includes; `None` before the list was read.
     #[must_use]
     pub fn revision(&self) -> Option<Revision> {
         lock(&self.history).revision()
     }
 
-    /// The revision of the list's newest change that was taken in.
+    /// Revision of the newest change in the copy.
     #[must_use]
     pub fn last_change(&self) -> Revision {
         lock(&self.history).last_change()
     }
 
-    /// News as they are to be taken, with what this host holds on to after the store's return from a copy.
+    /// The update as it must be applied: after a restore of the store from a copy, with this host's
+    /// own entries in place of those that the update would undo.
     #[must_use]
     pub fn reconcile<'a>(&self, update: &'a Update, now: Millis) -> Cow<'a, Update> {
         let Reconciled { update, missing, doubted } = lock(&self.history).reconcile(update, now);
         if missing + doubted > 0 {
             log::info!(target: "watch", list:? = self.list, revision:% = update.revision, missing,
-                doubted; "what the store may have lost is kept");
+                doubted; "own entries kept that the restored store may have lost");
         }
         update
     }
 
-    /// News were taken in.
+    /// Records an update that the catalog has accepted.
     pub fn record_accepted(&self, update: &Update, now: Millis) {
         let mut history = lock(&self.history);
         if !update.entries.is_empty() {
@@ -178,11 +184,11 @@
             && caught_up.is_logged
         {
             log::info!(target: "watch", list:? = self.list, revision:% = update.revision,
-                behind_ms = now.since(caught_up.since); "list caught up");
+                behind_ms = now.since(caught_up.since); "list up to date again");
         }
     }
 
-    /// Another host has read a change that this one lacks.
+    /// Records that a peer has a change that this host lacks.
     pub fn record_missing(&self, revision: Revision, peer: &Name, now: Millis) {
         let mut missing = lock(&self.missing);
         let reported =
@@ -190,19 +196,20 @@
         missing.get_or_insert(reported).announced_by = peer.clone();
     }
 
-    /// A host that has a change which this one lacks, if there is one.
+    /// The peer that last announced a change that this host lacks; `None` if it lacks none.
     #[must_use]
     pub fn missing_update_source(&self) -> Option<Name> {
         lock(&self.missing).as_ref().map(|missing| missing.announced_by.clone())
     }
 
-    /// For how long this host has known of a change that it lacks, in milliseconds; 0 if of none.
+    /// For how long this host has known of a change that it lacks, in milliseconds; 0 if it lacks
+    /// none.
     #[must_use]
     pub fn behind_ms(&self, now: Millis) -> u64 {
         lock(&self.missing).as_ref().map_or(0, |missing| now.since(missing.since))
     }
 
-    /// Tells the log once that the list has been behind for long.
+    /// Logs once that the list has been behind for too long.
     pub fn log_behind(&self, now: Millis) {
         let revision = self.revision().unwrap_or_default();
         if let Some(missing) = lock(&self.missing).as_mut()
@@ -211,57 +218,60 @@
         {
             missing.is_logged = true;
             log::warn!(target: "watch", list:? = self.list, revision:%, missing:% = missing.revision,
-                behind_ms = now.since(missing.since); "list behind");
+                behind_ms = now.since(missing.since); "list is behind its newest known change");
         }
     }
 
-    /// Changes behind the newest revision are not to be had from the store, or are longer than the
-    /// list: it is read afresh.
+    /// Records that the store can't give the changes behind the current revision, or that they are
+    /// longer than the list. The whole list is read next.
     pub fn mark_incomplete(&self) {
         *lock(&self.incomplete_after) = self.revision();
     }
 
-    /// The revision behind which changes are asked of the store; none if the whole list is.
+    /// The revision behind which the store is asked for changes; `None` if the whole list has to be
+    /// read.
     #[must_use]
     pub fn request_after(&self) -> Option<Revision> {
         self.revision().filter(|revision| *lock(&self.incomplete_after) != Some(*revision))
     }
 
-    /// Whether this host holds on to something against the list.
+    /// Whether this host holds entries of its own against the list since the store was restored
+    /// from a copy.
     #[must_use]
     pub fn has_overrides(&self) -> bool {
         lock(&self.history).has_overrides()
     }
 
-    /// What the list says in place of what was held on to for long enough; none if there is nothing.
+    /// Update that gives up the overrides whose time has come, and takes what the list says
+    /// instead; `None` if there are none.
     #[must_use]
     pub fn expire_overrides(&self, now: Millis) -> Option<Update> {
         lock(&self.history).expire_overrides(now)
     }
 
-    /// What a host lacks that knows the list as of a revision; none before this one has read it.
+    /// What a peer lacks whose copy is at `revision`; `None` if this host has not read the list.
     #[must_use]
     pub fn update_since(&self, revision: Revision, now: Millis) -> Option<Update> {
         lock(&self.history).update_since(revision, now)
     }
 
-    /// News are to be taken from another host; false if that is under way.
+    /// Starts a fetch from a peer. Returns false if one is already running.
     pub fn begin_fetch(&self) -> bool {
         !self.is_fetching.swap(true, Ordering::Relaxed)
     }
 
-    /// Whether news are being taken from another host.
+    /// Whether an update is being fetched from a peer.
     #[must_use]
     pub fn is_fetching(&self) -> bool {
         self.is_fetching.load(Ordering::Relaxed)
     }
 
-    /// News were taken, or were not to be had.
+    /// Ends the fetch, whether it brought an update or not.
     pub fn end_fetch(&self) {
         self.is_fetching.store(false, Ordering::Relaxed);
     }
 
-    /// The store sent all of the list, or a change of it, in so many bytes.
+    /// Records the length of an answer of the store: that of the whole list, or of a change.
     pub fn record_bytes(&self, bytes: u64, is_whole: bool) {
         match is_whole {
             true => self.list_bytes.store(bytes, Ordering::Relaxed),
@@ -269,49 +279,51 @@
         }
     }
 
-    /// Whether changes of so many bytes are so long that the list is better read afresh.
+    /// Whether changes of this length are so long that it is faster to read the whole list.
     ///
-    /// The store sends each change since a revision, also those that later ones replace: a host that
-    /// was without the store while a long table changed several times would read all of them, one
-    /// after the other, before the last one is in force.
+    /// The store sends every change since a revision, also those that were replaced by later ones.
+    /// A host that was cut off from the store while a long routing table changed several times
+    /// would read all versions one after the other before the last one is in force.
     #[must_use]
     pub fn is_reread_shorter(&self, bytes: u64) -> bool {
         bytes as f64 > REREAD_FACTOR * self.list_bytes.load(Ordering::Relaxed) as f64
     }
 
-    /// Whether an answer of so many bytes is so much longer than the list was that what is new in it
-    /// can't be passed on in time. Several versions of a table in one answer are not.
+    /// Whether an answer of this length is so much longer than the list that its changes can't be
+    /// passed on to peers in time. Several versions of a table in one answer don't make it that
+    /// long.
     #[must_use]
     pub fn is_long_change(&self, bytes: u64) -> bool {
         let list_bytes = self.list_bytes.load(Ordering::Relaxed);
         bytes > LONG_CHANGE_FACTOR * list_bytes + exchange::MESSAGE_BYTES_MAX as u64
     }
 
-    /// A long answer of the store has begun, or its call has ended.
+    /// Sets whether a long answer of the store is arriving; reset when the call ends.
     pub fn set_incoming(&self, is_incoming: bool) {
         self.is_incoming.store(is_incoming, Ordering::Relaxed);
     }
 
-    /// Whether a long answer of the store is on its way to this host.
+    /// Whether a long answer of the store is arriving at this host.
     #[must_use]
     pub fn is_incoming(&self) -> bool {
         self.is_incoming.load(Ordering::Relaxed)
     }
 
-    /// Whether the list is to be taken from any other host: this one can't read it and has
-    /// nothing.
+    /// Whether this host takes the list from any peer that has it, because it can't read the list
+    /// itself and has no copy yet.
     #[must_use]
     pub fn accepts_any_peer(&self) -> bool {
         self.revision().is_none() && self.relay().is_wanting()
     }
 
-    /// This host has read the list.
+    /// Records that this host has read the list from the store.
     pub fn record_read(&self, now: Millis) {
         *lock(&self.read_at) = Some(now);
         self.relay().read(now);
     }
 
-    /// What this host tells the others of what it reads.
+    /// How new this host's copy is, for its peers; `None` if this host does not read the list for
+    /// them.
     #[must_use]
     pub fn position(&self, now: Millis) -> Option<Position> {
         if !self.relay().tells(now) {
@@ -326,7 +338,8 @@
         Some(Position { list: self.list, revision, changed, age_ms, bytes, changes })
     }
 
-    /// The last news, if they are few. A whole table of routes is not sent: it is seldom small.
+    /// The last changes, if they are few. A whole routing table is never sent, since it is seldom
+    /// short.
     fn recent_changes(&self, now: Millis) -> Option<Changes> {
         let after = *lock(&self.previous_revision);
         let update = self.update_since(after, now)?;
@@ -337,8 +350,8 @@
             .then_some(Changes { after, update })
     }
 
-    /// News with the tables that their edits make; none if this host does not know what they are made
-    /// of.
+    /// The update with whole routing tables in place of edits; `None` if this host lacks the table
+    /// that an edit is based on.
     #[must_use]
     pub fn resolve<'a>(&self, update: &'a Update) -> Option<Cow<'a, Update>> {
         lock(&self.history).resolve(update)
--- a/crates/node/src/helpers.rs
+++ b/crates/node/src/helpers.rs
@@ -54,7 +54,8 @@
     let found = match read_hosts(&*watch.store, domain).await {
         Ok(found) => found,
         Err(error) => {
-            log::warn!(target: "peers", domain:% = domain, error:% = error; "hosts of another failure domain can't be read from the store");
+            log::warn!(target: "peers", domain:% = domain, error:% = error;
+                "hosts of another failure domain can't be read from the store");
             return;
         }
     };
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -1,4 +1,4 @@
-//! A list of the store as this host knows it, for hosts that take it from this one.
+//! This host's copy of a list, from which it tells what a peer with an older copy lacks.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -12,29 +12,32 @@
 
 use crate::store::{Entry, Fact, Overrides, Update};
 
-/// Removed entries kept, at least, and as many as are listed: all servers may be replaced within a
-/// minute. Of more, those that changed first are forgotten.
+/// Removed entries that are kept at least; as many as are listed are kept if that is more, since
+/// all servers may be replaced within a minute. Beyond that, the oldest removals are evicted.
 const REMOVED_MIN: usize = 2_048;
 
-/// Edits of the table kept: a host that missed some of a storm of changes is sent all of them at once.
+/// Edits of the routing table that are kept. A peer that missed some of many quick changes is sent
+/// all of them at once.
 const EDITS_MAX: usize = 16;
-/// An edit that names more than this part of a table is as well sent whole.
+/// Largest edit that is sent in place of the table, as a fraction of the table's routes, services
+/// and accounts. A longer edit saves nothing.
 const EDIT_FRACTION_MAX: f64 = 0.25;
 
-/// An edit of the table.
+/// Change of the routing table from one version to the next.
 #[derive(Clone, Debug)]
 struct TableEdit {
-    /// Revision of the entry that it is made of.
+    /// Revision of the table's entry that the edit is based on.
     base: Revision,
-    /// As others are sent it.
+    /// The edit as it is sent to peers.
     entry: Entry,
 }
 
-/// An entry as it was last changed.
+/// An entry as of its last change.
 #[derive(Clone, Debug)]
 struct KnownEntry {
     entry: Entry,
-    /// The store's counter at the change before, if this host knows that; 0 if there was none.
+    /// Number of the revision of the change before; 0 if there was none, `None` if this host does
+    /// not know it.
     previous_number: Option<u64>,
 }
 
@@ -43,10 +46,11 @@
         self.entry.fact == Fact::Removed
     }
 
-    /// Whether what a list has in place of this may be of before the copy that the store came back from, and
-    /// would undo what was acknowledged.
+    /// Whether this entry overrides what the list has in its place, because that may be older than
+    /// the copy that the store was restored from and would undo an acknowledged change.
     ///
-    /// A server that leaves does so whoever says it; one that starts again under its id knows nothing of before.
+    /// A server that is listed as draining is draining, whoever says so. A server that was started
+    /// again under the same id is not bound by what its previous run said.
     fn overrides_listed(&self, listed: &Entry) -> bool {
         match (&self.entry.fact, &listed.fact) {
             (held, listed) if says_same(held, listed) => false,
@@ -61,7 +65,8 @@
         }
     }
 
-    /// Whether a change of it is newer. Tables are numbered by operators, who go on from the highest.
+    /// Whether a change of the entry is newer than this one. A routing table with a lower version
+    /// is never newer, because operators number on from the highest version.
     fn is_superseded_by(&self, change: &Entry) -> bool {
         let is_older_table = match (&self.entry.fact, &change.fact) {
             (Fact::Table(held), Fact::Table(new)) => new.version < held.version,
@@ -71,7 +76,7 @@
     }
 }
 
-/// Whether both say the same, whenever they were written.
+/// Whether two contents say the same, no matter when they were written.
 fn says_same(one: &Fact, other: &Fact) -> bool {
     match (one, other) {
         (Fact::Order(one), Fact::Order(other)) => one.is_same(other),
@@ -79,40 +84,44 @@
     }
 }
 
-/// What became of a whole list that was read after the store had come back from a copy.
+/// An update that was checked against this host's own entries, after a restore of the store from a
+/// copy.
 #[derive(Debug)]
 pub struct Reconciled<'a> {
-    /// The list, with what is held on to against it.
+    /// The update, with this host's own entries where they override it.
     pub update: Cow<'a, Update>,
-    /// Entries that it lacks, and that are kept.
+    /// Number of entries that the list lacks and that are kept.
     pub missing: usize,
-    /// Entries that it has otherwise, and that stay as they were.
+    /// Number of entries that the list has with other content and that stay as they were.
     pub doubted: usize,
 }
 
-/// Each entry's last change. All entries are here, and changes behind a revision are complete.
+/// All entries of a list with their last changes, among them a bounded number of removals.
 #[derive(Debug)]
 pub struct History {
     entries: BTreeMap<Name, KnownEntry>,
-    /// How many of them are removals.
+    /// Number of removed entries among `entries`.
     removed: usize,
-    /// Changes behind this revision are all here, removals included.
+    /// All changes behind this revision are known, removals included.
     complete_since: Revision,
-    /// The newest revision taken in; none before the list was read. An empty store is at revision
-    /// 0, and a list read there has been read.
+    /// The newest revision that the copy includes; `None` before the list was read. Revision 0 is
+    /// not `None`: the list of an empty store has been read.
     revision: Option<Revision>,
-    /// That of the newest change.
+    /// Revision of the newest change.
     last_change: Revision,
-    /// The last edits of the table, each made of what the one before it makes.
+    /// The last edits of the routing table, oldest first; each is based on the table that the edit
+    /// before it results in.
     edits: VecDeque<TableEdit>,
-    /// Whether the store has come back from a copy lately.
+    /// Whether the store was restored from a copy recently.
     recovery: Recovery,
-    /// What the list has in place of entries that are kept against it since; none of those that it lacks.
+    /// Keys of this host's own entries that are kept against the list since the restore, with what
+    /// the list has instead; `None` for entries that the list lacks.
     overridden: BTreeMap<Name, Option<Entry>>,
 }
 
 impl History {
-    /// Nothing read yet, of a list whose entries are kept for so long though a copy lacks them, in milliseconds.
+    /// Copy of a list that has not been read yet. `missing_ms` is how long entries are kept that
+    /// the list lacks after a restore, in milliseconds.
     #[must_use]
     pub fn new(missing_ms: u64) -> Self {
         Self {
@@ -127,25 +136,26 @@
         }
     }
 
-    /// The newest revision taken in; none before the list was read.
+    /// The newest revision that the copy includes; `None` before the list was read.
     #[must_use]
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// The revision of the newest change; the list is the same since.
+    /// Revision of the newest change; the list has stayed the same since.
     #[must_use]
     pub fn last_change(&self) -> Revision {
         self.last_change
     }
 
-    /// Whether this host holds on to something against the list.
+    /// Whether this host holds entries of its own against the list.
     #[must_use]
     pub fn has_overrides(&self) -> bool {
         !self.overridden.is_empty()
     }
 
-    /// What the list says in place of what was held on to for long enough; none if there is nothing.
+    /// Update that gives up the overrides whose time has come, and takes what the list says
+    /// instead; `None` if there are none.
     #[must_use]
     pub fn expire_overrides(&self, now: Millis) -> Option<Update> {
         let phase = self.recovery.phase(now);
@@ -164,8 +174,8 @@
         (!entries.is_empty()).then(|| Update { entries, revision, ..Update::default() })
     }
 
-    /// News as they are to be taken: of a whole list that is read soon after the store has come back from a copy,
-    /// what this host knows goes before what may be of before the copy.
+    /// The update as it must be applied. If the whole list is read soon after a restore of the
+    /// store from a copy, this host's entries override those that may be older than the copy.
     pub fn reconcile<'a>(&mut self, update: &'a Update, now: Millis) -> Reconciled<'a> {
         let knows_state_before = self.detect_restore(update, now);
         let phase = self.recovery.phase(now);
@@ -196,7 +206,8 @@
         let counts = (missing.len(), doubted.len());
         held.extend(missing.iter().map(|entry| (entry.key.clone(), None)));
         self.overridden = held;
-        // Those that have the list as the store says it lack these.
+        // A peer that has the list as the store gives it lacks the overrides, so this copy gets a
+        // newer revision.
         let own = self.revision.unwrap_or_default().max(update.revision);
         let revision = if counts == (0, 0) { own } else { own.next_step() };
         let kept = missing.into_iter().chain(doubted);
@@ -205,7 +216,8 @@
         Reconciled { update, missing: counts.0, doubted: counts.1 }
     }
 
-    /// A whole list as of the revision that this host has, if that is the same in the store: it is no older.
+    /// A whole list at the same stored revision as this host's copy gets the copy's own revision,
+    /// steps included, so that it does not count as older.
     fn with_own_steps<'a>(&self, update: &'a Update) -> Cow<'a, Update> {
         match self.revision {
             Some(own) if update.is_whole && own.stored() == update.revision => {
@@ -215,8 +227,8 @@
         }
     }
 
-    /// Whether an entry is held on to against what the list has in its place. What was held on to before is not of
-    /// the list, whatever revision it was given here.
+    /// Whether an entry overrides what the list has in its place. An entry that already does is
+    /// compared by content too: the revision that it was given here is this host's, not the list's.
     fn is_override_of(&self, known: &KnownEntry, listed: &Entry) -> bool {
         match self.overridden.contains_key(&listed.key) {
             true => {
@@ -227,8 +239,8 @@
         }
     }
 
-    /// Notes that the store has come back from a copy, if these news are the first to show that; whether this host
-    /// knows the list as it was before.
+    /// Detects a restore of the store from a copy, if this update is the first to show it. Returns
+    /// whether this host's copy holds state from before a recent restore.
     fn detect_restore(&mut self, update: &Update, now: Millis) -> bool {
         let Some(own) = self.revision else {
             self.adopt_overrides(update, now);
@@ -248,7 +260,7 @@
         is_back || !is_new
     }
 
-    /// Takes over what the giver of a list holds on to against it.
+    /// Takes over the overrides of the peer that sent the list.
     fn adopt_overrides(&mut self, update: &Update, now: Millis) {
         if let Some(overrides) = &update.overrides {
             self.recovery.begin(now - overrides.age_ms);
@@ -256,12 +268,14 @@
         }
     }
 
-    /// Takes in news: the whole list, or all changes between the newest revision and theirs.
+    /// Applies an update: the whole list, or all changes between this copy's revision and the
+    /// update's.
     pub fn apply(&mut self, update: &Update) {
         match self.revision {
-            // From a store that answered late; nothing in it is missing here.
+            // A late answer of the store. This copy already includes everything in it.
             Some(revision) if update.is_whole && update.revision < revision.stored() => return,
-            // Changes say nothing of what was lost with the return from a copy.
+            // Changes don't tell which entries were lost with the restore; only the whole list
+            // does.
             Some(revision) if !update.is_whole && update.revision.era > revision.era => return,
             Some(revision) if update.revision.era > revision.era => {
                 self.record_removals(update);
@@ -269,7 +283,7 @@
                 (self.complete_since, self.last_change) = (update.revision, update.revision);
             }
             None => {
-                // What was removed before is not known.
+                // Entries that were removed earlier are unknown.
                 self.complete_since = update.revision;
                 self.last_change = update.revision;
             }
@@ -286,7 +300,7 @@
         self.evict_removals();
     }
 
-    /// Takes in one entry, of a whole list or as it was changed.
+    /// Applies one entry of a whole list (`is_listed`) or of a change.
     fn apply_entry(&mut self, entry: Entry, is_listed: bool) {
         let held = self.entries.get(&entry.key);
         if held.is_some_and(|held| !held.is_superseded_by(&entry)) {
@@ -310,7 +324,7 @@
         self.entries.insert(held.entry.key.clone(), held);
     }
 
-    /// Keeps what makes a new table of the one before.
+    /// Records the edit that turns the current routing table into a new one.
     fn record_edit(&mut self, entry: &Entry) {
         let Fact::Table(new) = &entry.fact else { return };
         let held = self.entries.get(&entry.key).map(|held| &held.entry);
@@ -328,8 +342,8 @@
         }
     }
 
-    /// News with the tables that their edits make; none if this host does not know what an edit is made
-    /// of.
+    /// The update with whole routing tables in place of edits; `None` if this host lacks the table
+    /// that an edit is based on.
     #[must_use]
     pub fn resolve<'a>(&self, update: &'a Update) -> Option<Cow<'a, Update>> {
         let has_edit =
@@ -346,7 +360,7 @@
                 _ => None,
             };
             let table = tables.get(&entry.key).or(held)?;
-            // What this host knows already, or something newer, stays.
+            // A table of the same or a newer version stays.
             let table = match table.version >= edit.to {
                 true => Arc::clone(table),
                 false => Arc::new(edit.apply(table)?),
@@ -357,9 +371,9 @@
         Some(Cow::Owned(update))
     }
 
-    /// What a list read afresh no longer holds was removed since.
+    /// Marks entries that a whole list no longer has as removed.
     ///
-    /// With that, changes behind older revisions stay complete. Without it every host of the failure
+    /// This keeps the changes behind older revisions complete. Without it, all hosts of the failure
     /// domain would have to read the whole list whenever the store has dropped its history.
     fn record_removals(&mut self, update: &Update) {
         let listed: HashSet<&Name> = update.entries.iter().map(|entry| &entry.key).collect();
@@ -374,7 +388,7 @@
         }
     }
 
-    /// Forgets the oldest removals beyond those kept.
+    /// Evicts the oldest removals beyond the number that is kept.
     fn evict_removals(&mut self) {
         let kept = REMOVED_MIN.max(self.entries.len() - self.removed);
         if self.removed <= kept {
@@ -389,13 +403,13 @@
         self.complete_since = self.complete_since.max(last);
     }
 
-    /// What a host lacks that knows the list as of a revision, 0 for nothing: the changes behind it,
-    /// oldest first, or the whole list if not all changes behind it are known. None before it was
-    /// read.
+    /// What a peer lacks whose copy is at `revision` (0 for no copy): the changes behind it, oldest
+    /// first, or the whole list if not all of these are known. `None` if this host has not read the
+    /// list.
     ///
-    /// The whole list is for a host that has lost the store, and for one that started while the
-    /// store was away: nobody's changes reach back to what such a host knows, and without the list
-    /// it would serve an old table, or none, for as long as the store is out of its reach.
+    /// The whole list is for a peer that has lost the store, or was started while the store was
+    /// away. No host has all changes since such a peer's revision, and without the list it would
+    /// serve by an old table, or none, for as long as it can't reach the store.
     #[must_use]
     pub fn update_since(&self, revision: Revision, now: Millis) -> Option<Update> {
         let newest = self.revision?;
@@ -422,8 +436,8 @@
         })
     }
 
-    /// An entry as it is sent to those that know the list as of a revision: a table by its edits since,
-    /// if they are all known.
+    /// An entry as it is sent to peers whose copies are at `revision`: a routing table as the edits
+    /// since then, if all of them are known.
     fn edits_since(&self, revision: Revision, entry: &Entry) -> Vec<Entry> {
         let edits = self.edits.iter().filter(|edit| edit.entry.key == entry.key);
         let mut edits = edits.skip_while(|edit| edit.entry.revision <= revision).peekable();
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -36,7 +36,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!(target: "operators", error:% = error; "connection of an operator not accepted");
+                log::warn!(target: "operators", error:% = error; "accepting an operator failed");
                 continue;
             }
         };
@@ -48,7 +48,8 @@
         tokio::spawn(async move {
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!(target: "operators", error:% = error; "connection of an operator ended with an error");
+                log::debug!(target: "operators", error:% = error;
+                    "connection of an operator ended with an error");
             }
         });
     }
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -1,9 +1,10 @@
-//! What all hosts know of requests and parts of prompts that end servers, brought together.
+//! Shares what hosts know of requests and parts of prompts that crash servers.
 //!
-//! Hosts of a failure domain send each other what they know. Across domains it goes by the store:
-//! each host that lost such a request writes a row of its own, and the delegate of a domain
-//! reads all rows while servers end. A request that is held is tried again by one host of all; which
-//! one a row of the store decides, changed only under its version.
+//! Hosts of a failure domain send each other what they know. Between failure domains it goes
+//! through the store: each host that lost such a request writes a row of its own, and the delegate
+//! of each failure domain reads all rows while servers crash. A suspect request that is held gets a
+//! trial by one host of the whole deployment at a time. Which one is decided by a row of the store
+//! that is changed only under its revision.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,56 +25,57 @@
 use crate::store::Store;
 use crate::watch::{Notice, Watch};
 
-/// The table that the rows lie in.
+/// The table of these rows.
 pub const TABLE: &str = "poison";
-/// What keys of hosts' rows begin with.
+/// Prefix of the keys of rows in which hosts write their suspects.
 const SUSPECTS_PREFIX: &str = "seen/";
-/// What keys of trials begin with; a part of the digest follows.
+/// Prefix of the keys of rows that give a host the right to a trial; the masked digest follows.
 const CLAIM_PREFIX: &str = "trial/";
-/// The part that does: so many rows there are at most. Two requests that share a row wait for each
-/// other.
+/// Part of a digest that makes the key, which bounds the number of rows. Two suspects that share a
+/// row wait for each other's trials.
 const CLAIM_MASK: u64 = 0xfff;
-/// Between two looks at what has to be sent.
+/// Interval between two checks for suspects to be sent.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause after a failed call.
+/// Mean delay after a failed call of the store.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// The store's clock is asked for again after this time, in milliseconds: a host that stood still
-/// has lost it.
+/// After this time the store's clock is read again, in milliseconds: the clock of a host that was
+/// suspended may have stood still.
 const CLOCKS_AGE_MAX_MS: u64 = 10_000;
 
 domain! {
-    /// What one host knows, with times of the store's clock.
+    /// Row with the suspects that one host knows, with times of the store's clock.
     struct SuspectsRow {
         suspects: Vec<Suspect>,
     }
 
-    /// A host tries a request, or one with a part; by the store's clock.
+    /// Row that gives one host the right to try a request, or one with a suspect part, with times of the store's clock.
     struct Claim {
         digest: Digest,
-        /// No other host does so until then.
+        /// Until then no other host may try the request.
         until_ms: u64,
-        /// When a server answered it.
+        /// When a server answered the request; `None` if none has.
         answered_ms: Option<u64>,
     }
 }
 
-/// One moment on two clocks.
+/// The same moment on this host's clock and on the store's.
 #[derive(Clone, Copy, Debug)]
 struct ClockPair {
     local: Millis,
     store: Millis,
 }
 
-/// What brings it together.
+/// Exchanges suspects with the store and decides on trials.
 pub struct Poison<S, C> {
-    /// The host's name.
+    /// Name of this host.
     pub host: Name,
-    /// The store, and who is its delegate.
+    /// The store, the peers, and whether this host is the delegate of its failure domain.
     pub watch: Arc<Watch<S, C>>,
 }
 
 impl<S: Store, C: Codec> Poison<S, C> {
-    /// Runs until the process ends. A host that starts again may have forgotten what it knew.
+    /// Runs until the process ends. On any start but the first of the deployment the rows are read
+    /// at once, because the host may have forgotten what it knew.
     pub async fn run(self: Arc<Self>, mut trials: mpsc::Receiver<Trial>, is_first_start: bool) {
         if !is_first_start {
             self.guard().alarm();
@@ -92,7 +94,8 @@
                 }
             }
             if let Err(error) = self.synchronize(&mut clocks).await {
-                log::warn!(target: "poison", error:% = error; "lost requests not shared, tried again");
+                log::warn!(target: "poison", error:% = error;
+                    "suspect requests not exchanged with the store, retrying");
                 tokio::time::sleep(RETRY_DELAY.mul_f64(0.5 + rand::random::<f64>())).await;
             }
         }
@@ -120,7 +123,7 @@
         written
     }
 
-    /// Reads what all hosts wrote.
+    /// Reads the suspects of all hosts from the store.
     async fn read(&self, clocks: &mut Option<ClockPair>) -> Result<(), Error> {
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, SUSPECTS_PREFIX).await;
         let now = clock::steady();
@@ -129,25 +132,27 @@
         let rows = rows?;
         *clocks = Some(ClockPair { local: now, store: Millis(rows.now_ms) });
         if learnt > 0 {
-            log::info!(target: "poison", rows = rows.rows.len(), learnt; "lost requests read");
+            log::info!(target: "poison", rows = rows.rows.len(), learnt;
+                "suspect requests read from the store");
             self.watch.notify(Notice::Suspects);
         }
         Ok(())
     }
 
-    /// Takes rows in; how many requests something new was said of.
+    /// Learns the suspects of the rows. Returns how many of them brought something new.
     fn accept_rows(&self, rows: &Rows, now: Millis) -> usize {
         let parsed = rows.rows.iter().filter_map(|row| {
             let parsed = record::parse::<SuspectsRow>(&row.value);
             let parsed = parsed.inspect_err(|error| {
-                log::warn!(target: "poison", key:% = row.key, error:% = error; "row unreadable");
+                log::warn!(target: "poison", key:% = row.key, error:% = error;
+                    "row of suspect requests can't be parsed");
             });
             parsed.ok()
         });
         let suspects = parsed.flat_map(|parsed| parsed.suspects);
         let local = suspects.map(|suspect| suspect.on_clock(Millis(rows.now_ms), now));
         let mut local: Vec<Suspect> = local.collect();
-        // What speaks against a request comes before the answer that clears it.
+        // Crashes are learnt before the answer that clears the request.
         local.sort_by_key(|suspect| suspect.crashes.is_empty());
         let learn = |suspect: &&Suspect| self.guard().learn(suspect, Source::Store);
         local.iter().filter(learn).count()
@@ -164,7 +169,7 @@
             .map_err(Error::Malformed)?;
         let key = Name::from(format!("{SUSPECTS_PREFIX}{}", self.host));
         self.watch.store.commit(&record::put(TABLE, key, None, value), None).await?;
-        log::info!(target: "poison", requests = row.len(); "lost requests written");
+        log::info!(target: "poison", requests = row.len(); "suspect requests written to the store");
         Ok(())
     }
 
@@ -175,14 +180,15 @@
                 let written = self.write_answered(digest).await;
                 written.unwrap_or_else(|error| {
                     log::warn!(target: "poison", digest:% = digest, error:% = error;
-                        "answer of a trial not written, others try for themselves");
+                        "answered trial not written to the store, other hosts will make their own");
                 });
             }
         }
     }
 
-    /// Without the store nobody can tell whether another host tries it. What is held stays held then;
-    /// what is not would be turned away for the store's sake.
+    /// Answers whether this host may try a suspect request. If the store can't be reached, nobody
+    /// can tell whether another host tries it too. A request that is held stays held then; one that
+    /// is not held is allowed, since it would be rejected only because the store is away.
     async fn decide_trial(&self, ask: Ask) {
         let granted = self.try_grant(&ask).await.unwrap_or_else(|error| {
             let granted = ask.alone_ms <= TRIAL_MS;
@@ -190,18 +196,19 @@
                 error:% = error; "trial decided without the store");
             granted
         });
-        // Who asked may have gone.
+        // The request that asked may have been cancelled.
         let _ = ask.granted.send(granted);
     }
 
-    /// Whether this host may try a request, which no other does then for a while. It may if a server has
-    /// answered the try of another.
+    /// Claims a trial in the store, so that no other host tries the request for a while. Also
+    /// returns true if a server has answered another host's trial.
     async fn try_grant(&self, ask: &Ask) -> Result<bool, Error> {
         let key = claim_key(ask.digest);
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, &key).await?;
         let now = clock::steady();
         self.watch.record_era(rows.revision.era);
-        // Leave that another host was given may be lost with the store's return from a copy. It lasts no longer than this.
+        // A claim of another host may have been lost with the restore of the store from a copy. No
+        // claim lasts longer than this.
         if self.watch.was_restored_within(ask.alone_ms, now) {
             return Ok(false);
         }
@@ -231,8 +238,8 @@
         Ok(matches!(outcome, Outcome::Committed(_)))
     }
 
-    /// The hosts of other failure domains would go on holding what was answered here: nothing makes
-    /// them read what others know once no server ends.
+    /// Writes that a server has answered the request. Otherwise the hosts of other failure domains
+    /// would go on holding it: once no server crashes, nothing makes them read what others know.
     async fn write_answered(&self, digest: Digest) -> Result<(), Error> {
         let key = claim_key(digest);
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, &key).await?;
