--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -220,7 +220,8 @@
         self.lock().backends.get(id).cloned()
     }
 
-    /// Limits, pauses and other restrictions that backend servers have recently set on what they take.
+    /// Limits, pauses and other restrictions that backend servers have recently set on what they
+    /// take.
     #[must_use]
     pub fn restrictions(&self, now: Millis) -> Vec<Restricted> {
         let inner = self.lock();
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,10 +1,11 @@
-//! What hosts of one failure domain send each other: datagrams, without confirmation.
+//! Messages between the hosts of a failure domain: datagrams without confirmation.
 //!
-//! An engine's own report comes with its answers, and says nothing of a prompt that it is reading
-//! now. Each host sees only its own prompts; with twenty hosts before fifteen engines nearly all
-//! of them are others'. So each announces its long ones, once, when it sends them. A lost
-//! announcement costs one request's wait at most, and passes by itself when the prompt must have
-//! been read. What must not be lost is repeated with each sign of life.
+//! An engine reports its load along with its answers, so it says nothing of a prompt that it is
+//! reading now. A host knows only its own prompts; with twenty hosts and fifteen engines nearly all
+//! prompts at an engine are those of other hosts. So each host announces its long prompts, once,
+//! when it sends them. A lost announcement costs at most the wait of one request, and no longer
+//! matters when the engine must have read the prompt. What must not be lost is repeated with each
+//! heartbeat.
 
 pub mod find;
 pub mod message;
@@ -32,58 +33,59 @@
 pub use find::ListedHost;
 use message::{Entry, Message};
 
-/// Prefills are gathered for this long before they are sent.
+/// How long prefills are collected before they are announced in one message.
 const PREFILL_BATCH_DELAY: Duration = Duration::from_millis(15);
-/// Hosts notified of a prefill at once, at most; of more, others each time. In a domain of 50 hosts
-/// every notice still reaches half of them.
+/// Most peers that a prefill is announced to. If there are more, each announcement goes to a random
+/// sample. In a failure domain of 50 hosts each still reaches half of them.
 const NOTIFIED_HOSTS_MAX: usize = 24;
-/// Between two messages of what streams showed of engines.
+/// Interval of messages about the speeds of engines, as observed from their streams.
 const STREAM_REPORT_INTERVAL: Duration = Duration::from_secs(2);
-/// Between two hosts that look whether the store has still got their rows.
+/// Mean interval between two hosts' checks whether the store still has their rows.
 const ROW_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Prefills in one message.
+/// Most prefills in one message.
 const PREFILLS_MAX: usize = 16;
-/// What servers say of how much they take, in one sign of life; each host hears it from them all the same.
+/// Most restrictions of backend servers in one heartbeat. Each host hears of them from the servers
+/// as well.
 const RESTRICTIONS_MAX: usize = 48;
 
-/// What is known of a message's sender.
+/// What a message told about its sender.
 #[derive(Clone, Copy, Debug, Default)]
 struct Received {
-    /// It was not known before.
+    /// The sender was not known before.
     is_new: bool,
-    /// It is the delegate of its failure domain.
+    /// The sender is the delegate of its failure domain.
     is_delegate: bool,
-    /// It has just started, and lacks lists that this host has.
+    /// The sender has just started and lacks lists that this host has.
     lacks_lists: bool,
 }
 
-/// What the exchange is made with.
+/// Exchanges messages with peers.
 pub struct Peers<S, C> {
-    /// The host's name.
+    /// Name of this host.
     pub host: Name,
-    /// Where it stands.
+    /// Failure domain of this host.
     pub failure_domain: Name,
-    /// How many failure domains there are.
+    /// Number of failure domains in the deployment; 0 if the settings don't name them.
     pub failure_domains: usize,
-    /// No host can be listed yet.
+    /// Whether the deployment starts for the first time, so that no host can be listed yet.
     pub is_first_start: bool,
-    /// The store, for finding the others, and its lists.
+    /// The store, in which peers are listed, and its lists.
     pub watch: Arc<Watch<S, C>>,
-    /// What requests share.
+    /// State that all requests share.
     pub state: Arc<State<C>>,
-    /// Where messages come and go; news are had at the same address by TCP.
+    /// Socket for messages. Updates of lists are served at the same address by TCP.
     pub socket: UdpSocket,
-    /// The port at which this host takes requests that others pass on; 0 if it takes none.
+    /// Port at which this host takes requests that others forward; 0 if it takes none.
     pub forward: u16,
 }
 
-/// What this host has for the others.
+/// Queues of what is sent to peers.
 pub struct Queues {
-    /// Long prompts that were just sent.
+    /// Long prompts that were just sent to engines.
     pub prefills: mpsc::Receiver<Prefill>,
-    /// What backend servers say of how much they take.
+    /// Restrictions that backend servers have just set on what they take.
     pub restrictions: mpsc::Receiver<Restricted>,
-    /// What else is new.
+    /// Other events that peers are notified of.
     pub notices: mpsc::Receiver<Notice>,
 }
 
@@ -91,11 +93,11 @@
     /// Exchanges messages until the process ends.
     pub async fn run(self, mut queues: Queues) {
         let mut delegate = None;
-        let mut heartbeat_sent = tokio::time::Instant::now();
+        let mut sent = tokio::time::Instant::now();
         let mut stream_reports = tokio::time::interval(STREAM_REPORT_INTERVAL);
         let mut buffer = vec![0; message::BYTES_MAX];
-        // Messages are taken meanwhile: a host that starts while the store is away finds nobody,
-        // but is found by those who knew it before.
+        // Messages are received while peers are looked up in the store: a host that starts while
+        // the store is away finds no peers, but those that knew it before find it.
         let mut find = Box::pin(self.find(Listing::new(self.is_first_start), Duration::ZERO));
         let (mut is_finding, mut has_found) = (true, false);
         let mut era = self.watch.era.subscribe();
@@ -113,7 +115,7 @@
                         self.set_forward(name, *forward);
                     }
                     log::info!(target: "peers", domain:% = self.failure_domain,
-                        found = found.len(); "peers found");
+                        found = found.len(); "peers found in the store");
                     let lacks = self.watch.unread_lists().into_iter().map(Entry::Lacks);
                     let heartbeat = lacks.chain(self.heartbeat()).collect();
                     self.send(self.addresses(), heartbeat).await;
@@ -126,8 +128,8 @@
                         if sender.is_delegate {
                             delegate = Some(from);
                         }
-                        // It knows this host's address from the store, but not yet its name. A
-                        // host that lacks the lists waits to hear who has them.
+                        // A new peer has this host's address from the store, but no message from it
+                        // yet. A peer that lacks the lists waits to hear who has them.
                         if sender.is_new && has_found {
                             self.watch.update_retry_budget();
                         }
@@ -135,8 +137,10 @@
                             self.send(vec![from], self.heartbeat()).await;
                         }
                     }
-                    // A host that is gone; it is forgotten when nothing more is heard of it.
-                    Err(error) => log::debug!(target: "peers", error:% = error; "message lost"),
+                    // The error of an earlier message to a peer that is gone. It is evicted when it
+                    // stays silent.
+                    Err(error) => log::debug!(target: "peers", error:% = error;
+                        "receiving a message failed"),
                 },
                 Some(prefill) = queues.prefills.recv() => {
                     tokio::time::sleep(PREFILL_BATCH_DELAY).await;
@@ -153,7 +157,8 @@
                     }
                     self.send(self.addresses(), vec![Entry::Restricted(restricted)]).await;
                 }
-                // The others stop passing requests on to a host that reaches no server, and begin again.
+                // Peers stop forwarding requests to a host that reaches no server, and resume when
+                // it does.
                 Ok(()) = isolated.changed() => self.send(self.addresses(), Vec::new()).await,
                 Some(notice) = queues.notices.recv() => {
                     self.notify(notice, delegate).await;
@@ -164,8 +169,8 @@
                         self.send(self.random_addresses(), seen).await;
                     }
                 }
-                () = tokio::time::sleep_until(heartbeat_sent + self.watch.directory.heartbeat_interval()) => {
-                    heartbeat_sent = tokio::time::Instant::now();
+                () = tokio::time::sleep_until(sent + self.watch.directory.heartbeat_interval()) => {
+                    sent = tokio::time::Instant::now();
                     self.watch.directory.evict_silent(clock::steady());
                     let directory = &self.watch.directory;
                     self.state.helpers.retain_near(|name| directory.address(name).is_some());
@@ -179,8 +184,9 @@
         }
     }
 
-    /// Until this host looks whether the store has still got its row, after the store's return from a copy. All hosts
-    /// look then, and the store takes only so many calls a second.
+    /// Random delay until this host checks whether the store still has its row, after a restore of
+    /// the store from a copy. All hosts check then, and the store takes only so many calls per
+    /// second.
     fn row_check_delay(&self) -> Duration {
         let hosts = (self.watch.directory.count() + 1) * self.failure_domains.max(1);
         ROW_CHECK_INTERVAL.mul_f64(hosts as f64 * rand::random::<f64>())
@@ -207,7 +213,7 @@
         }
     }
 
-    /// What a sign of life says.
+    /// Content of a heartbeat.
     fn heartbeat(&self) -> Vec<Entry> {
         let now = clock::steady();
         let suspects = self.state.poison.with(|book| book.suspects(now));
@@ -215,8 +221,8 @@
         self.positions().into_iter().chain(suspects).chain(self.restrictions(now)).collect()
     }
 
-    /// How new the lists are that this host reads, and how roll-outs stand if it is the delegate of its
-    /// domain.
+    /// Positions of the lists that this host reads, and states of roll-outs if it is the delegate
+    /// of its failure domain.
     fn positions(&self) -> Vec<Entry> {
         let positions = self.watch.positions();
         let is_delegate = positions.iter().any(|position| position.list == List::Operators);
@@ -229,13 +235,13 @@
         rollouts.into_iter().map(Entry::Record).collect()
     }
 
-    /// What backend servers said lately of how much they take.
+    /// Recent restrictions of backend servers, as many as fit a heartbeat.
     fn restrictions(&self, now: Millis) -> Vec<Entry> {
         let restricted = self.watch.catalog.restrictions(now).into_iter();
         restricted.take(RESTRICTIONS_MAX).map(Entry::Restricted).collect()
     }
 
-    /// What this host counted of roll-outs, by route.
+    /// What this host counted during roll-outs, with an entry for each route.
     fn counts(&self) -> Vec<Entry> {
         let orders = self.watch.catalog.open_orders().into_iter();
         let counts = orders.flat_map(|(service, order)| {
@@ -248,18 +254,20 @@
         counts.collect()
     }
 
-    /// Takes a message.
+    /// Handles a message. Returns what it told about the sender.
     fn receive(&self, bytes: &[u8], from: SocketAddr) -> Received {
         let now = clock::steady();
         let message: Message = match serde_json::from_slice(bytes) {
             Ok(message) => message,
             Err(error) => {
-                log::debug!(target: "peers", from:% = from, error:% = error; "message unreadable");
+                log::debug!(target: "peers", from:% = from, error:% = error;
+                    "message can't be parsed");
                 return Received::default();
             }
         };
         if message.host.is_empty() || message.host == self.host {
-            log::debug!(target: "peers", from:% = from, host:% = message.host; "message of nobody");
+            log::debug!(target: "peers", from:% = from, host:% = message.host;
+                "message ignored: no sender, or this host");
             return Received::default();
         }
         let class = message.class;
@@ -280,7 +288,7 @@
                 Entry::Incoming(list) => self.watch.accept_incoming(&message.host, list),
                 Entry::Reading(list) => self.watch.record_peer_reading(&message.host, list),
                 Entry::Doubts(list, revision) => {
-                    self.watch.accept_overrides(&message.host, list, revision);
+                    self.watch.fetch_overrides(&message.host, list, revision);
                 }
                 Entry::Lacks(list) => {
                     sender.lacks_lists |= self.watch.follower(list).position(now).is_some();
@@ -313,7 +321,7 @@
         sender
     }
 
-    /// Another host takes requests that are passed on at an address, or takes none.
+    /// Records the address at which a peer takes forwarded requests; `None` if it takes none.
     fn set_forward(&self, host: &Name, forward: Option<SocketAddr>) {
         match forward {
             Some(address) => {
@@ -324,12 +332,12 @@
         self.state.helpers.set_neighbours(self.watch.directory.count());
     }
 
-    /// All hosts known.
+    /// Addresses of all known peers.
     fn addresses(&self) -> Vec<SocketAddr> {
         self.watch.directory.addresses()
     }
 
-    /// All hosts known, or as many as are notified at once.
+    /// Addresses of all known peers, or of a random sample if there are too many.
     fn random_addresses(&self) -> Vec<SocketAddr> {
         let mut random_addresses = self.addresses();
         if random_addresses.len() > NOTIFIED_HOSTS_MAX {
--- a/crates/node/src/peers/find.rs
+++ b/crates/node/src/peers/find.rs
@@ -1,4 +1,4 @@
-//! Finds the other hosts of the failure domain in the store, and lists this one there.
+//! Finds peers in the store and lists this host there.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,41 +14,44 @@
 use crate::record;
 use crate::store::Store;
 
-/// The table in which hosts are listed, by failure domain and name; those of a domain lie in a group of
-/// their own, so that the domains do not wait for each other's changes.
+/// Table in which hosts are listed; its keys are failure domain and name. The rows of a failure
+/// domain are in a group of their own, so that changes in different failure domains don't wait for
+/// each other.
 const TABLE: &str = "nodes";
 
 domain! {
-    /// A host's own row: where it listens.
+    /// Row in which a host is listed.
     pub struct HostRow {
-        /// The address.
+        /// Address at which the host listens for peers.
         pub address: SocketAddr,
-        /// Its strength.
+        /// Strength class of the host's machine.
         #[serde(default)]
         pub class: u8,
-        /// The port at which it takes requests of hosts that reach no backend server; 0 if it takes none.
+        /// Port at which the host takes requests of hosts that reach no backend server; 0 if it
+        /// takes none.
         #[serde(default)]
         pub forward: u16,
     }
 }
 
-/// A host as it is listed.
+/// A host that is listed in the store.
 #[derive(Clone, Debug)]
 pub struct ListedHost {
-    /// Its name.
+    /// Name of the host.
     pub name: Name,
-    /// Where it listens.
+    /// Address at which the host listens for peers.
     pub address: SocketAddr,
-    /// Its strength.
+    /// Strength class of the host's machine.
     pub class: u8,
-    /// Where it takes requests of hosts that reach no backend server, if it does.
+    /// Address at which the host takes requests of hosts that reach no backend server; `None` if it
+    /// takes none.
     pub forward: Option<SocketAddr>,
 }
 
-/// The hosts that are listed in a failure domain.
+/// Reads which hosts are listed in a failure domain.
 ///
 /// # Errors
-/// When the store does not say; reading has no effect.
+/// If the store does not answer. The call can be repeated: it changes nothing.
 pub async fn read_hosts(
     store: &impl Store,
     failure_domain: &Name,
@@ -58,7 +61,8 @@
     let found = rows.rows.iter().filter_map(|row| {
         let listed = record::parse::<HostRow>(&row.value);
         let listed = listed.inspect_err(|error| {
-            log::warn!(target: "peers", key:% = row.key, error:% = error; "row unreadable");
+            log::warn!(target: "peers", key:% = row.key, error:% = error;
+                "row of a host can't be parsed");
         });
         let name = Name::from(row.key.strip_prefix(&prefix)?);
         let HostRow { address, class, forward } = listed.ok()?;
@@ -68,13 +72,14 @@
     Ok(found.collect())
 }
 
-/// What the keys of a failure domain's rows begin with.
+/// Prefix of the keys of a failure domain's rows.
 fn prefix(failure_domain: &Name) -> String {
     format!("{failure_domain}/")
 }
 
 impl<S: Store, C: Codec> Peers<S, C> {
-    /// Lists this host after a while, unless it is listed, and finds the others that are.
+    /// After `delay`, lists this host unless it is listed already. Returns the peers that are
+    /// listed.
     pub(super) async fn find(&self, mut listing: Listing, delay: Duration) -> Vec<ListedHost> {
         tokio::time::sleep(delay).await;
         let mut found = Vec::new();
@@ -90,14 +95,17 @@
                 Step::Read => self.read_peers().await.and_then(|(hosts, is_listed)| {
                     found = hosts;
                     if listing.is_outdated(is_listed) {
-                        return Err(Error::Refused("an answer older than the row written".into()));
+                        return Err(Error::Refused(
+                            "the store's answer is older than this host's row".into(),
+                        ));
                     }
                     listing.read(is_listed);
                     Ok(())
                 }),
             };
             if let Err(error) = result {
-                log::warn!(target: "peers", error:% = error; "peers not found, tried again");
+                log::warn!(target: "peers", error:% = error;
+                    "peers not found in the store, retrying");
                 listing.failed(rand::random(), clock::steady());
             }
         }
@@ -107,7 +115,7 @@
         self.socket.local_addr().map_err(|error| Error::Refused(error.to_string()))
     }
 
-    /// Writes this host's row.
+    /// Writes the row of this host.
     async fn write_own_row(&self) -> Result<(), Error> {
         let listed = HostRow {
             address: self.own_address()?,
@@ -118,14 +126,15 @@
         let key = Name::from(format!("{}{}", prefix(&self.failure_domain), self.host));
         let change = record::put(TABLE, key, None, listed);
         let change = Transaction { group: self.failure_domain.clone(), ..change };
-        // Known from here on: a return from a copy before the lists are first read loses the row as well.
+        // The era is recorded now, because a restore of the store before the lists are first read
+        // loses this row too.
         if let Outcome::Committed(revision) = self.watch.store.commit(&change, None).await? {
             self.watch.record_era(revision.era);
         }
         Ok(())
     }
 
-    /// The other hosts that are listed, and whether this one is.
+    /// The listed peers, and whether this host is listed.
     async fn read_peers(&self) -> Result<(Vec<ListedHost>, bool), Error> {
         let own_address = self.own_address()?;
         let found = read_hosts(&*self.watch.store, &self.failure_domain).await?.into_iter();
--- a/crates/node/src/peers/message.rs
+++ b/crates/node/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! A message between hosts of one failure domain, and how a long one is sent in pieces.
+//! Format of a message between hosts of a failure domain, and its division into datagrams.
 
 use gateway::backend::{Prefill, Restricted};
 use gateway::paces::Seen;
@@ -13,61 +13,61 @@
 use crate::record::RolloutState;
 use crate::store::List;
 
-/// Longest message, in bytes: a datagram that no link divides.
+/// Longest message, in bytes: a datagram of this length is not fragmented on any link.
 pub const BYTES_MAX: usize = 1_400;
 
 domain! {
-    /// A message from one host to another.
+    /// Message from one host to another.
     #[derive(Default)]
     pub struct Message {
-        /// The sender's name.
+        /// Name of the sender.
         pub host: Name,
-        /// The sender's strength.
+        /// Strength class of the sender's machine.
         #[serde(default)]
         pub class: u8,
-        /// The port at which the sender takes requests of hosts that reach no backend server; 0 if it takes
-        /// none now.
+        /// Port at which the sender takes requests of hosts that reach no backend server; 0 if it
+        /// takes none now.
         #[serde(default)]
         pub forward: u16,
-        /// The sender's clock; times in the entries are of it.
+        /// The sender's clock. Times in the entries are by this clock.
         pub now: Millis,
-        /// What it says; none if only that the sender is there.
+        /// Content of the message; empty in a message that only shows that the sender is alive.
         pub entries: Vec<Entry>,
     }
 
-    /// One thing that a message says.
+    /// One item of a message.
     pub enum Entry {
-        /// How new a list is that the sender reads for the others.
+        /// How new a list is that the sender reads for its peers.
         Position(Position),
-        /// How a roll-out stands.
+        /// State of a roll-out.
         Record(RolloutState),
-        /// A list of which the sender is being sent a change that is too long to be passed on.
+        /// A change of this list that is too long to be passed on is arriving at the sender.
         Incoming(List),
-        /// A list all of which the sender is reading.
+        /// The sender is reading all of this list.
         Reading(List),
-        /// A list against which the sender holds on to something that the store may have lost, and the revision of
-        /// what the sender has.
+        /// The sender overrides entries of this list that the store may have lost; its copy is at
+        /// this revision.
         Doubts(List, Revision),
-        /// A list of which the sender knows nothing yet, and would take from who has it.
+        /// The sender has no copy of this list yet and takes it from any peer that has it.
         Lacks(List),
-        /// What the sender counted of a roll-out.
+        /// What the sender counted during a roll-out.
         Counted(HostCounts),
-        /// A request that was lost with servers.
+        /// A request, or a part of prompts, that is suspected of crashing servers.
         Suspect(Suspect),
-        /// What a backend server says of how much it takes.
+        /// A restriction that a backend server has set on what it takes.
         Restricted(Restricted),
-        /// A prompt that was just sent.
+        /// A long prompt that the sender has just sent to an engine.
         Prefill(Prefill),
-        /// What streams of an engine showed.
+        /// What the sender observed of an engine's streams.
         Seen(Seen),
     }
 }
 
 impl Message {
-    /// The message as it is sent: whole if it fits, else in as many pieces as it takes.
+    /// The message as datagrams: one if it fits, else as many as it takes.
     ///
-    /// Nothing that others go by may be left out of a message because it is long: hosts that don't
-    /// hear how a roll-out stands send to servers that have been stopped.
+    /// Nothing that peers act on may be left out because a message is long: hosts that miss the
+    /// stage of a roll-out send requests to servers that have been stopped.
     #[must_use]
     pub fn datagrams(self) -> Vec<Vec<u8>> {
         let mut datagrams = Vec::new();
@@ -76,14 +76,14 @@
             let Some(bytes) = part.encode() else { continue };
             match part.entries.as_mut_slice() {
                 _ if bytes.len() <= BYTES_MAX => datagrams.push(bytes),
-                // The changes are had by a call.
+                // The peer requests the changes in a call instead.
                 [Entry::Position(position)] if position.changes.is_some() => {
                     position.changes = None;
                     parts.push(part);
                 }
                 [] | [_] => {
                     log::warn!(target: "peers", bytes = bytes.len();
-                        "entry too long for a message, not sent");
+                        "entry not sent: it is too long for a datagram");
                     metrics::counter!("node_peer_entries_unsent_total").increment(1);
                 }
                 _ => {
@@ -99,7 +99,7 @@
     fn encode(&self) -> Option<Vec<u8>> {
         let encoded = serde_json::to_vec(self);
         let encoded = encoded.inspect_err(|error| {
-            log::warn!(target: "peers", error:% = error; "message not written");
+            log::warn!(target: "peers", error:% = error; "message can't be serialized");
         });
         encoded.ok()
     }
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -48,7 +48,8 @@
         suspects: Vec<Suspect>,
     }
 
-    /// Row that gives one host the right to try a request, or one with a suspect part, with times of the store's clock.
+    /// Row that gives one host the right to try a request, or one with a suspect part, with times
+    /// of the store's clock.
     struct Claim {
         digest: Digest,
         /// Until then no other host may try the request.
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -230,7 +230,8 @@
     let deadline =
         Instant::now() + Duration::from_millis(current.drain_ms).saturating_sub(STOP_RESERVE);
     log::info!(target: "process", connections = connections.len(),
-        requests = state.in_flight.load(std::sync::atomic::Ordering::Relaxed); "stopping: not ready any more, open requests go on");
+        requests = state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
+        "stopping: not ready any more, open requests go on");
     tokio::time::sleep_until(deadline.min(Instant::now() + CLOSE_DELAY)).await;
     close.cancel();
     drop(caller_task.await);
@@ -282,6 +283,7 @@
     match tokio::time::timeout_at(deadline, ended).await {
         Ok(()) => log::info!(target: "process", "stopped, no request was cut off"),
         Err(_) => log::warn!(target: "process", connections = connections.len(),
-            streams = state.relays.len(); "stopped at the end of the drain time, open requests were cut off"),
+            streams = state.relays.len();
+            "stopped at the end of the drain time, open requests were cut off"),
     }
 }
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -123,7 +123,8 @@
     Transaction { conditions, writes: vec![write], ..Transaction::default() }
 }
 
-/// The base version of a new roll-out, given the record of the `previous` one: the target version if
+/// The base version of a new roll-out, given the record of the `previous` one: the target version
+/// if
 /// that one succeeded, else its base version. Without a record it is `current`, the version that
 /// requests go to now.
 #[must_use]
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -1,13 +1,14 @@
-//! Carries out orders to change a version, together with all other hosts.
+//! Carries out orders to change a service's version, together with all other hosts.
 //!
-//! No host leads. The share of requests that goes to the new version follows from the store's
-//! clock, so all hosts know it; what they must agree on is one row, changed only under its
-//! version. Any host that sees enough makes the change, and a host that is lost in the middle is
-//! not missed.
+//! There is no leader. The share of requests that goes to the new version follows from the store's
+//! clock, so every host can compute it. The hosts need to agree only on one row, which is changed
+//! only under its revision. Any host that has seen enough evidence makes the change, so a host that
+//! is lost half-way is not missed.
 //!
-//! Calls of the store are few: of a failure domain's hosts the one that reads the operators' list
-//! for the others is their delegate here as well. The others tell it what they counted and hear from
-//! it how the roll-out stands. A host that stands alone, or hears nothing, asks the store itself.
+//! Calls of the store are kept few. Of the hosts of a failure domain, the one that reads the
+//! operators' list for its peers is also their delegate for roll-outs. Its peers send it their
+//! counts and hear from it about the state of the roll-out. A host that reads for itself alone, or
+//! hears nothing, asks the store itself.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,48 +33,51 @@
 use crate::store::{List, Report, Store};
 use crate::watch::{CLOCK_DRIFT_MAX_MS, Watch};
 
-/// Between two looks at what all hosts counted. A bad version gets requests for as long.
+/// Mean interval at which the counts of all hosts are evaluated. A bad version gets requests for as
+/// long.
 const DECISION_INTERVAL: Duration = Duration::from_millis(900);
-/// Between two looks at this host's own counts.
+/// Interval at which this host's own counts are evaluated.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// Between two tellings of this host's counts to the delegate of the domain.
+/// Shortest interval of reports of this host's counts to the delegate.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// The same when it has counted nothing since: a message may be lost, and the delegate may be another.
+/// Interval of reports when nothing new was counted: a report may have been lost, and the delegate
+/// may have changed.
 const REPEATED_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause after a failed call.
+/// Mean delay after a failed call of the store.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// How long a host waits to hear of an order from the delegate of the domain, before it
-/// reads for itself. That one needs a call or two.
+/// How long a host waits to hear of a roll-out from the delegate before it asks the store itself.
+/// The delegate needs one or two calls.
 const DELEGATE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What a roll-out is carried out with.
+/// Carries out the roll-outs of all services.
 pub struct Rollouts<S, C> {
-    /// The host's name.
+    /// Name of this host.
     pub host: Name,
-    /// Where it stands.
+    /// Failure domain of this host.
     pub failure_domain: Name,
     /// The store, and what was read from it.
     pub watch: Arc<Watch<S, C>>,
 }
 
-/// One order as it is carried out.
+/// One order that is being carried out.
 struct Execution {
     service: Name,
-    /// What this host's row of counts holds.
+    /// Content of the row of counts that this host last wrote.
     written_counts: CountsByHost,
-    /// How often the store had come back from a copy when that was written.
+    /// How often the store had been restored from a copy when that row was written.
     written_era: u64,
-    /// When all hosts' counts are looked at next.
+    /// When the counts of all hosts are evaluated next.
     decide_at: Instant,
-    /// When this host's counts are reported next.
+    /// When this host's counts are reported next, if they are new.
     report_at: Instant,
-    /// What was last reported to the delegate, and until when that is not sent again.
+    /// The counts last reported to the delegate, and when they are reported again without being
+    /// new.
     last_report: (Vec<Evidence>, Instant),
 }
 
 impl<S: Store, C: Codec> Rollouts<S, C> {
-    /// Carries out orders as they come; runs until the process ends. A new order for a service
-    /// takes the place of the one under way.
+    /// Carries out orders as they arrive; runs until the process ends. A new order for a service
+    /// replaces the one under way.
     pub async fn run(self: Arc<Self>, mut orders: mpsc::UnboundedReceiver<Name>) {
         let mut running: HashMap<Name, AbortOnDropHandle<()>> = HashMap::new();
         let mut era = self.watch.era.subscribe();
@@ -96,8 +100,9 @@
         }
     }
 
-    /// Sees to it that the store says again how a roll-out was decided, after it has come back from a copy: hosts
-    /// that start then would try a bad version anew, or send to servers that were stopped on a success.
+    /// After a restore of the store from a copy, makes sure that the store has the outcome of a
+    /// roll-out again. Otherwise hosts that start then would try a bad version anew, or after a
+    /// success send requests to servers that were stopped.
     async fn restore(self: Arc<Self>, service: Name) {
         let mut listed = None;
         while let Some(rollout) = self.find_unrestored(&service) {
@@ -111,7 +116,8 @@
         }
     }
 
-    /// A roll-out that was decided, of which the store may say something else since its return.
+    /// A roll-out that was decided, if its row was last seen before the restore, so that the store
+    /// may have an older state.
     fn find_unrestored(&self, service: &Name) -> Option<TrackedRollout> {
         let rollout = self.watch.catalog.rollout(service)?;
         let is_decided = rollout.record.as_ref().is_some_and(|record| record.stage.is_decided());
@@ -122,7 +128,7 @@
         rollout.revision.era >= self.era()
     }
 
-    /// How often the store has come back from a copy.
+    /// How often the store was restored from a copy.
     fn era(&self) -> u64 {
         self.watch.era.borrow().map_or(0, |era| era.number)
     }
@@ -134,11 +140,12 @@
         };
         if let Err(error) = restored {
             log::warn!(target: "rollout", service:% = service, error:% = error;
-                "how the roll-out was decided not written again, tried again");
+                "outcome of the roll-out not written again, retrying");
         }
     }
 
-    /// Writes again how a roll-out stands if the store has lost that. What the store says of a later order stays.
+    /// Writes the record of a roll-out again if the store has lost it. A record of a later order
+    /// stays.
     async fn restore_record(
         &self,
         rows: &Rows,
@@ -160,14 +167,16 @@
             {
                 return Ok(());
             }
-            // The row names the order by when it was written, so that has to be written again first.
+            // The record names its order by the revision at which that was written, so the order
+            // has to be listed again first.
             _ if !is_lost || !self.is_order_listed_again(rollout) => return Ok(()),
             stored => stored.map_or(Revision::NONE, |(_, version)| version),
         };
         let record = Record { order: rollout.order_id(), ..own_record.clone() };
         let progress = progress(record.stage);
         log::info!(target: "rollout", service:% = service, version:% = record.target,
-            stage:? = record.stage, era = rows.revision.era; "lost row written again");
+            stage:? = record.stage, era = rows.revision.era;
+            "writing the lost row of the roll-out again");
         if let Some(version) =
             self.write_record(service, rollout, &record, expected, progress).await?
         {
@@ -176,7 +185,7 @@
         Ok(())
     }
 
-    /// All rows of a service.
+    /// Reads all rows of a service.
     async fn read_rows(&self, service: &Name) -> Result<Rows, Error> {
         let prefix = record::prefix(service);
         let rows = self.watch.store.rows(record::NO_GROUP, record::TABLE, &prefix).await?;
@@ -214,7 +223,8 @@
         }
     }
 
-    /// Looks at all hosts' counts if it is time to, or tells this host's.
+    /// Evaluates the counts of all hosts if it is time to, or reports this host's counts if it is
+    /// not the delegate.
     async fn advance(&self, execution: &mut Execution, rollout: &TrackedRollout, is_due: bool) {
         let now = Instant::now();
         if !self.watch.is_delegate() {
@@ -224,21 +234,21 @@
             }
             return;
         }
-        // What the domain's own hosts counted may be enough.
+        // The counts of this failure domain may be enough for a verdict.
         let is_bad =
             canary::verdict(&counts::sum(&self.domain_counts(execution, rollout))) == Verdict::Bad;
         if is_due || is_bad || now >= execution.decide_at {
             if let Err(error) = self.decide(execution, rollout).await {
                 log::warn!(target: "rollout", service:% = execution.service, error:% = error;
-                    "roll-out undecided, tried again");
+                    "evaluation of the roll-out failed, retrying");
             }
             let jitter = 0.9 + rand::random::<f64>() / 5.0;
             execution.decide_at = Instant::now() + DECISION_INTERVAL.mul_f64(jitter);
         }
     }
 
-    /// Tells the delegate what this host counted, if that is new: of hundreds of hosts most have counted
-    /// nothing since they last reported it.
+    /// Reports this host's counts to the delegate if they are new. Of hundreds of hosts most have
+    /// counted nothing since their last report.
     fn report_counts(&self, execution: &mut Execution, now: Instant) {
         let own = self.state().tally.of(&execution.service);
         let (reported, until) = &execution.last_report;
@@ -248,24 +258,26 @@
         }
     }
 
-    /// What this host counted, and what the others of its domain reported.
+    /// Counts of this host, and those that its peers reported.
     fn domain_counts(&self, execution: &Execution, rollout: &TrackedRollout) -> CountsByHost {
         let mut hosts = self.watch.counts.for_order(&execution.service, rollout.order_id());
         hosts.insert(self.host.clone(), self.state().tally.of(&execution.service));
         hosts
     }
 
-    /// Stops at once what this host's own answers speak against, before the others know.
+    /// Stops sending requests to the new version at once if the answers to this host's own requests
+    /// are bad, before other hosts know.
     fn halt_if_bad(&self, service: &Name, rollout: &TrackedRollout) {
         let own = self.state().tally.of(service);
         let is_bad = canary::verdict(&own) == Verdict::Bad;
         if is_bad && !rollout.is_halted.swap(true, Ordering::Relaxed) {
             log::warn!(target: "rollout", service:% = service, version:% = rollout.order.target,
-                evidence:? = own; "this host stops sending to a bad version");
+                evidence:? = own; "this host stops sending requests to the bad version");
         }
     }
 
-    /// Reads the record of the order, or makes it, or hears of it.
+    /// Waits until the record of the order is known: sent by the delegate, read from the store or
+    /// created there.
     async fn ensure_record(&self, service: &Name) {
         let began = Instant::now();
         loop {
@@ -281,7 +293,7 @@
                 Ok(()) => {}
                 Err(error) => {
                     log::warn!(target: "rollout", service:% = service, error:% = error;
-                        "roll-out not begun, tried again");
+                        "roll-out not begun, retrying");
                 }
             }
             if self.watch.catalog.rollout(service).is_some_and(|rollout| rollout.record.is_none()) {
@@ -335,7 +347,7 @@
         }
     }
 
-    /// Takes over how the roll-out stands; `now_ms` is the store's clock.
+    /// Takes over a record read from the store or written to it; `now_ms` is the store's clock.
     fn adopt(&self, service: &Name, record: Record, version: Revision, now_ms: u64) {
         let age_ms = now_ms.saturating_sub(record.began_ms);
         self.watch.adopt_rollout(RolloutState {
@@ -347,8 +359,8 @@
         self.watch.notify_rollouts();
     }
 
-    /// Writes what this host, or its domain, counted, reads what others did, and makes the step
-    /// that follows.
+    /// Writes the counts of this host or its failure domain, reads those of others, and changes the
+    /// stage if the verdict on all of them requires it.
     async fn decide(
         &self,
         execution: &mut Execution,
@@ -377,8 +389,8 @@
         else {
             return self.restore_record(&rows, service, rollout).await;
         };
-        // Also when only the clocks have parted: a host that stood still for a while must not go
-        // on as if no time had passed.
+        // Also if only the clocks disagree: a host that was suspended for a while must not go on as
+        // if no time had passed.
         let began = clock::steady() - rows.now_ms.saturating_sub(record.began_ms);
         let has_drifted = began.since(rollout.started_at).max(rollout.started_at.since(began))
             > CLOCK_DRIFT_MAX_MS;
@@ -391,7 +403,7 @@
         let progress = progress(next);
         log::info!(target: "rollout", service:% = service, version:% = record.target,
             stage:? = record.stage, next:? = next, verdict:? = verdict, elapsed,
-            hosts = hosts.len(), evidence:? = evidence; "step decided");
+            hosts = hosts.len(), evidence:? = evidence; "next stage of the roll-out decided");
         let changed = Record { stage: next, ..record };
         if let Some(made) = self.write_record(service, rollout, &changed, version, progress).await?
         {
@@ -400,8 +412,8 @@
         Ok(())
     }
 
-    /// The others may not have these counts yet. That must not keep this host from what follows
-    /// from theirs, so a failure is only logged; the row is written again next time.
+    /// Writes the counts of this host or its failure domain. A failure is only logged, because this
+    /// host must still act on the counts of others; the row is written again next time.
     async fn write_counts(&self, execution: &mut Execution, rollout: &TrackedRollout) {
         let hosts = self.domain_counts(execution, rollout);
         if hosts == execution.written_counts {
@@ -413,7 +425,7 @@
         let value = match record::serialize(&counted) {
             Ok(value) => value,
             Err(why) => {
-                log::error!(target: "rollout", why:% = why; "counts can't be written");
+                log::error!(target: "rollout", why:% = why; "counts can't be serialized");
                 return;
             }
         };
@@ -422,7 +434,7 @@
         match self.watch.store.commit(&change, None).await {
             Ok(_) => execution.written_counts = counted.hosts,
             Err(error) => log::warn!(target: "rollout", service:% = execution.service,
-                error:% = error; "counts not written"),
+                error:% = error; "counts not written to the store"),
         }
     }
 }
@@ -435,7 +447,7 @@
     record.belongs_to(rollout.order_id(), &rollout.order.target)
 }
 
-/// What operators learn of a stage.
+/// What operators are told of a stage.
 fn progress(stage: Stage) -> Progress {
     match stage {
         Stage::Done => Progress::Succeeded,
@@ -450,13 +462,14 @@
     match record::parse(&row.value) {
         Ok(record) => Some((record, row.version)),
         Err(why) => {
-            log::error!(target: "rollout", key:% = key, why:% = why; "record unreadable, made anew");
+            log::error!(target: "rollout", key:% = key, why:% = why;
+                "record of the roll-out can't be parsed, creating a new one");
             Some((Record::default(), row.version))
         }
     }
 }
 
-/// All hosts' counts that the rows hold, each host's newest.
+/// Collects the newest counts of each host from the rows.
 fn collect_counts(rows: &Rows, service: &Name, order_id: Revision) -> CountsByHost {
     let record_key = record::key(service);
     let mut hosts = CountsByHost::new();
@@ -465,7 +478,8 @@
             Ok(counted) if record::is_same_order(counted.order, order_id) => counted,
             Ok(_) => continue,
             Err(why) => {
-                log::error!(target: "rollout", key:% = row.key, why:% = why; "counts unreadable");
+                log::error!(target: "rollout", key:% = row.key, why:% = why;
+                    "counts of a roll-out can't be parsed");
                 continue;
             }
         };
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,8 +1,8 @@
-//! Follows the store's lists, and makes the world anew when they change.
+//! Follows the store's lists and publishes a new snapshot to requests when they change.
 
 mod accept;
-mod fetch;
 mod peers;
+mod share;
 mod start;
 
 use std::net::SocketAddr;
@@ -28,86 +28,92 @@
 use crate::follow::Follower;
 use crate::store::{Answer, List, Store, Update};
 
-/// An answer whose head comes so much later than the store was asked to hold it back comes from a
-/// store that was away meanwhile.
+/// If the head of an answer comes this much later than the hold time that was asked for, the store
+/// was away in between.
 const LATE_THRESHOLD: Duration = Duration::from_millis(150);
-/// Between two questions about backend servers when the first brought news. Many servers come or
-/// go together; one question for each of them would make most of a large fleet's calls. Work must
-/// not go to a leaving server for longer than about two seconds.
+/// Pause before the next call for backend servers after one that brought changes. Many servers come
+/// or go together, and one call for each of them would be most of a large deployment's calls. The
+/// pause is bounded because a draining server must not get requests for longer than about two
+/// seconds.
 const BACKENDS_BATCH_DELAY: Duration = Duration::from_secs(1);
-/// Pause after a failed call, first and longest; drawn from half of it up to all of it.
+/// Shortest and longest delay after failed calls; it doubles with each, and the actual one is drawn
+/// from its upper half.
 const RETRY_DELAY_MIN_MS: u64 = 100;
 const RETRY_DELAY_MAX_MS: u64 = 800;
 
-/// What the watchers share.
+/// State shared by the tasks that follow the lists, exchange messages with peers and carry out
+/// roll-outs.
 pub struct Watch<S, C> {
-    /// The store.
+    /// Client of the platform's store.
     pub store: Arc<S>,
-    /// What was read.
+    /// Everything that was read from the store.
     pub catalog: Arc<Catalog>,
-    /// Where worlds go.
+    /// State that all requests share; snapshots are published to it.
     pub state: Arc<State<C>>,
-    /// Services whose orders are new.
+    /// Sends the names of services for which there is a new order.
     pub orders: mpsc::UnboundedSender<Name>,
-    /// The lists.
+    /// Followers of the store's lists, in the order of [`List::ALL`].
     pub followers: Arc<[Follower; 2]>,
-    /// Wakes whoever tells the other hosts of the failure domain.
+    /// Wakes the task that sends messages to peers.
     pub notifier: mpsc::Sender<Notice>,
-    /// What other hosts of the failure domain counted of roll-outs.
+    /// What peers counted during roll-outs.
     pub counts: Counts,
-    /// Who they are.
+    /// Names and addresses of the peers.
     pub directory: Directory,
-    /// What is passed on to them.
+    /// Compressed updates that are passed on to peers.
     pub cache: Cache,
-    /// This host's part of the requests that may be sent again.
+    /// This host's quota of extra attempts.
     pub budget: Budget,
-    /// When the store's state was last known to be new, by any list.
+    /// Latest time at which the store's state is known to have been current, from either list; 0
+    /// before the first.
     pub fresh_at: AtomicU64,
-    /// How often the store has come back from a copy, once that is known. Whoever writes rows of this host looks
-    /// whether they are still there when it rises.
+    /// How often the store was restored from a copy; `None` before this host has heard of the
+    /// store. When it rises, the tasks that write rows for this host check whether these still
+    /// exist.
     pub era: watch::Sender<Option<Era>>,
-    /// This host's name.
+    /// Name of this host.
     pub host: Name,
-    /// Its strength.
+    /// Strength class of this host's machine.
     pub class: u8,
-    /// Megabits a second of its link.
+    /// Bandwidth of this host's link, in megabits per second.
     pub link_mbps: f64,
 }
 
-/// The store's life since it last came back from a copy.
+/// The period since the store was last restored from a copy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Era {
-    /// How often it has come back.
+    /// Number of restores so far.
     pub number: u64,
-    /// When this host learnt of the last return; none if it has not known the store before.
+    /// When this host learnt of the last restore; `None` if it did not know the store before.
     pub started_at: Option<Millis>,
 }
 
-/// Clocks of two hosts, or a host's and the store's, may part by this much in what they say of a
-/// roll-out's age, in milliseconds, before it is set right.
+/// Difference, in milliseconds, up to which two clocks (of two hosts, or of a host and the store)
+/// may disagree about when a roll-out began, before it is corrected.
 pub const CLOCK_DRIFT_MAX_MS: u64 = 100;
 
-/// What the other hosts of the failure domain are to be notified of.
+/// What peers are notified of.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Notice {
-    /// All of them: how new the lists are that this host reads, and how roll-outs stand.
+    /// To all peers: how new the lists are that this host reads, and the states of roll-outs if it
+    /// is the delegate.
     Positions,
-    /// All of them: how roll-outs stand, as this host has just written or read.
+    /// To all peers: the states of roll-outs, which this host has just written or read.
     Rollouts,
-    /// The one that speaks for the domain: what this host counted of roll-outs.
+    /// To the delegate of the failure domain: what this host counted during roll-outs.
     Counts,
-    /// All of them: a change of a list is on its way to this host that is too long to be passed on.
+    /// To all peers: a change of a list that is too long to be passed on is arriving at this host.
     Incoming(List),
-    /// All of them: this host is reading all of a list.
+    /// To all peers: this host is reading all of a list.
     WholeRead(List),
-    /// All of them: what is new of requests that were lost with their servers.
+    /// To all peers: what is new about requests suspected of crashing servers.
     Suspects,
-    /// The one that gave a list: this host holds on to something against it, since the store has come back from a
-    /// copy.
+    /// To the peer that gave a list: this host overrides entries of it since the store was restored
+    /// from a copy.
     Overrides(List, SocketAddr),
 }
 
-/// How long changes may take, as the settings say.
+/// Time limits for changes, as the settings give them.
 #[must_use]
 pub fn bounds(settings: &wire::settings::Node) -> Bounds {
     Bounds {
@@ -117,7 +123,8 @@
 }
 
 impl<S: Store, C: Codec> Watch<S, C> {
-    /// Makes the world anew.
+    /// Builds a snapshot and publishes it to requests. Servers that have vanished since the
+    /// snapshot before are reported as possible crashes.
     pub fn publish(&self) {
         let published = self.catalog.publish(&self.state.world, clock::steady());
         if published.is_complete {
@@ -131,7 +138,7 @@
         }
     }
 
-    /// A list as it is followed.
+    /// The follower of a list.
     pub fn follower(&self, list: List) -> &Follower {
         match list {
             List::Operators => &self.followers[0],
@@ -169,14 +176,15 @@
             let took = Duration::from_millis(clock::steady().since(asked));
             if was_store_away(&answer, took, hold) {
                 log::info!(target: "watch", list:? = list, took_ms = took.as_millis() as u64,
-                    hold_ms = hold.as_millis() as u64; "late answer, the store was away meanwhile");
+                    hold_ms = hold.as_millis() as u64;
+                    "late answer: the store was away in between");
                 self.record_absence(list);
             }
             let update = answer.map(|answer| answer.update);
             let changes = match self.accept_answer(list, update) {
                 Ok(count) => {
                     if !has_store {
-                        log::info!(target: "watch", list:? = list; "store regained");
+                        log::info!(target: "watch", list:? = list; "store answers again");
                     }
                     has_store = true;
                     delay_ms = RETRY_DELAY_MIN_MS;
@@ -184,14 +192,17 @@
                 }
                 Err(error) => {
                     if has_store {
-                        log::warn!(target: "watch", list:? = list, error:% = error; "store lost");
+                        log::warn!(target: "watch", list:? = list, error:% = error;
+                            "list can't be read from the store");
                     }
                     has_store = false;
-                    // Callers learn at once that this host can't serve them yet.
+                    // Requests that wait for the start are rejected at once, because this host
+                    // can't serve them yet.
                     self.state.started.cancel();
                     self.fetch_missing(list);
-                    // Until the store has answered again nothing is held back: a question asked
-                    // while it is silent is never answered, and its return must be heard at once.
+                    // Until the store has answered again, calls ask for no hold time. A call sent
+                    // while the store is silent is never answered, and its return must be noticed
+                    // at once.
                     follower.relay().failed(delay_ms, rand::random(), clock::steady());
                     delay_ms = (delay_ms * 2).min(RETRY_DELAY_MAX_MS);
                     0
@@ -203,9 +214,13 @@
         }
     }
 
-    /// An answer of the store has begun; whether it is read on. A change of the table that takes this host's
-    /// link too long the others read themselves, and begin now: once this host has all of it, the way
-    /// through the domain would be late. A long table in which little has changed is passed on as an edit.
+    /// Called when the head of the store's answer has come, with the length of the body. Returns
+    /// whether to read on.
+    ///
+    /// If the change of the routing table takes this host's link too long, the peers read it from
+    /// the store themselves and begin now: once this host has all of it, passing it through the
+    /// failure domain would be too late. A long table in which little has changed is passed on as
+    /// an edit.
     fn accept_head(&self, list: List, bytes: u64) -> bool {
         if bytes <= exchange::MESSAGE_BYTES_MAX as u64 {
             return true;
@@ -217,13 +232,14 @@
         follower.set_incoming(is_long_change);
         if is_long_change && follower.relay().reads_first(clock::steady()) {
             log::info!(target: "watch", list:? = list, bytes, link_mbps = self.link_mbps;
-                "long answer begins, others notified");
+                "long answer is arriving, peers notified");
             self.notify(Notice::Incoming(list));
         }
         !follower.is_reread_shorter(bytes)
     }
 
-    /// How long changes gather before the store is asked for more, behind so many.
+    /// How long to let further changes gather before the store is asked again, after an answer with
+    /// `changes` changes.
     fn batch_delay(&self, list: List, changes: usize) -> Duration {
         let relay = self.follower(list).relay();
         match relay.reads_for_others(clock::steady()) {
@@ -232,7 +248,7 @@
         }
     }
 
-    /// What the store answered; how many changes it brought.
+    /// Applies the store's answer. Returns how many changes it brought.
     fn accept_answer(&self, list: List, update: Result<Update, Error>) -> Result<usize, Error> {
         let follower = self.follower(list);
         let update = match update {
@@ -240,7 +256,7 @@
             Err(error @ (Error::Forgotten | Error::Declined)) => {
                 let after = follower.revision().unwrap_or_default();
                 log::info!(target: "watch", list:? = list, why:% = error, after:%;
-                    "list read afresh");
+                    "changes not usable, reading the whole list");
                 follower.mark_incomplete();
                 return Ok(0);
             }
@@ -253,7 +269,7 @@
         let own = follower.revision().unwrap_or_default();
         let is_stale = update.is_whole && update.revision < own.stored();
         if !self.accept(list, &update) || is_stale {
-            // Read afresh in a moment: the store has answered from an old state.
+            // The store has answered from an old state; the list is read again in a moment.
             follower.relay().failed(RETRY_DELAY_MIN_MS, rand::random(), clock::steady());
             return Ok(0);
         }
@@ -262,12 +278,14 @@
         Ok(update.entries.len())
     }
 
-    /// The store's state was new at that time, as this host read or heard.
+    /// Records that the store's state was current at `fresh_at`, as this host has read it or a peer
+    /// reports.
     ///
-    /// Entries lapse only while the store is away for their servers, and then it is away for the
-    /// hosts as well. A host that reads alone knows that from its calls. Among others a call that
-    /// fails says nothing: another host has read meanwhile. To take that for an absence would keep
-    /// servers in use for seconds that had really left.
+    /// Entries of backend servers lapse only while their servers can't reach the store, and then
+    /// hosts can't reach it either. A host that reads for itself alone notices this from its own
+    /// calls. Among several hosts a failed call says nothing, because another host may have read
+    /// meanwhile. If it counted as an absence of the store, servers that have really left would be
+    /// used for seconds more.
     fn record_contact(&self, list: List, fresh_at: Millis) {
         self.catalog.set_answered_at(list.name(), clock::steady());
         let before = Millis(self.fresh_at.fetch_max(fresh_at.0, Ordering::Relaxed));
@@ -287,59 +305,63 @@
         });
     }
 
-    /// The hosts of the failure domain that are known by now share its requests that may be sent again.
+    /// Shares the retry budget of the failure domain among the hosts that are known now.
     pub fn update_retry_budget(&self) {
         self.budget.set_host_count(self.directory.count() + 1);
         self.state.allowance.store(Arc::new(self.budget.allowance()));
     }
 
-    /// Tells the others how new the lists are that this host reads, and how roll-outs stand.
+    /// Notifies all peers of how new the lists are that this host reads, and of the states of
+    /// roll-outs if it is the delegate.
     pub fn notify_positions(&self) {
         self.notify(Notice::Positions);
     }
 
-    /// Tells the others how roll-outs stand. Whoever has written that tells them, also if another
-    /// host is the delegate by now.
+    /// Notifies all peers of the states of roll-outs. The host that has written a record does this,
+    /// even if another host is the delegate by now.
     pub fn notify_rollouts(&self) {
         self.notify(Notice::Rollouts);
     }
 
-    /// Tells the delegate of the domain what this one counted.
+    /// Notifies the delegate of the failure domain of what this host counted.
     pub fn notify_counts(&self) {
         self.notify(Notice::Counts);
     }
 
-    /// Whether this host calls the store for what concerns its failure domain, or itself alone.
+    /// Whether this host calls the store on behalf of its failure domain, or reads for itself
+    /// alone.
     pub fn is_delegate(&self) -> bool {
         let relay = self.follower(List::Operators).relay();
         let now = clock::steady();
         relay.is_alone(now) || relay.reads_for_others(now)
     }
 
-    /// Whether the store has come back from a copy lately: what was written shortly before may be lost.
+    /// Whether the store was restored from a copy within the last `ms` milliseconds. What was
+    /// written shortly before the restore may be lost.
     #[must_use]
     pub fn was_restored_within(&self, ms: u64, now: Millis) -> bool {
         let started_at = self.era.borrow().and_then(|era| era.started_at);
         started_at.is_some_and(|started_at| now.since(started_at) < ms)
     }
 
-    /// Has the other hosts of the failure domain notified.
+    /// Queues a notice for peers.
     pub fn notify(&self, notice: Notice) {
         if self.notifier.try_send(notice).is_err() {
-            // The sender is behind, or there is none. The others hear with the next message, or read
-            // for themselves.
+            // The queue is full, or this host exchanges no messages. Peers learn of it from the
+            // next message, or read from the store themselves.
             metrics::counter!("node_relay_unsent_total").increment(1);
         }
     }
 
-    /// A host alone could not read, or late: entries that lapse meanwhile are no deaths.
+    /// Records that a host that reads for itself alone got no answer, or a late one: servers whose
+    /// entries lapse meanwhile have not crashed.
     fn record_absence(&self, list: List) {
         if self.follower(list).relay().is_alone(clock::steady()) {
             self.catalog.with_roster(|roster| roster.away(clock::steady()));
         }
     }
 
-    /// Lets requests know which hosts of the failure domain live.
+    /// Tells requests which hosts of the failure domain are alive.
     fn publish_peers(&self) {
         let hash = |name: &Name| place::hash(name.as_bytes());
         let relay = self.follower(List::Backends).relay();
@@ -348,23 +370,23 @@
         self.state.peers.store(Arc::new(Some(Peers { own: hash(&self.host), others })));
     }
 
-    /// What was held on to against the store's lists since its return from a copy, and was not written again, is given
-    /// up when its time has come.
+    /// Gives up the overrides that were not written to the store again in time.
     fn expire_overrides(&self) {
         for list in List::ALL {
             if let Some(update) = self.follower(list).expire_overrides(clock::steady()) {
                 log::info!(target: "watch", list:? = list, revision:% = update.revision,
-                    count = update.entries.len(); "what was not written again is given up");
+                    count = update.entries.len();
+                    "overrides given up: their entries were not written again");
                 self.accept(list, &update);
             }
         }
     }
 
-    /// Gives up lapsed backend servers when their time has come, and tells of lists that are behind;
-    /// runs until the process ends.
+    /// Gives up backend servers whose entries have lapsed for too long, gives up overrides, and
+    /// logs lists that are behind; runs until the process ends.
     pub async fn maintain(self: Arc<Self>) {
         const INTERVAL: Duration = Duration::from_millis(100);
-        /// Looks between two at who is there.
+        /// Rounds between two updates of the peers that are alive.
         const PEERS_ROUNDS: usize = 10;
         for round in 1.. {
             tokio::time::sleep(INTERVAL).await;
@@ -381,11 +403,11 @@
     }
 }
 
-/// Whether an answer came so late that the store was away meanwhile.
+/// Whether an answer, or the failure of a call, came so late that the store was away in between.
 ///
-/// The time to the head of the answer tells; the body's time is the link's. A long table on a narrow
-/// link was taken for an absence, and servers that left in the two seconds behind it were kept in
-/// use as lapsed.
+/// Only the time to the head of the answer counts, since the time for the body depends on the link.
+/// When a long table on a narrow link counted as an absence, servers that left within the next two
+/// seconds were kept in use as lapsed.
 #[must_use]
 pub fn was_store_away(answer: &Result<Answer, Error>, took: Duration, hold: Duration) -> bool {
     let waited = match answer {
@@ -395,7 +417,7 @@
     waited > hold + LATE_THRESHOLD
 }
 
-/// What a call of the store took, for operators.
+/// Records metrics of a call of the store, and logs answers that changed the operators' list.
 fn record_call(list: List, hold: Duration, answer: &Result<Answer, Error>) {
     let outcome = answer.as_ref().map_or_else(Error::label, |_| "answered");
     let name = list.name();
@@ -406,6 +428,7 @@
     metrics::histogram!("node_store_body_seconds", "list" => name).record(body_ms as f64 / 1e3);
     if list == List::Operators && !update.entries.is_empty() {
         log::info!(target: "watch", list:? = list, revision:% = update.revision, bytes = arrival.bytes,
-            head_ms = arrival.head_ms, body_ms, hold_ms = hold.as_millis() as u64; "news read");
+            head_ms = arrival.head_ms, body_ms, hold_ms = hold.as_millis() as u64;
+            "update read from the store");
     }
 }
--- a/crates/node/src/watch/accept.rs
+++ b/crates/node/src/watch/accept.rs
@@ -1,4 +1,4 @@
-//! Takes what came of a list, from the store or from a peer, into what this host knows.
+//! Applies updates of a list, from the store or a peer, to this host's state.
 
 use entry::clock;
 use gateway::Codec;
@@ -9,17 +9,19 @@
 use super::{Era, Watch};
 use crate::store::{Entry, Fact, List, Store, Update};
 
-/// Changes of backend servers with a log line each; of more at once a line says how many of each kind there
-/// are. Thousands list themselves together when a deployment starts.
+/// Most changes of backend servers in an update that get a log line each. For a longer update one
+/// line tells how many there are of each kind, because thousands of servers list themselves
+/// together when a deployment starts.
 const LOGGED_MAX: usize = 16;
 
 impl<S: Store, C: Codec> Watch<S, C> {
-    /// Takes what came; false if it is older than what is known, or made of what is not known.
+    /// Applies an update. Returns false if it is older than this host's copy, or an edit of a table
+    /// that this host does not have.
     pub(super) fn accept(&self, list: List, update: &Update) -> bool {
         let follower = self.follower(list);
         let Some(update) = follower.resolve(update) else {
             log::info!(target: "watch", list:? = list, revision:% = update.revision;
-                "edit of a table that this host does not know");
+                "update ignored: it edits a table that this host does not have");
             return false;
         };
         let update = follower.reconcile(&update, clock::steady());
@@ -34,8 +36,8 @@
         taken
     }
 
-    /// The store was heard in an era. A later one than before tells that it has come back from a copy, and that rows
-    /// of this host may be lost.
+    /// Records the store's era. If it rises, the store was restored from a copy, and rows that this
+    /// host wrote may be lost.
     pub fn record_era(&self, number: u64) {
         let now = clock::steady();
         let is_back = self.era.send_if_modified(|held| match *held {
@@ -59,9 +61,10 @@
             match fact {
                 Fact::Table(table) => {
                     let version = table.version;
-                    // The store took it, so it is in force whatever is odd about it.
+                    // The store accepted the table, so it is in force even if it has faults.
                     for fault in wire::routing::check(table) {
-                        log::warn!(target: "watch", table = version, fault:% = fault; "table has a fault");
+                        log::warn!(target: "watch", table = version, fault:% = fault;
+                            "table has a fault");
                     }
                     let taken = self.catalog.accept_table(Table::clone(table));
                     changed |= taken;
@@ -78,12 +81,12 @@
                     log::info!(target: "watch", service:% = service, version:% = target, revision:%,
                         taken; "order read");
                     if taken && self.orders.send(service).is_err() {
-                        log::warn!(target: "watch", "nobody takes orders any more");
+                        log::warn!(target: "watch", "no task is left to carry out the order");
                     }
                 }
                 Fact::Unreadable(why) => {
                     log::error!(target: "watch", key:% = key, revision:%, why:% = why;
-                        "entry unreadable, the one before stays in force");
+                        "entry can't be parsed, the previous one stays in force");
                 }
                 Fact::Backend(_) | Fact::Edit(_) | Fact::Evacuation(_) | Fact::Removed => {}
             }
@@ -95,7 +98,8 @@
         true
     }
 
-    /// Takes orders to evacuate failure domains, and their ends; whether there are any.
+    /// Applies orders to evacuate failure domains and their removals. Returns whether an evacuation
+    /// began or ended.
     fn accept_evacuations(&self, update: &Update) -> bool {
         let entry = |entry: &Entry| {
             let failure_domain = match &entry.fact {
@@ -116,7 +120,8 @@
         let revision = update.revision;
         for domain in &begun {
             let servers = self.catalog.count_servers_in(domain);
-            log::info!(target: "watch", domain:% = domain, revision:%, servers; "evacuation begins");
+            log::info!(target: "watch", domain:% = domain, revision:%, servers;
+                "evacuation begins");
             if servers == Some(0) {
                 log::warn!(target: "watch", domain:% = domain, revision:%;
                     "no backend server stands in the evacuated failure domain");
@@ -210,7 +215,7 @@
                 "backend server removed");
         }
         Fact::Unreadable(why) => {
-            log::error!(target: "watch", key:% = entry.key, why:% = why; "entry unreadable");
+            log::error!(target: "watch", key:% = entry.key, why:% = why; "entry can't be parsed");
         }
         Fact::Table(_) | Fact::Edit(_) | Fact::Order(_) | Fact::Evacuation(_) => {}
     }
--- a/crates/node/src/watch/peers.rs
+++ b/crates/node/src/watch/peers.rs
@@ -1,4 +1,4 @@
-//! What hosts of a failure domain tell each other of the lists, and take from each other.
+//! Handles what peers say about the lists and roll-outs.
 
 use std::sync::Arc;
 
@@ -13,7 +13,8 @@
 use crate::store::{List, Store, Update};
 
 impl<S: Store, C: Codec> Watch<S, C> {
-    /// Another host reads a change of a list that is too long to be passed on.
+    /// A peer is reading a change that is too long to be passed on, so this host reads it from the
+    /// store as well.
     pub fn accept_incoming(&self, peer: &Name, list: List) {
         let follower = self.follower(list);
         if !follower.is_incoming() {
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Takes over how a roll-out stands, unless it is known.
+    /// Takes over the state of a roll-out unless it is known already.
     pub fn adopt_rollout(&self, rollout: RolloutState) {
         let now = clock::steady();
         let Some(before) = self.catalog.rollout(&rollout.service) else { return };
@@ -37,26 +38,27 @@
             let record = &rollout.record;
             log::info!(target: "rollout", service:% = rollout.service, version:% = record.target,
                 base:% = record.base, stage:? = record.stage, row:% = rollout.version,
-                since_ms = rollout.age_ms; "roll-out stands");
+                since_ms = rollout.age_ms; "state of the roll-out changed");
         }
         self.publish();
     }
 
-    /// What this host tells the others of the lists that it reads.
+    /// Positions of the lists that this host reads for its peers.
     #[must_use]
     pub fn positions(&self) -> Vec<Position> {
         let now = clock::steady();
         self.followers.iter().filter_map(|follower| follower.position(now)).collect()
     }
 
-    /// Another host of the failure domain is there.
+    /// Records that a peer is alive.
     pub fn record_peer(&self, peer: &Name, class: u8) {
         for follower in self.followers.iter() {
             follower.relay().met_class(peer, class, clock::steady());
         }
     }
 
-    /// Another host says how new its state of a list is; what this one lacks is had from there.
+    /// Handles a peer's position in a list. If this host lacks something, it applies the changes
+    /// that came along or fetches the update from the peer.
     pub fn accept_position(self: &Arc<Self>, peer: &Name, position: Position) {
         let follower = self.follower(position.list);
         let now = clock::steady();
@@ -71,13 +73,14 @@
                 if own < position.changed && *after <= own =>
             {
                 log::info!(target: "watch", list:? = position.list, from:% = peer, after:% = own,
-                    revision:% = update.revision, count = update.entries.len(); "news sent by a peer");
+                    revision:% = update.revision, count = update.entries.len();
+                    "changes received from a peer");
                 if !self.accept(position.list, update) {
                     follower.relay().force();
                 }
                 follower.wake();
             }
-            // This host is being sent it, or something newer.
+            // The store is sending this host the change, or a newer one.
             (Some(own), None) if own < position.changed && follower.is_incoming() => {}
             (Some(own), _) if own < position.changed => {
                 if follower.begin_fetch() {
@@ -106,9 +109,10 @@
         }
     }
 
-    /// Another host holds on to something that the store may have lost with its return from a copy. If this host started
-    /// behind that, it has taken what the store says, and takes the other's list in its place.
-    pub fn accept_overrides(self: &Arc<Self>, peer: &Name, list: List, revision: Revision) {
+    /// A peer overrides entries that the store may have lost when it was restored from a copy. If
+    /// this host was started after the restore, it has what the store says, and fetches the peer's
+    /// list in its place.
+    pub fn fetch_overrides(self: &Arc<Self>, peer: &Name, list: List, revision: Revision) {
         let follower = self.follower(list);
         let own = follower.revision().filter(|own| own.era == revision.era && *own < revision);
         if let Some(own) = own
@@ -118,10 +122,10 @@
         }
     }
 
-    /// Takes over the lists that this host could not read, from another one of its failure domain.
+    /// Fetches the lists that this host could not read from a peer that has sent a message.
     ///
-    /// A host that starts while the store is away would refuse every caller until it is back, with
-    /// neighbours beside it that serve theirs by what they have read.
+    /// Without this, a host that starts while the store is away would reject all requests until the
+    /// store is back, although its neighbours serve theirs by what they have read before.
     pub fn adopt_lists(self: &Arc<Self>, peer: &Name) {
         for list in List::ALL {
             let follower = self.follower(list);
@@ -132,10 +136,11 @@
         }
     }
 
-    /// Takes a change that this host has heard of and could not read, however long it is.
+    /// Fetches a change that this host has heard of and could not read from the store, however long
+    /// it is.
     ///
-    /// Long changes are read from the store by each host for itself; one that can't reach it would
-    /// serve by the table before for as long as that lasts.
+    /// Usually each host reads long changes from the store itself. A host that can't reach the
+    /// store would serve by the old routing table for as long as that lasts.
     pub(super) fn fetch_missing(self: &Arc<Self>, list: List) {
         let follower = self.follower(list);
         if let (Some(own), Some(from)) = (follower.revision(), follower.missing_update_source())
--- a/crates/node/src/watch/fetch.rs
+++ b/crates/node/src/watch/share.rs
@@ -1,4 +1,4 @@
-//! News of a list as hosts of a failure domain take them from each other.
+//! Fetches updates of a list from peers, and serves them to peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,23 +15,26 @@
 use crate::record::RolloutState;
 use crate::store::{List, Store, Update};
 
-/// Part of the time in which changes must be in force that is left for finding a host that gives them.
-/// Past it the store is asked: work must not go to a leaving server for much longer.
+/// Fraction of the time in which changes must be in force that may be spent on finding a peer that
+/// gives them. After it the store is asked: a draining server must not get requests for much
+/// longer.
 const FETCH_TIME_FRACTION: f64 = 0.5;
-/// Longest wait for a host that is being given the news itself, in milliseconds. Another one is asked
-/// then.
+/// Longest wait for a peer that is about to receive the update itself, in milliseconds; after it
+/// another peer is asked.
 const SOURCE_TIMEOUT_MS: u64 = 600;
-/// Pause before a host that has nothing yet is asked again, first and longest; a part of it is drawn.
+/// Shortest and longest delay before a peer that has nothing yet is asked again. It doubles each
+/// time, and the actual delay is a random fraction of it.
 const RETRY_DELAY_MIN_MS: u64 = 40;
 const RETRY_DELAY_MAX_MS: u64 = 320;
-/// Hosts asked first, in the order that all hosts agree on.
+/// Peers that are asked first, in an order on which all hosts agree.
 const ASSIGNED_SOURCES_COUNT: usize = 2;
-/// Of the hosts asked behind those one in so many is the one that announced the news.
+/// After the assigned sources, every third peer that is asked is the one that announced the update.
 const ROOT_INTERVAL: u32 = 3;
 
 impl<S: Store, C: Codec> Watch<S, C> {
-    /// Takes changes behind a revision, at `least` up to another one and however long they are, from
-    /// the hosts that have them, or asks the store. `root` has announced them.
+    /// Fetches the changes behind `after`, at least up to `least` and however long they are, from
+    /// peers; if none has them in time, this host reads the store. `root` is the peer that
+    /// announced the changes.
     pub(super) async fn fetch_update(
         self: Arc<Self>,
         root: Name,
@@ -46,9 +49,9 @@
         self.end_fetch(list, is_accepted);
     }
 
-    /// Takes all of a list from other hosts, until it is had or this host's turn has come to read it
-    /// from the store. `changed` is the list's newest change, as the other one announced, and `fresh`
-    /// when nothing newer was there.
+    /// Fetches a whole list from peers, until it has come or it is this host's turn to read it from
+    /// the store. `changed` is the revision of the list's newest change that `root` has announced,
+    /// and `fresh_at` when that was known to be current.
     pub(super) async fn fetch_first(
         self: Arc<Self>,
         root: Name,
@@ -69,19 +72,20 @@
         self.end_fetch(list, is_accepted);
     }
 
-    /// What another host has was taken, or is to be had from the store.
+    /// Ends a fetch. If it brought nothing, this host reads the list from the store.
     fn end_fetch(&self, list: List, is_accepted: bool) {
         let follower = self.follower(list);
         follower.end_fetch();
         if !is_accepted {
-            log::info!(target: "watch", list:? = list; "news not had from peers");
+            log::info!(target: "watch", list:? = list;
+                "no peer gave the update, reading the store");
             follower.relay().force();
         }
         follower.wake();
     }
 
-    /// Takes what this host lacks from one of those whose turn it is to give it, or else from any that
-    /// has it; false if nobody gave it, at `least` up to a revision, while this host waits.
+    /// Fetches what this host lacks, at least up to `least`, from the sources assigned to it, then
+    /// from any peer that has it. Returns false if no peer gave it while `has_time` was true.
     async fn fetch_from_peers(
         &self,
         root: &Name,
@@ -95,8 +99,8 @@
         let first = tree::sources((&self.host, self.class), root, hosts)
             .into_iter()
             .take(ASSIGNED_SOURCES_COUNT);
-        // When those are lost to many hosts, all asking the one that announced the news would keep it from
-        // giving them to anybody. Others have them by then.
+        // When many hosts have lost their assigned sources, all of them asking `root` would keep it
+        // from serving anybody. Other peers have the update by then.
         let fallbacks = (1..).map(|number| match number % ROOT_INTERVAL {
             0 => root.clone(),
             _ => random_host(&alive).unwrap_or(root).clone(),
@@ -122,7 +126,7 @@
         false
     }
 
-    /// What another host has to give; nothing if it can't be reached.
+    /// Requests an update from a peer. A peer that can't be reached has nothing.
     async fn request_from(
         &self,
         source: &Name,
@@ -142,14 +146,14 @@
             .increment(1);
         reply.unwrap_or_else(|error| {
             log::info!(target: "watch", list:? = list, from:% = source, error:% = error;
-                "news not given by a peer");
+                "request of an update from a peer failed");
             Reply::Nothing
         })
     }
 
     async fn accept_from(&self, source: &Name, list: List, update: &Update) -> bool {
         log::info!(target: "watch", list:? = list, from:% = source, revision:% = update.revision,
-            count = update.entries.len(), whole = update.is_whole; "news taken from a peer");
+            count = update.entries.len(), whole = update.is_whole; "update received from a peer");
         let is_accepted = self.accept(list, update);
         self.notify_overrides(source, list, update);
         if is_accepted && update.is_whole && list == List::Operators {
@@ -158,8 +162,8 @@
         is_accepted
     }
 
-    /// Tells the host that gave all of a list that this one knows of something which the store may have lost, and which
-    /// that host has never heard of.
+    /// After a whole list has come from a peer that knows of no restore: notifies it of the
+    /// overrides that this host has.
     fn notify_overrides(&self, source: &Name, list: List, update: &Update) {
         let has_overrides = self.follower(list).has_overrides();
         let is_known_to_source = !update.is_whole || update.overrides.is_some();
@@ -171,15 +175,15 @@
         }
     }
 
-    /// Takes over how roll-outs stand. Without that an order that was carried out long ago would
-    /// look like one that has just come.
+    /// Fetches the states of roll-outs. Without them an order that was carried out long ago would
+    /// look like a new one.
     async fn fetch_rollouts(&self, source: &Name) {
         let Some(address) = self.directory.address(source) else { return };
         match exchange::request_rollouts(address).await {
             Ok(records) => records.into_iter().for_each(|rollout| self.adopt_rollout(rollout)),
             Err(error) => {
                 log::warn!(target: "watch", from:% = source, error:% = error;
-                    "no roll-outs from a peer, the store is asked");
+                    "states of roll-outs not received from a peer, reading the store");
             }
         }
     }
@@ -190,7 +194,7 @@
         let follower = self.follower(list);
         match follower.revision() {
             Some(revision) if revision >= least => Availability::UpTo(follower.last_change()),
-            // Its own source has it, or will have.
+            // This host's own source has the update, or will have it.
             None => Availability::Later,
             Some(_) if follower.is_fetching() => Availability::Later,
             Some(_) => Availability::Nothing,
@@ -210,7 +214,7 @@
     (!hosts.is_empty()).then(|| &hosts[rand::random_range(..hosts.len())].0)
 }
 
-/// A part of the pause; the next one is longer.
+/// A random fraction of the delay, which doubles for the next time.
 fn random_delay(delay_ms: &mut u64) -> Duration {
     let drawn = Duration::from_millis(*delay_ms).mul_f64(rand::random());
     *delay_ms = (*delay_ms * 2).min(RETRY_DELAY_MAX_MS);
--- a/crates/node/src/watch/start.rs
+++ b/crates/node/src/watch/start.rs
@@ -1,4 +1,4 @@
-//! How a host that starts reads a list of the store, and what others are sent meanwhile.
+//! Reads a list for the first time, and coordinates this with peers that start as well.
 
 use std::time::Duration;
 
@@ -11,12 +11,13 @@
 use crate::peers::ListedHost;
 use crate::store::{Answer, List, Store};
 
-/// Between two tellings that this host is reading all of a list. Several may be lost before the
-/// others take it for gone.
+/// Interval at which peers are told that this host is reading a whole list. Several messages may be
+/// lost before the peers take it for gone.
 const READING_NOTICE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl<S: Store, C: Codec> Watch<S, C> {
-    /// Reads all of a list, and tells the others meanwhile: those that start as well wait for it.
+    /// Reads a whole list, and tells the peers meanwhile so that those that start as well wait for
+    /// it.
     pub(super) async fn read_whole(&self, list: List) -> Result<Answer, Error> {
         let mut answer = std::pin::pin!(self.store.read(list));
         loop {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// These other hosts of the failure domain are listed.
+    /// Adds the peers that are listed in the store.
     pub fn set_listed_peers(&self, listed: &[ListedHost]) {
         for follower in self.followers.iter() {
             let listed = listed.iter().map(|host| (&host.name, host.class));
@@ -36,14 +37,14 @@
         }
     }
 
-    /// Lists of which this host knows nothing yet.
+    /// Lists of which this host has no copy yet.
     #[must_use]
     pub fn unread_lists(&self) -> Vec<List> {
         let lacks = |list: &List| self.follower(*list).revision().is_none();
         List::ALL.into_iter().filter(lacks).collect()
     }
 
-    /// Another host is reading all of a list.
+    /// Records that a peer is reading a whole list.
     pub fn record_peer_reading(&self, peer: &Name, list: List) {
         self.follower(list).relay().reading(peer, clock::steady());
     }
