--- a/crates/node/tests/catalog.rs
+++ b/crates/node/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! What was read becomes what requests are decided by.
+//! Snapshots that are built from what was read from the store.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,26 +14,26 @@
 const NOW: Millis = Millis(1_000);
 const TABLES: u64 = 20_000;
 
-/// Two lists published at the same time: a world made before a table came replaced the one made
-/// after it, and the host refused all requests.
+/// Guards against a snapshot built before a routing table arrived that replaces the one built after
+/// it when both lists publish at the same time. The host then rejected all requests.
 #[test]
 fn publish_newest_table_stays() {
     let catalog = Arc::new(Catalog::new(Name::from("a")));
-    let place = Arc::new(ArcSwap::from_pointee(World::default()));
+    let target = Arc::new(ArcSwap::from_pointee(World::default()));
     let ended = Arc::new(AtomicBool::new(false));
     let other = {
-        let (catalog, place, ended) =
-            (Arc::clone(&catalog), Arc::clone(&place), Arc::clone(&ended));
+        let (catalog, target, ended) =
+            (Arc::clone(&catalog), Arc::clone(&target), Arc::clone(&ended));
         std::thread::spawn(move || {
             while !ended.load(Ordering::Relaxed) {
-                catalog.publish(&place, NOW);
+                catalog.publish(&target, NOW);
             }
         })
     };
     for version in 1..=TABLES {
         catalog.accept_table(Table { version, ..Table::default() });
-        catalog.publish(&place, NOW);
-        assert_eq!(place.load().index.version, version);
+        catalog.publish(&target, NOW);
+        assert_eq!(target.load().index.version, version);
     }
     ended.store(true, Ordering::Relaxed);
     other.join().unwrap();
@@ -56,13 +56,13 @@
     }
 }
 
-/// What is left of a server's warm-up once it is listed so, in milliseconds.
+/// Remaining warm-up of a server right after it was listed so, in milliseconds.
 fn warmup_ms(listed: wire::routing::Backend) -> u64 {
-    let (catalog, place) = (catalog(), ArcSwap::from_pointee(World::default()));
+    let (catalog, target) = (catalog(), ArcSwap::from_pointee(World::default()));
     catalog.with_roster(|roster| roster.put(listed.clone(), 1.into()));
     catalog.set_warmup(&listed, NOW);
-    catalog.publish(&place, NOW);
-    left(&place, NOW)
+    catalog.publish(&target, NOW);
+    remaining_warmup_ms(&target, NOW)
 }
 
 fn catalog() -> Catalog {
@@ -77,34 +77,35 @@
     catalog
 }
 
-fn left(place: &ArcSwap<World>, now: Millis) -> u64 {
-    let world = place.load();
+fn remaining_warmup_ms(target: &ArcSwap<World>, now: Millis) -> u64 {
+    let world = target.load();
     let backend = &world.pools[SERVICE].backends[0];
     backend.with_intake(|intake| intake.throttle.warmup_ms(now))
 }
 
 #[test]
-fn warms_as_long_as_the_server_says() {
+fn set_warmup_announced_by_the_server() {
     assert_eq!(warmup_ms(server("a", Some(1_200))), 1_200);
     assert_eq!(warmup_ms(server("a", Some(0))), 0);
 }
 
-/// Guards against a new server that is taken for warm because it says nothing.
+/// Guards against a new server that counts as warm because its entry does not mention a warm-up.
 #[test]
-fn warms_new_server_that_says_nothing_is_cold() {
+fn set_warmup_new_server_without_announcement_is_cold() {
     assert_eq!(warmup_ms(server("a", None)), WARMUP.ms);
 }
 
 /// Guards against an entry that keeps a server from its work for good.
 #[test]
-fn warms_for_a_day_is_believed_for_a_minute() {
+fn set_warmup_of_a_day_is_limited_to_a_minute() {
     assert_eq!(warmup_ms(server("a", Some(86_400_000))), 60_000);
 }
 
-/// Guards against servers that are sent everything when the evacuation of their domain ends.
+/// Guards against servers that get all their requests at once when the evacuation of their failure
+/// domain ends.
 #[test]
-fn take_evacuations_end_leaves_servers_cold() {
-    let (catalog, place) = (catalog(), ArcSwap::from_pointee(World::default()));
+fn accept_evacuations_end_leaves_servers_cold() {
+    let (catalog, target) = (catalog(), ArcSwap::from_pointee(World::default()));
     let listed = server("b", Some(0));
     catalog.with_roster(|roster| roster.put(listed.clone(), 1.into()));
     let entry = |revision, failure_domain| evacuation::Entry {
@@ -113,10 +114,10 @@
         failure_domain,
     };
     catalog.accept_evacuations(&[entry(2.into(), Some(Name::from("b")))], 2.into(), false, NOW);
-    catalog.publish(&place, NOW);
-    assert!(place.load().pools[SERVICE].backends.is_empty());
-    let back = NOW + 9_000;
-    catalog.accept_evacuations(&[entry(3.into(), None)], 3.into(), false, back);
-    catalog.publish(&place, back);
-    assert_eq!(left(&place, back), WARMUP.ms);
+    catalog.publish(&target, NOW);
+    assert!(target.load().pools[SERVICE].backends.is_empty());
+    let ended_at = NOW + 9_000;
+    catalog.accept_evacuations(&[entry(3.into(), None)], 3.into(), false, ended_at);
+    catalog.publish(&target, ended_at);
+    assert_eq!(remaining_warmup_ms(&target, ended_at), WARMUP.ms);
 }
--- a/crates/node/tests/history.rs
+++ b/crates/node/tests/history.rs
@@ -1,4 +1,4 @@
-//! What a host that has read a list can tell others that know an older state of it.
+//! What a host that has read a list sends to peers with older copies.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -23,29 +23,29 @@
 }
 
 fn keys(update: &Update) -> BTreeSet<(&str, bool)> {
-    let key = |entry: &'_ Entry| entry.fact == Fact::Removed;
-    update.entries.iter().map(|entry| (entry.key.as_str(), key(entry))).collect()
+    let is_removed = |entry: &'_ Entry| entry.fact == Fact::Removed;
+    update.entries.iter().map(|entry| (entry.key.as_str(), is_removed(entry))).collect()
 }
 
-/// The store dropped its history: the one host that reads sent all others of its failure domain the
-/// whole list, which they could have from the store only.
+/// Guards against sending the whole list to all peers after the store has dropped its history. Only
+/// one host per failure domain reads the store then, and the peers need just the changes.
 #[test]
-fn behind_list_read_afresh_is_told_as_changes() {
+fn update_since_whole_list_is_sent_as_changes() {
     let mut history = History::new(0);
     history.apply(&update(10, true, &[("a", 3), ("b", 4), ("c", 5)]));
     history.apply(&update(20, false, &[("b", 18)]));
     history.apply(&update(30, true, &[("a", 3), ("b", 25), ("d", 27)]));
-    let behind = history.update_since(Revision::from(20), NOW).unwrap();
-    assert!(!behind.is_whole);
-    assert_eq!(keys(&behind), BTreeSet::from([("b", false), ("c", true), ("d", false)]));
+    let changes = history.update_since(Revision::from(20), NOW).unwrap();
+    assert!(!changes.is_whole);
+    assert_eq!(keys(&changes), BTreeSet::from([("b", false), ("c", true), ("d", false)]));
     assert_eq!(history.last_change(), Revision::from(30));
     let earlier = history.update_since(Revision::from(10), NOW).unwrap();
     assert!(!earlier.is_whole);
-    assert_eq!(keys(&earlier), keys(&behind));
+    assert_eq!(keys(&earlier), keys(&changes));
 }
 
 #[test]
-fn behind_list_read_afresh_without_changes_is_empty() {
+fn update_since_unchanged_whole_list_is_empty() {
     let mut history = History::new(0);
     history.apply(&update(10, true, &[("a", 3)]));
     history.apply(&update(30, true, &[("a", 3)]));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn behind_nothing_known_is_the_whole_list() {
+fn update_since_no_copy_is_the_whole_list() {
     let mut history = History::new(0);
     assert_eq!(history.update_since(Revision::from(0), NOW), None);
     history.apply(&update(0, true, &[]));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn behind_older_than_the_first_read_is_the_whole_list() {
+fn update_since_before_the_first_read_is_the_whole_list() {
     let mut history = History::new(0);
     history.apply(&update(10, true, &[("a", 3)]));
     history.apply(&update(12, false, &[("a", 12)]));
@@ -73,9 +73,9 @@
     assert!(!history.update_since(Revision::from(10), NOW).unwrap().is_whole);
 }
 
-/// A late answer of the store brought back an old state of the list.
+/// Guards against a late answer of the store that brings back an old state of the list.
 #[test]
-fn take_older_list_removes_nothing() {
+fn apply_older_list_removes_nothing() {
     let mut history = History::new(0);
     history.apply(&update(30, true, &[("a", 3), ("b", 25)]));
     history.apply(&update(20, true, &[("a", 3)]));
@@ -83,7 +83,7 @@
     assert_eq!(history.revision(), Some(Revision::from(30)));
 }
 
-/// A table of so many routes, all with a time.
+/// A table of 40 routes, whose first one has the given timeout.
 fn table(version: u64, timeout_ms: u64) -> Fact {
     let route = |number: u64| Route {
         name: Name::from(format!("route-{number}")),
@@ -114,54 +114,54 @@
     matches!(entry.fact, Fact::Edit(_))
 }
 
-/// Guards against hosts that each read a long table from the store for a change of one route.
+/// Guards against each host reading a long table from the store for a change of one route.
 #[test]
-fn behind_table_is_told_as_edits() {
+fn update_since_table_is_sent_as_edits() {
     let (mut reader, mut other) = (History::new(0), History::new(0));
     reader.apply(&table_update(1, true));
     other.apply(&table_update(1, true));
     (2..6).for_each(|version| reader.apply(&table_update(version, false)));
-    let behind = reader.update_since(Revision::from(10), NOW).unwrap();
-    assert_eq!(behind.entries.len(), 4);
-    assert!(behind.entries.iter().all(is_edit));
-    assert!(serde_json::to_vec(&behind).unwrap().len() < 3_000);
-    let made = other.resolve(&behind).unwrap();
-    assert_eq!(made.entries.last().unwrap().fact, table(5, 1_005));
-    other.apply(&made);
+    let changes = reader.update_since(Revision::from(10), NOW).unwrap();
+    assert_eq!(changes.entries.len(), 4);
+    assert!(changes.entries.iter().all(is_edit));
+    assert!(serde_json::to_vec(&changes).unwrap().len() < 3_000);
+    let resolved = other.resolve(&changes).unwrap();
+    assert_eq!(resolved.entries.last().unwrap().fact, table(5, 1_005));
+    other.apply(&resolved);
     assert_eq!(
         other.update_since(Revision::from(40), NOW).unwrap(),
         reader.update_since(Revision::from(40), NOW).unwrap()
     );
-    // Heard twice, or late, they change nothing.
-    assert_eq!(other.resolve(&behind).unwrap().entries.last().unwrap().fact, table(5, 1_005));
+    // Edits that arrive twice or late change nothing.
+    assert_eq!(other.resolve(&changes).unwrap().entries.last().unwrap().fact, table(5, 1_005));
 }
 
-/// Guards against an edit that is applied to another table than the one that it is of.
+/// Guards against an edit being applied to a table that it is not based on.
 #[test]
 fn resolve_edit_of_an_unknown_table_is_none() {
     let mut reader = History::new(0);
     (1..4).for_each(|version| reader.apply(&table_update(version, version == 1)));
-    let behind = reader.update_since(Revision::from(20), NOW).unwrap();
-    assert!(behind.entries.iter().all(is_edit));
-    assert!(History::new(0).resolve(&behind).is_none());
+    let changes = reader.update_since(Revision::from(20), NOW).unwrap();
+    assert!(changes.entries.iter().all(is_edit));
+    assert!(History::new(0).resolve(&changes).is_none());
     let mut older = History::new(0);
     older.apply(&table_update(1, true));
-    assert!(older.resolve(&behind).is_none());
+    assert!(older.resolve(&changes).is_none());
 }
 
-/// A host that knows a table from before all edits that are kept is told the whole one.
+/// A peer whose table is older than all edits that are kept is sent the whole table.
 #[test]
-fn behind_older_than_the_edits_is_the_whole_table() {
+fn update_since_before_the_edits_is_the_whole_table() {
     let mut reader = History::new(0);
     (1..40).for_each(|version| reader.apply(&table_update(version, version == 1)));
     assert!(!is_edit(&reader.update_since(Revision::from(100), NOW).unwrap().entries[0]));
     assert!(is_edit(&reader.update_since(Revision::from(380), NOW).unwrap().entries[0]));
 }
 
-/// Guards against hosts that are sent the whole list since more servers were replaced than removals are
-/// kept: 45 in 100 of ten thousand within some seconds.
+/// Guards against sending the whole list because more servers were replaced than removals are kept:
+/// 45 % of ten thousand servers within some seconds.
 #[test]
-fn behind_half_of_a_large_fleet_is_replaced() {
+fn update_since_half_of_a_large_deployment_is_replaced() {
     for servers in [10, 1_000, 10_000] {
         let mut history = History::new(0);
         let keys: Vec<String> = (0..2 * servers).map(|number| format!("i-{number}")).collect();
@@ -171,30 +171,30 @@
         for number in 0..replaced {
             let revision = 2 + 2 * number as u64;
             history.apply(&update(revision, false, &[(&keys[servers + number], revision)]));
-            let gone = Entry { fact: Fact::Removed, ..entry(&keys[number], revision + 1) };
+            let removal = Entry { fact: Fact::Removed, ..entry(&keys[number], revision + 1) };
             history.apply(&Update {
-                entries: vec![gone],
+                entries: vec![removal],
                 revision: (revision + 1).into(),
                 ..Update::default()
             });
         }
-        let behind = history.update_since(Revision::from(1), NOW).unwrap();
-        assert!(!behind.is_whole);
-        assert_eq!(behind.entries.len(), 2 * replaced);
+        let changes = history.update_since(Revision::from(1), NOW).unwrap();
+        assert!(!changes.is_whole);
+        assert_eq!(changes.entries.len(), 2 * replaced);
         assert_eq!(history.update_since(Revision::from(0), NOW).unwrap().entries.len(), servers);
     }
 }
 
-/// Removals do not pile up for as long as a host runs.
+/// Guards against removals that accumulate for as long as a host runs.
 #[test]
-fn take_removals_are_bounded_by_what_is_listed() {
+fn apply_removals_are_bounded_by_the_listed_entries() {
     let mut history = History::new(0);
     history.apply(&update(1, true, &[("first", 1)]));
     for revision in 2..6_000 {
         let key = format!("i-{revision}");
-        let gone = Entry { fact: Fact::Removed, ..entry(&key, revision) };
+        let removal = Entry { fact: Fact::Removed, ..entry(&key, revision) };
         history.apply(&Update {
-            entries: vec![gone],
+            entries: vec![removal],
             revision: revision.into(),
             ..Update::default()
         });
--- a/crates/node/tests/message.rs
+++ b/crates/node/tests/message.rs
@@ -41,36 +41,37 @@
     })
 }
 
-fn read(pieces: &[Vec<u8>]) -> Vec<Entry> {
-    let read = |piece: &Vec<u8>| serde_json::from_slice::<Message>(piece).unwrap();
-    pieces.iter().map(read).flat_map(|message| message.entries).collect()
+fn parse(datagrams: &[Vec<u8>]) -> Vec<Entry> {
+    let parse = |datagram: &Vec<u8>| serde_json::from_slice::<Message>(datagram).unwrap();
+    datagrams.iter().map(parse).flat_map(|message| message.entries).collect()
 }
 
 fn message(entries: Vec<Entry>) -> Message {
     Message { host: Name::from("host-1"), class: 1, forward: 0, now: NOW, entries }
 }
 
-/// Guards against a stage that is left out because much else is to be said.
+/// Guards against the stage of a roll-out being left out because the message has many other
+/// entries.
 #[test]
-fn pieces_leave_nothing_out() {
+fn datagrams_hold_all_entries() {
     let suspects = (0..100).map(suspect);
     let entries: Vec<Entry> =
         suspects.chain([record(Stage::Done)]).chain((0..50).map(limit)).collect();
-    let pieces = message(entries.clone()).datagrams();
-    assert!(pieces.iter().all(|piece| piece.len() <= BYTES_MAX));
-    assert_eq!(read(&pieces), entries);
+    let datagrams = message(entries.clone()).datagrams();
+    assert!(datagrams.iter().all(|datagram| datagram.len() <= BYTES_MAX));
+    assert_eq!(parse(&datagrams), entries);
 }
 
 #[test]
-fn pieces_short_message_is_one() {
+fn datagrams_short_message_is_one() {
     assert_eq!(message(vec![record(Stage::Moving), limit(1)]).datagrams().len(), 1);
     assert_eq!(message(Vec::new()).datagrams().len(), 1);
 }
 
 #[test]
-fn pieces_entry_that_fits_nowhere_does_not_take_others_along() {
+fn datagrams_too_long_entry_is_the_only_one_dropped() {
     let backend = Name::from("x".repeat(2 * BYTES_MAX));
     let long = Entry::Prefill(Prefill { backend, read_ms: 5, rank: 0 });
-    let pieces = message(vec![long, record(Stage::Done)]).datagrams();
-    assert_eq!(read(&pieces), [record(Stage::Done)]);
+    let datagrams = message(vec![long, record(Stage::Done)]).datagrams();
+    assert_eq!(parse(&datagrams), [record(Stage::Done)]);
 }
--- a/crates/node/tests/restored.rs
+++ b/crates/node/tests/restored.rs
@@ -1,4 +1,5 @@
-//! What a host makes of a list after the store has come back from a copy, and what others take from it.
+//! What a host does with a list after the store was restored from a copy, and what peers take from
+//! it.
 
 use std::sync::Arc;
 
@@ -10,7 +11,7 @@
 use policy::time::Millis;
 use wire::routing::{Backend, Order, Table};
 
-const BACK: Millis = Millis(1_000_000);
+const RESTORED_AT: Millis = Millis(1_000_000);
 const MISSING_MS: u64 = 2_000;
 
 fn server(id: &str, draining: bool) -> Fact {
@@ -44,146 +45,157 @@
     Update { entries, revision: Revision::new(era, number), is_whole, overrides: None }
 }
 
-/// Takes news as a host does.
-fn take(history: &mut History, update: &Update, now: Millis) {
+/// Applies an update as a host does.
+fn accept(history: &mut History, update: &Update, now: Millis) {
     let reconciled = history.reconcile(update, now).update.into_owned();
     history.apply(&reconciled);
 }
 
-/// Takes what is due from what was held on to.
-fn settle(history: &mut History, now: Millis) -> usize {
+/// Gives up the overrides whose time has come. Returns how many.
+fn expire_overrides(history: &mut History, now: Millis) -> usize {
     let due = history.expire_overrides(now);
     due.iter().for_each(|update| history.apply(update));
     due.map_or(0, |update| update.entries.len())
 }
 
-/// What a host has under a key, as another one is given it.
-fn held(history: &History, key: &str) -> Option<Fact> {
-    let all = history.update_since(Revision::NONE, BACK).unwrap();
+/// The content that a host has under a key, as it gives it to peers.
+fn content(history: &History, key: &str) -> Option<Fact> {
+    let all = history.update_since(Revision::NONE, RESTORED_AT).unwrap();
     all.entries.into_iter().find(|entry| &*entry.key == key).map(|entry| entry.fact)
 }
 
-/// A host that knows what was written up to 500; the store comes back as of 300.
-fn knows(entries: Vec<Entry>) -> History {
+/// A host that knows all changes up to number 500, for a store that is restored as of 300.
+fn host_with(entries: Vec<Entry>) -> History {
     let mut history = History::new(MISSING_MS);
     history.apply(&update(1, 300, true, vec![entry("a", 1, 250, server("a", false))]));
     history.apply(&update(1, 500, false, entries));
     history
 }
 
-fn copy() -> Update {
+fn restored_list() -> Update {
     update(2, 310, true, vec![entry("a", 2, 250, server("a", false))])
 }
 
-/// Guards against a server that gets work again because the copy has it from before it said that it leaves.
+/// Guards against a draining server that gets requests again because the copy is from before it
+/// began to drain.
 #[test]
-fn reconcile_leave_before_the_copy_stays() {
-    let mut host = knows(vec![entry("a", 1, 480, server("a", true))]);
-    take(&mut host, &copy(), BACK);
-    assert_eq!(held(&host, "a"), Some(server("a", true)));
-    // Also when the list is read again, and for a host that starts and takes it from there.
-    take(&mut host, &copy(), BACK + 500);
-    assert_eq!(held(&host, "a"), Some(server("a", true)));
-    let mut late = History::new(MISSING_MS);
-    take(&mut late, &host.update_since(Revision::NONE, BACK + 500).unwrap(), BACK + 500);
-    assert_eq!(held(&late, "a"), Some(server("a", true)));
-}
-
-/// Guards against the same at a host that started behind the return and read the copy itself.
+fn reconcile_draining_server_stays_draining() {
+    let mut host = host_with(vec![entry("a", 1, 480, server("a", true))]);
+    accept(&mut host, &restored_list(), RESTORED_AT);
+    assert_eq!(content(&host, "a"), Some(server("a", true)));
+    // The server also stays draining when the list is read again, and for a host that starts and
+    // fetches the list from this one.
+    accept(&mut host, &restored_list(), RESTORED_AT + 500);
+    assert_eq!(content(&host, "a"), Some(server("a", true)));
+    let mut late_host = History::new(MISSING_MS);
+    accept(
+        &mut late_host,
+        &host.update_since(Revision::NONE, RESTORED_AT + 500).unwrap(),
+        RESTORED_AT + 500,
+    );
+    assert_eq!(content(&late_host, "a"), Some(server("a", true)));
+}
+
+/// Guards against the same at a host that was started after the restore and read the copy itself.
 #[test]
-fn reconcile_is_newer_than_the_list_alone() {
-    let mut host = knows(vec![entry("a", 1, 480, Fact::Removed)]);
-    let mut late = History::new(MISSING_MS);
-    take(&mut host, &copy(), BACK);
-    take(&mut late, &copy(), BACK);
-    assert!(late.revision() < host.revision());
-    let own = late.revision().unwrap();
-    take(&mut late, &host.update_since(own, BACK + 10).unwrap(), BACK + 10);
-    assert_eq!(held(&late, "a"), None);
-    // And it does not stay so for good if the server is there after all.
-    assert_eq!(settle(&mut late, BACK + REWRITTEN_MS - 1), 0);
-    assert_eq!(settle(&mut late, BACK + 10 + REWRITTEN_MS), 1);
-    assert_eq!(held(&late, "a"), Some(server("a", false)));
-}
-
-/// Guards against callers refused because the copy lacks servers that are there, and against gone ones in use.
+fn reconcile_overrides_reach_a_host_that_read_the_list_itself() {
+    let mut host = host_with(vec![entry("a", 1, 480, Fact::Removed)]);
+    let mut late_host = History::new(MISSING_MS);
+    accept(&mut host, &restored_list(), RESTORED_AT);
+    accept(&mut late_host, &restored_list(), RESTORED_AT);
+    assert!(late_host.revision() < host.revision());
+    let own = late_host.revision().unwrap();
+    accept(&mut late_host, &host.update_since(own, RESTORED_AT + 10).unwrap(), RESTORED_AT + 10);
+    assert_eq!(content(&late_host, "a"), None);
+    // The override is given up if the server turns out to be there.
+    assert_eq!(expire_overrides(&mut late_host, RESTORED_AT + REWRITTEN_MS - 1), 0);
+    assert_eq!(expire_overrides(&mut late_host, RESTORED_AT + 10 + REWRITTEN_MS), 1);
+    assert_eq!(content(&late_host, "a"), Some(server("a", false)));
+}
+
+/// Guards against rejected requests because the copy lacks running servers, and against requests to
+/// servers that are gone.
 #[test]
 fn reconcile_missing_server_is_kept_for_a_while() {
-    let mut host =
-        knows(vec![entry("b", 1, 470, server("b", false)), entry("c", 1, 480, server("c", false))]);
-    take(&mut host, &copy(), BACK);
-    assert!(held(&host, "b").is_some() && held(&host, "c").is_some());
-    take(
+    let mut host = host_with(vec![
+        entry("b", 1, 470, server("b", false)),
+        entry("c", 1, 480, server("c", false)),
+    ]);
+    accept(&mut host, &restored_list(), RESTORED_AT);
+    assert!(content(&host, "b").is_some() && content(&host, "c").is_some());
+    accept(
         &mut host,
         &update(2, 320, false, vec![entry("c", 2, 320, server("c", false))]),
-        BACK + 900,
+        RESTORED_AT + 900,
     );
-    assert_eq!(settle(&mut host, BACK + MISSING_MS), 1);
-    assert!(held(&host, "b").is_none() && held(&host, "c").is_some());
+    assert_eq!(expire_overrides(&mut host, RESTORED_AT + MISSING_MS), 1);
+    assert!(content(&host, "b").is_none() && content(&host, "c").is_some());
 }
 
-/// Guards against a table that comes back older, at once or when everything else has settled.
+/// Guards against an older table coming back, at once or when all overrides have been given up.
 #[test]
 fn reconcile_table_never_goes_back() {
     let mut host = History::new(REWRITTEN_MS);
     host.apply(&update(1, 300, true, vec![entry("config", 1, 250, table(7))]));
     host.apply(&update(1, 500, false, vec![entry("config", 1, 490, table(9))]));
-    let copy = update(2, 310, true, vec![entry("config", 2, 250, table(7))]);
-    take(&mut host, &copy, BACK);
-    settle(&mut host, BACK + 2 * REWRITTEN_MS);
-    take(&mut host, &copy, BACK + 3 * REWRITTEN_MS);
-    assert_eq!(held(&host, "config"), Some(table(9)));
+    let restored_list = update(2, 310, true, vec![entry("config", 2, 250, table(7))]);
+    accept(&mut host, &restored_list, RESTORED_AT);
+    expire_overrides(&mut host, RESTORED_AT + 2 * REWRITTEN_MS);
+    accept(&mut host, &restored_list, RESTORED_AT + 3 * REWRITTEN_MS);
+    assert_eq!(content(&host, "config"), Some(table(9)));
     let later = update(2, 320, false, vec![entry("config", 2, 320, table(11))]);
-    take(&mut host, &later, BACK + 4 * REWRITTEN_MS);
-    assert_eq!(held(&host, "config"), Some(table(11)));
+    accept(&mut host, &later, RESTORED_AT + 4 * REWRITTEN_MS);
+    assert_eq!(content(&host, "config"), Some(table(11)));
 }
 
-/// Guards against an evacuation that ends because the copy lacks it, and against one that is taken for undone
-/// though it was ordered after the return.
+/// Guards against an evacuation that ends because the copy lacks it, and against an evacuation that
+/// is ignored although it was ordered after the restore.
 #[test]
 fn reconcile_evacuation_holds_until_written_again() {
     let evacuation = Fact::Evacuation(Name::from("a"));
     let mut host = History::new(REWRITTEN_MS);
     host.apply(&update(1, 300, true, Vec::new()));
     host.apply(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, evacuation.clone())]));
-    take(&mut host, &update(2, 310, true, Vec::new()), BACK);
-    assert_eq!(held(&host, "evacuate/a"), Some(evacuation.clone()));
-    // Written again it is no longer held on to, and its end counts.
+    accept(&mut host, &update(2, 310, true, Vec::new()), RESTORED_AT);
+    assert_eq!(content(&host, "evacuate/a"), Some(evacuation.clone()));
+    // Once the evacuation was written again it is no override any more, and its removal ends it.
     let again = entry("evacuate/a", 2, 320, evacuation.clone());
-    take(&mut host, &update(2, 320, false, vec![again]), BACK + 800);
+    accept(&mut host, &update(2, 320, false, vec![again]), RESTORED_AT + 800);
     let end = entry("evacuate/a", 2, 330, Fact::Removed);
-    take(&mut host, &update(2, 330, false, vec![end]), BACK + 900);
-    assert_eq!(held(&host, "evacuate/a"), None);
-    // One that had ended, and is ordered anew at a number that was given out before.
+    accept(&mut host, &update(2, 330, false, vec![end]), RESTORED_AT + 900);
+    assert_eq!(content(&host, "evacuate/a"), None);
+    // An evacuation that had ended is ordered anew, under a number that was used before the
+    // restore.
     let mut other = History::new(REWRITTEN_MS);
     other.apply(&update(1, 300, true, vec![entry("evacuate/a", 1, 200, evacuation.clone())]));
     other.apply(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, Fact::Removed)]));
-    let fresh_at = entry("evacuate/a", 2, 400, evacuation.clone());
-    take(&mut other, &update(2, 400, true, vec![fresh_at]), BACK);
-    assert_eq!(held(&other, "evacuate/a"), Some(evacuation));
+    let reordered = entry("evacuate/a", 2, 400, evacuation.clone());
+    accept(&mut other, &update(2, 400, true, vec![reordered]), RESTORED_AT);
+    assert_eq!(content(&other, "evacuate/a"), Some(evacuation));
 }
 
-/// Guards against an order of before that is carried out in place of the last one.
+/// Guards against an older order being carried out in place of the latest one.
 #[test]
-fn reconcile_older_order_is_not_taken() {
+fn reconcile_older_order_is_not_accepted() {
     let mut host = History::new(REWRITTEN_MS);
     host.apply(&update(1, 300, true, vec![entry("rollout/desk", 1, 200, order("v2", 200))]));
     host.apply(&update(1, 500, false, vec![entry("rollout/desk", 1, 480, order("v3", 480))]));
-    let copy = update(2, 310, true, vec![entry("rollout/desk", 2, 200, order("v2", 200))]);
-    take(&mut host, &copy, BACK);
-    assert_eq!(held(&host, "rollout/desk"), Some(order("v3", 480)));
-    // Never written again, it is given up in the end.
-    assert_eq!(settle(&mut host, BACK + REWRITTEN_MS), 1);
-    assert_eq!(held(&host, "rollout/desk"), Some(order("v2", 200)));
+    let restored_list = update(2, 310, true, vec![entry("rollout/desk", 2, 200, order("v2", 200))]);
+    accept(&mut host, &restored_list, RESTORED_AT);
+    assert_eq!(content(&host, "rollout/desk"), Some(order("v3", 480)));
+    // The override is given up if the order is never written again.
+    assert_eq!(expire_overrides(&mut host, RESTORED_AT + REWRITTEN_MS), 1);
+    assert_eq!(content(&host, "rollout/desk"), Some(order("v2", 200)));
 }
 
-/// Guards against what was lost by a second return while the first is not settled.
+/// Guards against losing what a second restore lacks while the overrides of the first are still
+/// held.
 #[test]
-fn reconcile_second_return_begins_anew() {
-    let mut host = knows(vec![entry("a", 1, 480, server("a", true))]);
-    take(&mut host, &copy(), BACK);
+fn reconcile_second_restore_starts_over() {
+    let mut host = host_with(vec![entry("a", 1, 480, server("a", true))]);
+    accept(&mut host, &restored_list(), RESTORED_AT);
     let second = update(3, 290, true, vec![entry("a", 3, 250, server("a", false))]);
-    take(&mut host, &second, BACK + 9_000);
-    settle(&mut host, BACK + REWRITTEN_MS + 1);
-    assert_eq!(held(&host, "a"), Some(server("a", true)));
+    accept(&mut host, &second, RESTORED_AT + 9_000);
+    expire_overrides(&mut host, RESTORED_AT + REWRITTEN_MS + 1);
+    assert_eq!(content(&host, "a"), Some(server("a", true)));
 }
--- a/crates/node/tests/restored_fleet.rs
+++ b/crates/node/tests/restored_fleet.rs
@@ -1,5 +1,6 @@
-//! A model of a whole deployment whose store comes back from a copy: who undoes what was acknowledged, who misses what
-//! comes behind it. Lists and hosts are modelled, calls and their times are not.
+//! A model of a whole deployment whose store is restored from a copy. It shows which hosts undo
+//! acknowledged changes, and which miss later ones. Lists and hosts are modelled; calls and their
+//! durations are not.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,12 +14,14 @@
 use wire::routing::{Backend, Table};
 
 const START: Millis = Millis(1_000_000);
-/// Between two readings, in milliseconds; as long as news take through a failure domain.
-const ROUND_MS: u64 = 200;
+/// Interval between two reads of the store, in milliseconds; an update takes as long through a
+/// failure domain.
+const ROUND_INTERVAL_MS: u64 = 200;
 const MISSING_MS: u64 = 2_000;
 const DOMAINS: usize = 6;
 const SERVERS: usize = 40;
-/// In which a change is in force, in milliseconds, and what a host must have been in reach for to be bound.
+/// Time within which a change must be in force, in milliseconds. It binds only hosts that were
+/// connected for as long.
 const IN_FORCE_MS: u64 = 3_000;
 
 #[derive(Clone, Default)]
@@ -48,10 +51,10 @@
 
     fn read(&self) -> Update {
         let entries = self.rows.iter().map(|(key, (number, fact))| self.entry(key, *number, fact));
-        Update { entries: entries.collect(), is_whole: true, ..self.nothing() }
+        Update { entries: entries.collect(), is_whole: true, ..self.empty_update() }
     }
 
-    /// The whole list where changes behind a revision are not to be had.
+    /// The changes behind a revision, or the whole list if they are not available.
     fn changes(&self, after: Revision) -> Update {
         if after.era != self.era || after.number > self.number {
             return self.read();
@@ -60,10 +63,10 @@
         let changed = changed.map(|(key, (number, fact))| self.entry(key, *number, fact));
         let removed = self.removed.iter().filter(|(_, number)| **number > after.number);
         let removed = removed.map(|(key, number)| self.entry(key, *number, &Fact::Removed));
-        Update { entries: changed.chain(removed).collect(), ..self.nothing() }
+        Update { entries: changed.chain(removed).collect(), ..self.empty_update() }
     }
 
-    fn nothing(&self) -> Update {
+    fn empty_update(&self) -> Update {
         Update { revision: Revision::new(self.era, self.number), ..Update::default() }
     }
 
@@ -75,22 +78,22 @@
 
 struct Host {
     history: History,
-    /// Neither the store nor other hosts are reached until then.
-    cut_until: Millis,
+    /// Until then the host reaches neither the store nor its peers.
+    unreachable_until: Millis,
 }
 
 impl Host {
-    fn take(&mut self, update: &Update, now: Millis) {
+    fn accept(&mut self, update: &Update, now: Millis) {
         let resolved = self.history.resolve(update).expect("edits of a known table").into_owned();
         let reconciled = self.history.reconcile(&resolved, now).update.into_owned();
         self.history.apply(&reconciled);
     }
 
-    fn own(&self) -> Revision {
+    fn revision(&self) -> Revision {
         self.history.revision().unwrap_or_default()
     }
 
-    /// What it has under a key.
+    /// Content that the host has under a key.
     fn fact(&self, key: &str) -> Option<Fact> {
         let all = self.history.update_since(Revision::NONE, START)?.entries;
         all.into_iter().find(|entry| &*entry.key == key).map(|entry| entry.fact)
@@ -108,67 +111,68 @@
         let mut store = Store::default();
         store.put("config", table(7));
         (0..SERVERS).for_each(|number| store.put(&format!("b{number}"), server(number, false)));
-        let host = |_| Host { history: History::new(MISSING_MS), cut_until: START };
+        let host = |_| Host { history: History::new(MISSING_MS), unreachable_until: START };
         let mut fleet = Self { store, hosts: (0..count).map(host).collect(), now: START };
-        fleet.run(IN_FORCE_MS + ROUND_MS);
+        fleet.run(IN_FORCE_MS + ROUND_INTERVAL_MS);
         fleet
     }
 
     fn run(&mut self, ms: u64) {
-        for _ in 0..ms.div_ceil(ROUND_MS) {
-            self.now = self.now + ROUND_MS;
+        for _ in 0..ms.div_ceil(ROUND_INTERVAL_MS) {
+            self.now = self.now + ROUND_INTERVAL_MS;
             (0..DOMAINS.min(self.hosts.len())).for_each(|domain| self.round(domain));
         }
     }
 
-    /// One host of a domain reads, the others take it from there; one that was given less than the others hold on to
-    /// takes that from them.
+    /// One host of a failure domain reads the store, and its peers fetch from it. A host whose
+    /// update has fewer overrides than its peers hold fetches these from them.
     fn round(&mut self, domain: usize) {
         let now = self.now;
         let count = self.hosts.len();
         let here = (domain..count).step_by(DOMAINS);
-        let here: Vec<usize> = here.filter(|host| self.hosts[*host].cut_until <= now).collect();
+        let here: Vec<usize> =
+            here.filter(|host| self.hosts[*host].unreachable_until <= now).collect();
         for host in &here {
             if let Some(update) = self.hosts[*host].history.expire_overrides(now) {
                 self.hosts[*host].history.apply(&update);
             }
         }
         let Some(reader) = here.first().copied() else { return };
-        let update = self.store.changes(self.hosts[reader].own());
-        self.hosts[reader].take(&update, now);
+        let update = self.store.changes(self.hosts[reader].revision());
+        self.hosts[reader].accept(&update, now);
         for _ in 0..2 {
-            let ahead = here.iter().copied().max_by_key(|host| self.hosts[*host].own());
+            let ahead = here.iter().copied().max_by_key(|host| self.hosts[*host].revision());
             let ahead = ahead.unwrap_or(reader);
             for host in &here {
-                let own = self.hosts[*host].own();
-                if own < self.hosts[ahead].own() {
-                    let update = self.hosts[ahead].history.update_since(own, now).unwrap();
-                    self.hosts[*host].take(&update, now);
+                let revision = self.hosts[*host].revision();
+                if revision < self.hosts[ahead].revision() {
+                    let update = self.hosts[ahead].history.update_since(revision, now).unwrap();
+                    self.hosts[*host].accept(&update, now);
                 }
             }
         }
     }
 
-    fn cut(&mut self, host: usize, ms: u64) {
-        self.hosts[host].cut_until = self.now + ms;
+    fn disconnect(&mut self, host: usize, ms: u64) {
+        self.hosts[host].unreachable_until = self.now + ms;
     }
 
     fn restart(&mut self, host: usize) {
         self.hosts[host].history = History::new(MISSING_MS);
     }
 
-    /// Hosts that have reached the store and the others for long enough.
-    fn bound(&self) -> impl Iterator<Item = &Host> {
-        self.hosts.iter().filter(|host| host.cut_until + IN_FORCE_MS <= self.now)
+    /// Hosts that have reached the store and their peers for long enough.
+    fn connected(&self) -> impl Iterator<Item = &Host> {
+        self.hosts.iter().filter(|host| host.unreachable_until + IN_FORCE_MS <= self.now)
     }
 
-    /// How many of them have something under a key.
-    fn with(&self, key: &str, fact: Option<&Fact>) -> usize {
-        self.bound().filter(|host| host.fact(key).as_ref() == fact).count()
+    /// Number of connected hosts that have this content under a key.
+    fn count_with(&self, key: &str, fact: Option<&Fact>) -> usize {
+        self.connected().filter(|host| host.fact(key).as_ref() == fact).count()
     }
 
-    fn in_touch(&self) -> usize {
-        self.bound().count()
+    fn count_connected(&self) -> usize {
+        self.connected().count()
     }
 }
 
@@ -190,10 +194,11 @@
     Fact::Table(Arc::new(Table { version, ..Table::default() }))
 }
 
-/// Guards against hosts that undo what was acknowledged before the copy's return, or miss what comes behind it, at
-/// any size; some are cut off, and some start in that moment, the first of a domain among them.
+/// Guards against hosts that undo what was acknowledged before the restore, or miss later changes,
+/// in deployments of any size. Some hosts are disconnected or start during the restore, among them
+/// the first of each failure domain.
 #[test]
-fn copy_undoes_nothing_and_hides_nothing_at_any_size() {
+fn restore_keeps_acknowledged_changes_and_hides_no_later_ones() {
     for count in [6, 30, 81, 300, 985] {
         let mut fleet = Fleet::new(count);
         let copy = fleet.store.clone();
@@ -204,23 +209,31 @@
         fleet.store.put("config", table(9));
         fleet.store.put("evacuate/a", evacuation.clone());
         (0..200).for_each(|number| fleet.store.put("other", server(number % 9, false)));
-        fleet.run(ROUND_MS * 2);
+        fleet.run(ROUND_INTERVAL_MS * 2);
         let seed = |host: usize| mix(host as u64 ^ count as u64);
-        (0..count).filter(|host| seed(*host) % 9 == 0).for_each(|host| fleet.cut(host, 4_000));
+        (0..count)
+            .filter(|host| seed(*host) % 9 == 0)
+            .for_each(|host| fleet.disconnect(host, 4_000));
         fleet.store.restore(&copy);
         (0..count).filter(|host| seed(*host) % 7 == 0).for_each(|host| fleet.restart(host));
-        // The one that reads first of each domain knows nothing of before; others of the domain do.
+        // The host of each failure domain that reads first knows nothing from before the restore,
+        // but its peers do.
         if count > DOMAINS {
             (0..DOMAINS).for_each(|host| fleet.restart(host));
         }
         fleet.run(1_000);
-        let in_touch = fleet.in_touch();
-        assert_eq!(fleet.with("b0", Some(&server(0, true))), in_touch, "{count} leave");
-        assert_eq!(fleet.with("b1", None), in_touch, "{count} removed");
-        assert_eq!(fleet.with("new", Some(&server(2, false))), in_touch, "{count} listed");
-        assert_eq!(fleet.with("config", Some(&table(9))), in_touch, "{count} table");
-        assert_eq!(fleet.with("evacuate/a", Some(&evacuation)), in_touch, "{count} evacuation");
-        // Written again, and more behind it, all at numbers that had been given out.
+        let connected = fleet.count_connected();
+        assert_eq!(fleet.count_with("b0", Some(&server(0, true))), connected, "{count} leave");
+        assert_eq!(fleet.count_with("b1", None), connected, "{count} removed");
+        assert_eq!(fleet.count_with("new", Some(&server(2, false))), connected, "{count} listed");
+        assert_eq!(fleet.count_with("config", Some(&table(9))), connected, "{count} table");
+        assert_eq!(
+            fleet.count_with("evacuate/a", Some(&evacuation)),
+            connected,
+            "{count} evacuation"
+        );
+        // The lost changes are written again, and more after them, all under numbers that were used
+        // before.
         fleet.store.put("b0", server(0, true));
         fleet.store.remove("b1");
         fleet.store.put("config", table(9));
@@ -229,15 +242,24 @@
         fleet.store.put("config", table(11));
         fleet.store.remove("evacuate/a");
         fleet.run(IN_FORCE_MS);
-        let in_touch = fleet.in_touch();
-        assert_eq!(fleet.with("b3", Some(&server(3, true))), in_touch, "{count} leave after");
-        assert_eq!(fleet.with("config", Some(&table(11))), in_touch, "{count} table after");
-        assert_eq!(fleet.with("evacuate/a", None), in_touch, "{count} evacuation ended");
-        // Never written again, the server is given up; those that were cut off have caught up.
+        let connected = fleet.count_connected();
+        assert_eq!(
+            fleet.count_with("b3", Some(&server(3, true))),
+            connected,
+            "{count} leave after"
+        );
+        assert_eq!(fleet.count_with("config", Some(&table(11))), connected, "{count} table after");
+        assert_eq!(fleet.count_with("evacuate/a", None), connected, "{count} evacuation ended");
+        // The new server is never written again, so it is given up. Disconnected hosts have caught
+        // up.
         fleet.run(12_000);
-        assert_eq!(fleet.in_touch(), count);
-        assert_eq!(fleet.with("new", None), count, "{count} given up");
-        assert_eq!(fleet.with("b0", Some(&server(0, true))), count, "{count} leave in the end");
-        assert_eq!(fleet.with("config", Some(&table(11))), count, "{count} table in the end");
+        assert_eq!(fleet.count_connected(), count);
+        assert_eq!(fleet.count_with("new", None), count, "{count} given up");
+        assert_eq!(
+            fleet.count_with("b0", Some(&server(0, true))),
+            count,
+            "{count} leave in the end"
+        );
+        assert_eq!(fleet.count_with("config", Some(&table(11))), count, "{count} table in the end");
     }
 }
