--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -140,8 +140,8 @@
         let mut inner = self.lock();
         let service = inner.index.services.get(&backend.service);
         let usual_ms = service.and_then(|service| service.warmup).map(|warmup| warmup.ms);
-        let known = inner.backends.get(&backend.id);
-        let is_new = known.is_none_or(|known| known.born != backend.born);
+        let existing = inner.backends.get(&backend.id);
+        let is_new = existing.is_none_or(|existing| existing.born != backend.born);
         let ms = backend.warmup_ms.or(usual_ms.filter(|_| is_new)).unwrap_or_default();
         if ms > WARMUP_MAX_MS {
             log::warn!(target: "watch", backend:% = backend.id, warmup_ms = ms;
@@ -149,8 +149,8 @@
         }
         if ms > 0 {
             let until = now + ms.min(WARMUP_MAX_MS);
-            let held = inner.warm_at.entry(backend.id.clone()).or_insert(until);
-            *held = until.max(*held);
+            let warm_at = inner.warm_at.entry(backend.id.clone()).or_insert(until);
+            *warm_at = until.max(*warm_at);
         }
     }
 
@@ -165,21 +165,21 @@
     pub fn accept_order(&self, order: Order, revision: Revision, is_rewritten: bool) -> bool {
         let mut inner = self.lock();
         match inner.rollouts.get_mut(&order.service) {
-            Some(known) if known.revision >= revision => return false,
-            Some(known)
-                if known.order.is_same(&order)
-                    && (is_rewritten || known.revision.era < revision.era) =>
+            Some(tracked) if tracked.revision >= revision => return false,
+            Some(tracked)
+                if tracked.order.is_same(&order)
+                    && (is_rewritten || tracked.revision.era < revision.era) =>
             {
                 // A revision with steps was given by this host to an entry that it overrides.
                 // Operators have not written the order again yet.
                 if revision.step == 0 {
-                    known.reissue(order, revision);
+                    tracked.reissue(order, revision);
                 }
                 return false;
             }
             _ => {}
         }
-        let known = TrackedRollout {
+        let tracked = TrackedRollout {
             revision,
             record: None,
             row_version: Revision::NONE,
@@ -187,7 +187,7 @@
             is_halted: Arc::default(),
             order: order.clone(),
         };
-        inner.rollouts.insert(order.service, known);
+        inner.rollouts.insert(order.service, tracked);
         true
     }
 
@@ -258,18 +258,18 @@
     /// the known state or belongs to another order.
     pub fn accept_record(&self, rollout: &RolloutState, now: Millis) -> bool {
         let mut inner = self.lock();
-        let Some(known) = inner.rollouts.get_mut(&rollout.service) else { return false };
-        let order_id = known.order_id();
-        let is_same_order = rollout.record.belongs_to(order_id, &known.order.target);
+        let Some(tracked) = inner.rollouts.get_mut(&rollout.service) else { return false };
+        let order_id = tracked.order_id();
+        let is_same_order = rollout.record.belongs_to(order_id, &tracked.order.target);
         // After a restore, hosts that don't know the lost row create it anew, with an earlier
         // stage.
-        let is_behind = known.record.as_ref().is_some_and(|held| rollout.record.is_behind(held));
-        if !is_same_order || is_behind || rollout.version < known.row_version {
+        let is_behind = tracked.record.as_ref().is_some_and(|own| rollout.record.is_behind(own));
+        if !is_same_order || is_behind || rollout.version < tracked.row_version {
             return false;
         }
-        known.record = Some(Record { order: order_id, ..rollout.record.clone() });
-        known.row_version = rollout.version;
-        known.started_at = now - rollout.age_ms;
+        tracked.record = Some(Record { order: order_id, ..rollout.record.clone() });
+        tracked.row_version = rollout.version;
+        tracked.started_at = now - rollout.age_ms;
         true
     }
 
@@ -277,34 +277,34 @@
     #[must_use]
     pub fn decided_services(&self) -> Vec<Name> {
         let inner = self.lock();
-        let stage = |known: &TrackedRollout| known.record.as_ref().map(|record| record.stage);
+        let stage = |tracked: &TrackedRollout| tracked.record.as_ref().map(|record| record.stage);
         let decided = inner.rollouts.values();
-        let decided = decided.filter(|known| stage(known).is_some_and(Stage::is_decided));
-        decided.map(|known| known.order.service.clone()).collect()
+        let decided = decided.filter(|tracked| stage(tracked).is_some_and(Stage::is_decided));
+        decided.map(|tracked| tracked.order.service.clone()).collect()
     }
 
     /// Services whose roll-out is under way, each with the id of its order.
     #[must_use]
     pub fn open_orders(&self) -> Vec<(Name, Revision)> {
         let inner = self.lock();
-        let is_open = |known: &&TrackedRollout| {
-            let stage = known.record.as_ref().map(|record| record.stage);
+        let is_open = |tracked: &&TrackedRollout| {
+            let stage = tracked.record.as_ref().map(|record| record.stage);
             stage.is_some_and(|stage| matches!(stage, Stage::Trial | Stage::Moving))
         };
         let open = inner.rollouts.values().filter(is_open);
-        open.map(|known| (known.order.service.clone(), known.order_id())).collect()
+        open.map(|tracked| (tracked.order.service.clone(), tracked.order_id())).collect()
     }
 
     /// States of all roll-outs, to be sent to peers.
     #[must_use]
     pub fn rollout_states(&self, now: Millis) -> Vec<RolloutState> {
         let inner = self.lock();
-        let snapshots = inner.rollouts.iter().filter_map(|(service, known)| {
+        let snapshots = inner.rollouts.iter().filter_map(|(service, tracked)| {
             Some(RolloutState {
                 service: service.clone(),
-                version: known.row_version,
-                record: known.record.clone()?,
-                age_ms: now.since(known.started_at),
+                version: tracked.row_version,
+                record: tracked.record.clone()?,
+                age_ms: now.since(tracked.started_at),
             })
         });
         snapshots.collect()
@@ -325,10 +325,10 @@
     pub fn publish(&self, target: &ArcSwap<World>, now: Millis) -> Published {
         let mut inner = self.lock();
         let before = target.load_full();
-        let world = inner.build_snapshot(self, now);
-        let is_complete = world.is_complete;
+        let snapshot = inner.build_snapshot(self, now);
+        let is_complete = snapshot.is_complete;
         let vanished_servers = inner.vanished_servers(&before);
-        target.store(Arc::new(world));
+        target.store(Arc::new(snapshot));
         Published { is_complete, vanished_servers }
     }
 
@@ -341,27 +341,27 @@
 }
 
 impl Inner {
-    fn build_snapshot(&mut self, at: &Catalog, now: Millis) -> World {
+    fn build_snapshot(&mut self, catalog: &Catalog, now: Millis) -> World {
         let entries = self.roster.entries(now);
         self.warm_at.retain(|_, until| now < *until);
         let mut backends = HashMap::new();
         let mut pools: HashMap<Name, Pool> = HashMap::new();
-        for row in &entries {
-            let near = row.failure_domain == at.failure_domain;
-            let known = self.backends.remove(&row.id).or_else(|| self.unlisted.remove(&row.id));
+        for listed in &entries {
+            let is_near = listed.failure_domain == catalog.failure_domain;
+            let old = self.backends.remove(&listed.id).or_else(|| self.unlisted.remove(&listed.id));
             // A server that has restarted knows nothing of its previous run. Its caches, load and
             // connections are new, so it gets a new state.
-            let known =
-                known.filter(|known| known.server.address == row.address && known.born == row.born);
-            let backend = known.unwrap_or_else(|| Arc::new(Backend::new(row, near)));
-            if let Some(limit) = self.warmup_limit(row, now) {
+            let old =
+                old.filter(|old| old.server.address == listed.address && old.born == listed.born);
+            let backend = old.unwrap_or_else(|| Arc::new(Backend::new(listed, is_near)));
+            if let Some(limit) = self.warmup_limit(listed, now) {
                 backend.learn_limit(limit, now);
             }
-            backends.insert(row.id.clone(), Arc::clone(&backend));
-            let pool = pools.entry(row.service.clone()).or_default();
-            match row.draining || backend.server.is_leaving() {
+            backends.insert(listed.id.clone(), Arc::clone(&backend));
+            let pool = pools.entry(listed.service.clone()).or_default();
+            match listed.draining || backend.server.is_leaving() {
                 true => pool.leaving += 1,
-                false if self.evacuations.covers(&row.failure_domain) => pool.evacuated += 1,
+                false if self.evacuations.covers(&listed.failure_domain) => pool.evacuated += 1,
                 false => pool.backends.push(backend),
             }
         }
@@ -372,11 +372,15 @@
         }
         for (service, pool) in &mut pools {
             let exists = |version: &Name| {
-                entries.iter().any(|row| row.service == *service && row.version == *version)
+                entries
+                    .iter()
+                    .any(|listed| listed.service == *service && listed.version == *version)
             };
             pool.base = self.choose_base_version(service, pool, exists);
-            pool.rollout =
-                self.rollouts.get(service).map(|known| pool_rollout(known, at.exposure_share));
+            pool.rollout = self
+                .rollouts
+                .get(service)
+                .map(|tracked| pool_rollout(tracked, catalog.exposure_share));
         }
         World {
             index: Arc::clone(&self.index),
@@ -406,19 +410,21 @@
     /// Marks the backend servers of failure domains whose evacuation has ended as cold, until they
     /// report otherwise: they had no requests for a while.
     fn mark_cold(&mut self, failure_domains: &[Name], now: Millis) {
-        for row in self.roster.entries(now) {
-            let service = self.index.services.get(&row.service);
+        for listed in self.roster.entries(now) {
+            let service = self.index.services.get(&listed.service);
             let warmup = service.and_then(|service| service.warmup);
-            if let Some(warmup) = warmup.filter(|_| failure_domains.contains(&row.failure_domain)) {
-                self.warm_at.insert(row.id, now + warmup.ms);
+            if let Some(warmup) =
+                warmup.filter(|_| failure_domains.contains(&listed.failure_domain))
+            {
+                self.warm_at.insert(listed.id, now + warmup.ms);
             }
         }
     }
 
     /// Limit of a backend server that is still cold; `None` if it is warm.
-    fn warmup_limit(&self, row: &wire::routing::Backend, now: Millis) -> Option<Limit> {
-        let until = self.warm_at.get(&row.id)?;
-        let warmup = self.index.services.get(&row.service)?.warmup?;
+    fn warmup_limit(&self, listed: &wire::routing::Backend, now: Millis) -> Option<Limit> {
+        let until = self.warm_at.get(&listed.id)?;
+        let warmup = self.index.services.get(&listed.service)?.warmup?;
         Some(Limit::warmup(warmup.per_second, *until, now))
     }
 
@@ -433,7 +439,7 @@
     }
 
     fn is_complete(&self) -> bool {
-        let is_known = |known: &TrackedRollout| known.record.is_some();
+        let is_known = |tracked: &TrackedRollout| tracked.record.is_some();
         self.index.version > 0 && self.has_read_backends && self.rollouts.values().all(is_known)
     }
 
@@ -449,15 +455,15 @@
         pool: &Pool,
         exists: impl Fn(&Name) -> bool,
     ) -> Name {
-        let known = self.rollouts.get(service);
-        let record = known.and_then(|known| known.record.as_ref());
-        let held = self.base_versions.get(service).filter(|held| exists(held)).cloned();
+        let tracked = self.rollouts.get(service);
+        let record = tracked.and_then(|tracked| tracked.record.as_ref());
+        let current = self.base_versions.get(service).filter(|current| exists(current)).cloned();
         let chosen = match record {
             Some(record) if record.stage == Stage::Done => Some(record.target.clone()),
             Some(record) if !record.base.is_empty() => Some(record.base.clone()),
-            _ => held,
+            _ => current,
         };
-        let target_version = known.map(|known| &known.order.target);
+        let target_version = tracked.map(|tracked| &tracked.order.target);
         let chosen = chosen.filter(|chosen| exists(chosen));
         let base_version =
             chosen.or_else(|| most_common_version(pool, target_version)).unwrap_or_default();
@@ -480,13 +486,13 @@
         .map(|(version, _)| (*version).clone())
 }
 
-fn pool_rollout(known: &TrackedRollout, allowed: f64) -> Rollout {
+fn pool_rollout(tracked: &TrackedRollout, allowed: f64) -> Rollout {
     Rollout {
-        target: known.order.target.clone(),
-        stage: known.record.as_ref().map(|record| record.stage).unwrap_or_default(),
-        began: known.started_at,
-        within_ms: known.order.within_ms,
+        target: tracked.order.target.clone(),
+        stage: tracked.record.as_ref().map(|record| record.stage).unwrap_or_default(),
+        began: tracked.started_at,
+        within_ms: tracked.order.within_ms,
         allowed,
-        halted: Arc::clone(&known.is_halted),
+        halted: Arc::clone(&tracked.is_halted),
     }
 }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -88,7 +88,7 @@
     /// Whether a host has an update that a peer requests.
     #[derive(Copy, Eq)]
     pub enum Availability {
-        /// The host has it; its copy of the list includes changes up to this revision.
+        /// The host has it; the newest change in its copy of the list is at this revision.
         #[serde(rename = "Up")]
         UpTo(Revision),
         /// The host is fetching the update itself.
@@ -139,22 +139,22 @@
 impl Cache {
     /// The package for a copy at revision `after`, if it reaches at least up to `least`.
     fn find(&self, list: List, after: Revision, least: Revision) -> Option<Package> {
-        let held = lock(&self.0);
+        let packages = lock(&self.0);
         let is_match =
-            |held: &&Package| (held.list, held.after) == (list, after) && held.revision >= least;
-        held.iter().find(is_match).cloned()
+            |item: &&Package| (item.list, item.after) == (list, after) && item.revision >= least;
+        packages.iter().find(is_match).cloned()
     }
 
-    fn insert(&self, packed: Package) {
-        let mut held = lock(&self.0);
-        held.retain(|other| (other.list, other.after) != (packed.list, packed.after));
-        held.insert(0, packed);
+    fn insert(&self, package: Package) {
+        let mut packages = lock(&self.0);
+        packages.retain(|other| (other.list, other.after) != (package.list, package.after));
+        packages.insert(0, package);
         let mut bytes = 0;
-        held.retain(|packed| {
-            bytes += packed.bytes.len();
-            bytes <= CACHE_BYTES_MAX || bytes == packed.bytes.len()
+        packages.retain(|package| {
+            bytes += package.bytes.len();
+            bytes <= CACHE_BYTES_MAX || bytes == package.bytes.len()
         });
-        held.truncate(CACHED_COUNT_MAX);
+        packages.truncate(CACHED_COUNT_MAX);
     }
 }
 
@@ -211,21 +211,21 @@
     /// Opens the requested update for reading in pieces, if there is a free slot.
     fn offer(&self, list: List, after: Revision, least: Revision) -> Offer {
         let Ok(slot) = Arc::clone(&self.slots).try_acquire_owned() else { return Offer::Later };
-        let held = self.source.availability(list, least);
+        let availability = self.source.availability(list, least);
         // A package that has just been received is passed on before this host has applied it.
         let newest =
-            if let Availability::UpTo(changed) = held { changed.max(least) } else { least };
-        let packed = self.cache.find(list, after, newest);
-        let packed = match (packed, held) {
-            (Some(packed), _) => packed,
+            if let Availability::UpTo(changed) = availability { changed.max(least) } else { least };
+        let package = self.cache.find(list, after, newest);
+        let package = match (package, availability) {
+            (Some(package), _) => package,
             (None, Availability::UpTo(_)) => match self.pack_and_cache(list, after) {
-                Some(packed) => packed,
+                Some(package) => package,
                 None => return Offer::Nothing,
             },
             (None, Availability::Later) => return Offer::Later,
             (None, Availability::Nothing) => return Offer::Nothing,
         };
-        let Package { revision, bytes, .. } = packed;
+        let Package { revision, bytes, .. } = package;
         let first = piece(&bytes, 0);
         let length = bytes.len() as u64;
         *lock(&self.opened) = Some(OpenedPackage { packed: bytes, _slot: slot });
@@ -238,9 +238,9 @@
             log::error!(target: "peers", list:? = list, error:% = error;
                 "update can't be serialized");
         });
-        let packed = Package { list, after, revision: update.revision, bytes: bytes.ok()? };
-        self.cache.insert(packed.clone());
-        Some(packed)
+        let package = Package { list, after, revision: update.revision, bytes: bytes.ok()? };
+        self.cache.insert(package.clone());
+        Some(package)
     }
 }
 
--- a/crates/node/src/helpers.rs
+++ b/crates/node/src/helpers.rs
@@ -59,9 +59,9 @@
             return;
         }
     };
-    let drawn = sample::draw(found.len(), PROBED_COUNT, rand::random());
+    let indices = sample::draw(found.len(), PROBED_COUNT, rand::random());
     let added =
-        join_all(drawn.map(|index| probe_and_add(&watch.state, &found[index], domain))).await;
+        join_all(indices.map(|index| probe_and_add(&watch.state, &found[index], domain))).await;
     let added = added.into_iter().filter(|added| *added).count();
     log::info!(target: "peers", domain:% = domain, listed = found.len(), added;
         "hosts of another failure domain found");
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -53,11 +53,11 @@
     /// again under the same id is not bound by what its previous run said.
     fn overrides_listed(&self, listed: &Entry) -> bool {
         match (&self.entry.fact, &listed.fact) {
-            (held, listed) if says_same(held, listed) => false,
-            (Fact::Table(held), Fact::Table(listed)) => listed.version < held.version,
+            (known, listed) if says_same(known, listed) => false,
+            (Fact::Table(known), Fact::Table(listed)) => listed.version < known.version,
             (_, Fact::Backend(listed)) if listed.draining => false,
-            (Fact::Backend(held), Fact::Backend(listed))
-                if !held.draining || held.born < listed.born =>
+            (Fact::Backend(known), Fact::Backend(listed))
+                if !known.draining || known.born < listed.born =>
             {
                 false
             }
@@ -69,7 +69,7 @@
     /// is never newer, because operators number on from the highest version.
     fn is_superseded_by(&self, change: &Entry) -> bool {
         let is_older_table = match (&self.entry.fact, &change.fact) {
-            (Fact::Table(held), Fact::Table(new)) => new.version < held.version,
+            (Fact::Table(known), Fact::Table(new)) => new.version < known.version,
             _ => false,
         };
         !is_older_table && self.entry.revision < change.revision
@@ -185,12 +185,13 @@
         let listed: HashSet<&Name> = update.entries.iter().map(|entry| &entry.key).collect();
         let inherited =
             update.overrides.as_ref().map(|overrides| overrides.held.clone()).unwrap_or_default();
-        let (mut entries, mut doubted, mut held) = (Vec::new(), Vec::new(), inherited.clone());
+        let (mut entries, mut doubted, mut overridden) =
+            (Vec::new(), Vec::new(), inherited.clone());
         for entry in &update.entries {
             match self.entries.get(&entry.key) {
                 Some(known) if self.is_override_of(known, entry) => {
                     doubted.push(known.entry.clone());
-                    held.insert(entry.key.clone(), Some(entry.clone()));
+                    overridden.insert(entry.key.clone(), Some(entry.clone()));
                 }
                 _ => entries.push(entry.clone()),
             }
@@ -204,8 +205,8 @@
         let lost = self.entries.values().filter(|_| phase == Phase::Missing).filter(is_lost);
         let missing: Vec<Entry> = lost.map(|known| known.entry.clone()).collect();
         let counts = (missing.len(), doubted.len());
-        held.extend(missing.iter().map(|entry| (entry.key.clone(), None)));
-        self.overridden = held;
+        overridden.extend(missing.iter().map(|entry| (entry.key.clone(), None)));
+        self.overridden = overridden;
         // A peer that has the list as the store gives it lacks the overrides, so this copy gets a
         // newer revision.
         let own = self.revision.unwrap_or_default().max(update.revision);
@@ -302,33 +303,33 @@
 
     /// Applies one entry of a whole list (`is_listed`) or of a change.
     fn apply_entry(&mut self, entry: Entry, is_listed: bool) {
-        let held = self.entries.get(&entry.key);
-        if held.is_some_and(|held| !held.is_superseded_by(&entry)) {
+        let known = self.entries.get(&entry.key);
+        if known.is_some_and(|known| !known.is_superseded_by(&entry)) {
             return;
         }
         self.last_change = self.last_change.max(entry.revision);
         self.record_edit(&entry);
-        let held = self.entries.get(&entry.key);
-        let previous_number = match held {
-            Some(held) if says_same(&held.entry.fact, &entry.fact) => held.previous_number,
-            Some(held) if held.entry.revision.era == entry.revision.era => {
-                Some(held.entry.revision.number)
+        let known = self.entries.get(&entry.key);
+        let previous_number = match known {
+            Some(known) if says_same(&known.entry.fact, &entry.fact) => known.previous_number,
+            Some(known) if known.entry.revision.era == entry.revision.era => {
+                Some(known.entry.revision.number)
             }
             None if !is_listed => Some(0),
             _ => None,
         };
-        let was_removed = held.is_some_and(KnownEntry::is_removed);
-        let held = KnownEntry { entry, previous_number };
-        self.removed += usize::from(held.is_removed());
+        let was_removed = known.is_some_and(KnownEntry::is_removed);
+        let known = KnownEntry { entry, previous_number };
+        self.removed += usize::from(known.is_removed());
         self.removed -= usize::from(was_removed);
-        self.entries.insert(held.entry.key.clone(), held);
+        self.entries.insert(known.entry.key.clone(), known);
     }
 
     /// Records the edit that turns the current routing table into a new one.
     fn record_edit(&mut self, entry: &Entry) {
         let Fact::Table(new) = &entry.fact else { return };
-        let held = self.entries.get(&entry.key).map(|held| &held.entry);
-        let Some(Entry { fact: Fact::Table(old), revision: base, .. }) = held else { return };
+        let known = self.entries.get(&entry.key).map(|known| &known.entry);
+        let Some(Entry { fact: Fact::Table(old), revision: base, .. }) = known else { return };
         let edit = Edit::between(old, new).filter(|edit| is_small(edit, new));
         match edit {
             Some(edit) => {
@@ -355,11 +356,11 @@
         let mut tables: BTreeMap<Name, Arc<Table>> = BTreeMap::new();
         for entry in &mut update.entries {
             let Fact::Edit(edit) = &entry.fact else { continue };
-            let held = match self.entries.get(&entry.key).map(|held| &held.entry.fact) {
+            let known = match self.entries.get(&entry.key).map(|known| &known.entry.fact) {
                 Some(Fact::Table(table)) => Some(table),
                 _ => None,
             };
-            let table = tables.get(&entry.key).or(held)?;
+            let table = tables.get(&entry.key).or(known)?;
             // A table of the same or a newer version stays.
             let table = match table.version >= edit.to {
                 true => Arc::clone(table),
@@ -377,11 +378,11 @@
     /// domain would have to read the whole list whenever the store has dropped its history.
     fn record_removals(&mut self, update: &Update) {
         let listed: HashSet<&Name> = update.entries.iter().map(|entry| &entry.key).collect();
-        for (key, held) in &mut self.entries {
-            if !listed.contains(key) && !held.is_removed() {
-                held.previous_number = Some(held.entry.revision.number);
-                held.entry.fact = Fact::Removed;
-                held.entry.revision = update.revision;
+        for (key, known) in &mut self.entries {
+            if !listed.contains(key) && !known.is_removed() {
+                known.previous_number = Some(known.entry.revision.number);
+                known.entry.fact = Fact::Removed;
+                known.entry.revision = update.revision;
                 self.removed += 1;
                 self.last_change = self.last_change.max(update.revision);
             }
@@ -394,12 +395,12 @@
         if self.removed <= kept {
             return;
         }
-        let removed = self.entries.values().filter(|held| held.is_removed());
-        let mut revisions: Vec<Revision> = removed.map(|held| held.entry.revision).collect();
+        let removed = self.entries.values().filter(|known| known.is_removed());
+        let mut revisions: Vec<Revision> = removed.map(|known| known.entry.revision).collect();
         revisions.sort_unstable();
         let last = revisions[revisions.len() - kept - 1];
-        self.entries.retain(|_, held| !held.is_removed() || held.entry.revision > last);
-        self.removed = self.entries.values().filter(|held| held.is_removed()).count();
+        self.entries.retain(|_, known| !known.is_removed() || known.entry.revision > last);
+        self.removed = self.entries.values().filter(|known| known.is_removed()).count();
         self.complete_since = self.complete_since.max(last);
     }
 
@@ -418,7 +419,7 @@
             true => entry.fact != Fact::Removed,
             false => entry.revision > revision,
         };
-        let wanted = self.entries.values().map(|held| &held.entry).filter(is_wanted);
+        let wanted = self.entries.values().map(|known| &known.entry).filter(is_wanted);
         let mut entries: Vec<Entry> = wanted
             .flat_map(|entry| match is_whole {
                 true => vec![entry.clone()],
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -72,12 +72,12 @@
 }
 
 fn ready<C: Codec>(context: &Context<C>) -> (StatusCode, String) {
-    let world = context.state.world.load();
+    let snapshot = context.state.world.load();
     let (status, why) = match () {
         () if context.state.stop.is_cancelled() => {
             (StatusCode::SERVICE_UNAVAILABLE, "shutting down")
         }
-        () if !world.is_complete => {
+        () if !snapshot.is_complete => {
             (StatusCode::SERVICE_UNAVAILABLE, "the store has not been read yet")
         }
         () if context.state.shed.is_full() => {
@@ -85,7 +85,7 @@
         }
         () => (StatusCode::OK, "ready"),
     };
-    let (table, backends) = (world.index.version, world.revision);
+    let (table, backends) = (snapshot.index.version, snapshot.revision);
     (status, format!("{{\"state\":\"{why}\",\"table\":{table},\"backends\":{backends}}}\n"))
 }
 
@@ -103,11 +103,11 @@
 }
 
 fn render<C: Codec>(context: &Context<C>) -> String {
-    let world = context.state.world.load();
+    let snapshot = context.state.world.load();
     let in_flight = context.state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
-    metrics::gauge!("node_table_version").set(world.index.version as f64);
+    metrics::gauge!("node_table_version").set(snapshot.index.version as f64);
     metrics::gauge!("node_evacuated_domains").set(context.catalog.evacuated().len() as f64);
-    metrics::gauge!("node_backends_revision").set(world.revision as f64);
+    metrics::gauge!("node_backends_revision").set(snapshot.revision as f64);
     metrics::gauge!("gateway_requests_in_flight").set(in_flight as f64);
     for follower in context.followers.iter() {
         let seconds = follower.behind_ms(clock::steady()) as f64 / 1e3;
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -213,10 +213,10 @@
         if self.watch.was_restored_within(ask.alone_ms, now) {
             return Ok(false);
         }
-        let held = rows.rows.iter().find(|row| row.key == key);
-        let last = held.and_then(|row| record::parse::<Claim>(&row.value).ok());
-        let answered = last.as_ref().filter(|last| last.digest == ask.digest);
-        if let Some(answered_ms) = answered.and_then(|last| last.answered_ms) {
+        let stored = rows.rows.iter().find(|row| row.key == key);
+        let last_claim = stored.and_then(|row| record::parse::<Claim>(&row.value).ok());
+        let same_digest = last_claim.as_ref().filter(|last_claim| last_claim.digest == ask.digest);
+        if let Some(answered_ms) = same_digest.and_then(|last_claim| last_claim.answered_ms) {
             let answered = Suspect {
                 answered_at: Some(Millis(answered_ms)),
                 ..Suspect::new(ask.digest).with_kind(ask.kind)
@@ -227,13 +227,13 @@
                 return Ok(true);
             }
         }
-        if last.is_some_and(|last| rows.now_ms < last.until_ms) {
+        if last_claim.is_some_and(|last_claim| rows.now_ms < last_claim.until_ms) {
             return Ok(false);
         }
         let until_ms = rows.now_ms + ask.alone_ms;
         let claim = Claim { digest: ask.digest, until_ms, answered_ms: None };
         let value = record::serialize(&claim).map_err(Error::Malformed)?;
-        let expected = held.map_or(Revision::NONE, |row| row.version);
+        let expected = stored.map_or(Revision::NONE, |row| row.version);
         let change = record::put(TABLE, key, Some(expected), value);
         let outcome = self.watch.store.commit(&change, None).await?;
         Ok(matches!(outcome, Outcome::Committed(_)))
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -124,8 +124,7 @@
 }
 
 /// The base version of a new roll-out, given the record of the `previous` one: the target version
-/// if
-/// that one succeeded, else its base version. Without a record it is `current`, the version that
+/// if that one succeeded, else its base version. Without a record it is `current`, the version that
 /// requests go to now.
 #[must_use]
 pub fn base_version(previous: Option<&Record>, current: &Name) -> Name {
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -122,13 +122,13 @@
         followers: &[Follower],
         now: Millis,
     ) -> Self {
-        let world = state.world.load();
-        let services = world.pools.iter().map(|(name, pool)| (name.clone(), service(pool, now)));
+        let snapshot = state.world.load();
+        let services = snapshot.pools.iter().map(|(name, pool)| (name.clone(), service(pool, now)));
         let requests = state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
         Self {
-            table: world.index.version,
+            table: snapshot.index.version,
             table_age_ms: catalog.table_accepted_at().map(|at| now.since(at)),
-            backends_revision: world.revision,
+            backends_revision: snapshot.revision,
             store_age_ms: catalog.list_ages_ms(now),
             peers: followers.iter().map(|follower| follower.relay().others(now)).max().unwrap_or(0),
             reads: followers
@@ -147,13 +147,13 @@
                 .poison
                 .with(|book| book.suspects(now))
                 .iter()
-                .map(|s| held(s, now))
+                .map(|s| held_suspect(s, now))
                 .collect(),
         }
     }
 }
 
-fn held(suspect: &Suspect, now: Millis) -> HeldSuspect {
+fn held_suspect(suspect: &Suspect, now: Millis) -> HeldSuspect {
     HeldSuspect {
         digest: Name::from(suspect.digest.to_string()),
         kind: suspect.kind,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -160,7 +160,7 @@
                     continue;
                 }
             };
-            let asked = clock::steady();
+            let requested_at = clock::steady();
             let answer = match follower.request_after() {
                 None => self.read_whole(list).await,
                 Some(after) => {
@@ -173,9 +173,9 @@
             if let Ok(Answer { update, arrival }) = &answer {
                 follower.record_bytes(arrival.bytes, update.is_whole);
             }
-            let took = Duration::from_millis(clock::steady().since(asked));
-            if was_store_away(&answer, took, hold) {
-                log::info!(target: "watch", list:? = list, took_ms = took.as_millis() as u64,
+            let duration = Duration::from_millis(clock::steady().since(requested_at));
+            if was_store_away(&answer, duration, hold) {
+                log::info!(target: "watch", list:? = list, took_ms = duration.as_millis() as u64,
                     hold_ms = hold.as_millis() as u64;
                     "late answer: the store was away in between");
                 self.record_absence(list);
@@ -409,10 +409,10 @@
 /// When a long table on a narrow link counted as an absence, servers that left within the next two
 /// seconds were kept in use as lapsed.
 #[must_use]
-pub fn was_store_away(answer: &Result<Answer, Error>, took: Duration, hold: Duration) -> bool {
+pub fn was_store_away(answer: &Result<Answer, Error>, duration: Duration, hold: Duration) -> bool {
     let waited = match answer {
         Ok(answer) => Duration::from_millis(answer.arrival.head_ms),
-        Err(_) => took,
+        Err(_) => duration,
     };
     waited > hold + LATE_THRESHOLD
 }
--- a/crates/node/src/watch/accept.rs
+++ b/crates/node/src/watch/accept.rs
@@ -25,15 +25,15 @@
             return false;
         };
         let update = follower.reconcile(&update, clock::steady());
-        let taken = match list {
+        let is_accepted = match list {
             List::Operators => self.accept_operators(&update),
             List::Backends => self.accept_backends(&update),
         };
-        if taken {
+        if is_accepted {
             follower.record_accepted(&update, clock::steady());
             self.record_era(update.revision.era);
         }
-        taken
+        is_accepted
     }
 
     /// Records the store's era. If it rises, the store was restored from a copy, and rows that this
@@ -137,18 +137,18 @@
         let now = clock::steady();
         let count = update.entries.len();
         let revision = update.revision;
-        let taken = self.catalog.with_roster(|roster| match update.is_whole {
+        let is_accepted = self.catalog.with_roster(|roster| match update.is_whole {
             true => {
                 let rows = update.entries.iter().filter_map(|entry| match &entry.fact {
                     Fact::Backend(backend) => Some((backend.clone(), entry.revision)),
                     _ => None,
                 });
-                let taken = roster.replace(rows.collect(), revision, now);
-                if taken {
+                let is_accepted = roster.replace(rows.collect(), revision, now);
+                if is_accepted {
                     unreadable(update)
                         .for_each(|entry| roster.withdraw(&entry.key, entry.revision, now));
                 }
-                taken
+                is_accepted
             }
             false => {
                 for entry in &update.entries {
@@ -162,7 +162,7 @@
                 true
             }
         });
-        if taken {
+        if is_accepted {
             let backends = update.entries.iter().filter_map(|entry| match &entry.fact {
                 Fact::Backend(backend) => Some(backend),
                 _ => None,
@@ -174,7 +174,7 @@
             false if count > LOGGED_MAX => log_backends(update),
             false => update.entries.iter().for_each(log_backend),
         }
-        if !taken {
+        if !is_accepted {
             log::info!(target: "watch", revision:%, count; "stale list of backend servers ignored");
             return false;
         }
--- a/crates/node/tests/catalog.rs
+++ b/crates/node/tests/catalog.rs
@@ -78,8 +78,8 @@
 }
 
 fn remaining_warmup_ms(target: &ArcSwap<World>, now: Millis) -> u64 {
-    let world = target.load();
-    let backend = &world.pools[SERVICE].backends[0];
+    let snapshot = target.load();
+    let backend = &snapshot.pools[SERVICE].backends[0];
     backend.with_intake(|intake| intake.throttle.warmup_ms(now))
 }
 
