--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -299,7 +299,7 @@
     #[must_use]
     pub fn rollout_states(&self, now: Millis) -> Vec<RolloutState> {
         let inner = self.lock();
-        let snapshots = inner.rollouts.iter().filter_map(|(service, tracked)| {
+        let states = inner.rollouts.iter().filter_map(|(service, tracked)| {
             Some(RolloutState {
                 service: service.clone(),
                 version: tracked.row_version,
@@ -307,7 +307,7 @@
                 age_ms: now.since(tracked.started_at),
             })
         });
-        snapshots.collect()
+        states.collect()
     }
 
     /// The version that gets all requests for a service except those of a roll-out; empty if there
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -245,8 +245,8 @@
     /// Update that gives up the overrides whose time has come, and takes what the list says
     /// instead; `None` if there are none.
     #[must_use]
-    pub fn expire_overrides(&self, now: Millis) -> Option<Update> {
-        lock(&self.history).expire_overrides(now)
+    pub fn expired_overrides(&self, now: Millis) -> Option<Update> {
+        lock(&self.history).expired_overrides(now)
     }
 
     /// What a peer lacks whose copy is at `revision`; `None` if this host has not read the list.
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -157,7 +157,7 @@
     /// Update that gives up the overrides whose time has come, and takes what the list says
     /// instead; `None` if there are none.
     #[must_use]
-    pub fn expire_overrides(&self, now: Millis) -> Option<Update> {
+    pub fn expired_overrides(&self, now: Millis) -> Option<Update> {
         let phase = self.recovery.phase(now);
         let is_due = |listed: &Option<Entry>| match listed {
             None => phase > Phase::Missing,
@@ -177,9 +177,9 @@
     /// The update as it must be applied. If the whole list is read soon after a restore of the
     /// store from a copy, this host's entries override those that may be older than the copy.
     pub fn reconcile<'a>(&mut self, update: &'a Update, now: Millis) -> Reconciled<'a> {
-        let knows_state_before = self.detect_restore(update, now);
+        let has_state_before_restore = self.detect_restore(update, now);
         let phase = self.recovery.phase(now);
-        if !update.is_whole || !knows_state_before || phase == Phase::Settled {
+        if !update.is_whole || !has_state_before_restore || phase == Phase::Settled {
             return Reconciled { update: self.with_own_steps(update), missing: 0, doubted: 0 };
         }
         let listed: HashSet<&Name> = update.entries.iter().map(|entry| &entry.key).collect();
@@ -198,8 +198,8 @@
         }
         let is_lost = |known: &&KnownEntry| {
             let key = &known.entry.key;
-            let is_of_before = known.entry.revision.era < update.revision.era;
-            let is_held = is_of_before || self.overridden.get(key) == Some(&None);
+            let is_from_before = known.entry.revision.era < update.revision.era;
+            let is_held = is_from_before || self.overridden.get(key) == Some(&None);
             is_held && !known.is_removed() && !listed.contains(key) && !inherited.contains_key(key)
         };
         let lost = self.entries.values().filter(|_| phase == Phase::Missing).filter(is_lost);
@@ -247,18 +247,18 @@
             self.adopt_overrides(update, now);
             return false;
         };
-        let is_back = own.era < update.revision.era;
+        let is_restored = own.era < update.revision.era;
         let is_new = self.recovery.age_ms(now).is_none();
         match &update.overrides {
-            Some(overrides) if is_back => self.recovery.begin(now - overrides.age_ms),
-            None if is_back => self.recovery.begin(now),
+            Some(overrides) if is_restored => self.recovery.begin(now - overrides.age_ms),
+            None if is_restored => self.recovery.begin(now),
             _ if is_new => self.adopt_overrides(update, now),
             _ => {}
         }
-        if is_back {
+        if is_restored {
             self.overridden.clear();
         }
-        is_back || !is_new
+        is_restored || !is_new
     }
 
     /// Takes over the overrides of the peer that sent the list.
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -373,7 +373,7 @@
     /// Gives up the overrides that were not written to the store again in time.
     fn expire_overrides(&self) {
         for list in List::ALL {
-            if let Some(update) = self.follower(list).expire_overrides(clock::steady()) {
+            if let Some(update) = self.follower(list).expired_overrides(clock::steady()) {
                 log::info!(target: "watch", list:? = list, revision:% = update.revision,
                     count = update.entries.len();
                     "overrides given up: their entries were not written again");
--- a/crates/node/tests/restored.rs
+++ b/crates/node/tests/restored.rs
@@ -53,7 +53,7 @@
 
 /// Gives up the overrides whose time has come. Returns how many.
 fn expire_overrides(history: &mut History, now: Millis) -> usize {
-    let due = history.expire_overrides(now);
+    let due = history.expired_overrides(now);
     due.iter().for_each(|update| history.apply(update));
     due.map_or(0, |update| update.entries.len())
 }
--- a/crates/node/tests/restored_fleet.rs
+++ b/crates/node/tests/restored_fleet.rs
@@ -133,7 +133,7 @@
         let here: Vec<usize> =
             here.filter(|host| self.hosts[*host].unreachable_until <= now).collect();
         for host in &here {
-            if let Some(update) = self.hosts[*host].history.expire_overrides(now) {
+            if let Some(update) = self.hosts[*host].history.expired_overrides(now) {
                 self.hosts[*host].history.apply(&update);
             }
         }
