--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -257,7 +257,7 @@
             || (state.budgets.with(&job.account, retry::Budget::take)
                 && state.pool_budgets.with(&job.pool, retry::Budget::take))
     };
-    tries.count < TRIES_MAX && retry::may_try_elsewhere(&attempt) && paid()
+    tries.count < TRIES_MAX && retry::may_retry_elsewhere(&attempt) && paid()
 }
 
 fn refusal(code: Code, message: String, tries: &Tries) -> Refusal {
--- a/crates/experiment/src/host.rs
+++ b/crates/experiment/src/host.rs
@@ -89,7 +89,7 @@
 
     /// A request came in.
     pub fn came(&mut self, now: Millis) {
-        self.window.request(&self.allowance, now);
+        self.window.record_request(&self.allowance, now);
     }
 
     /// Where engines put a prompt among others.
@@ -212,7 +212,7 @@
         };
         let has_room = tries.sent < self.attempts_max && tries.unsent < UNSENT_MAX;
         has_room
-            && retry::may_try_elsewhere(&attempt)
+            && retry::may_retry_elsewhere(&attempt)
             && (tries.sent == 0
                 || std::mem::take(&mut tries.paid)
                 || self.take_repeat(way, tries, now))
@@ -221,7 +221,7 @@
     fn take_repeat(&mut self, way: &Way, tries: &Tries, now: Millis) -> bool {
         let streams = if tries.is_passed_on { 0 } else { self.streams };
         match way.repeats {
-            way::Repeats::Ours => self.window.take_beside(streams, &self.allowance, now),
+            way::Repeats::Ours => self.window.take_reserving(streams, &self.allowance, now),
             way::Repeats::Off => false,
         }
     }
--- a/crates/experiment/src/host/view.rs
+++ b/crates/experiment/src/host/view.rs
@@ -75,7 +75,7 @@
     /// A request goes there.
     pub fn sent_to(&mut self, place: &Place, now: Millis) {
         if self.throttle.is_limited(now) {
-            self.throttle.sent(place, now);
+            self.throttle.record_sent(place, now);
         }
     }
 
@@ -130,7 +130,7 @@
 
     /// A request that it worked on ended well, or did not.
     pub fn note(&mut self, failed: bool, now: Millis) {
-        self.suspicion.note(failed, now);
+        self.suspicion.record(failed, now);
         if !failed {
             self.timeouts = 0;
             self.health.proven();
@@ -139,13 +139,13 @@
 
     /// It refuses connections.
     pub fn refused(&mut self, now: Millis) {
-        self.suspicion.note(true, now);
+        self.suspicion.record(true, now);
         self.health.failed(now);
     }
 
     /// A connection to it timed out.
     pub fn timed_out(&mut self, now: Millis) {
-        self.suspicion.note(true, now);
+        self.suspicion.record(true, now);
         self.timeouts += 1;
         if self.timeouts >= TIMEOUTS_TO_ILL {
             self.health.failed(now);
--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -284,7 +284,7 @@
     /// A request that it worked on ended well, or did not.
     pub fn note(&self, failed: bool, now: Millis) {
         let mut belief = self.lock();
-        belief.suspicion.note(failed, now);
+        belief.suspicion.record(failed, now);
         if !failed {
             belief.timeouts = 0;
             drop(belief);
@@ -295,7 +295,7 @@
     /// It refuses connections.
     pub fn note_refused(&self, now: Millis) {
         if !self.server.is_ill(now) {
-            self.lock().suspicion.note(true, now);
+            self.lock().suspicion.record(true, now);
         }
         self.server.note_failure(now);
     }
@@ -308,7 +308,7 @@
             return true;
         }
         let mut belief = self.lock();
-        belief.suspicion.note(true, now);
+        belief.suspicion.record(true, now);
         belief.timeouts += 1;
         let ill = belief.timeouts >= TIMEOUTS_TO_ILL;
         drop(belief);
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -40,7 +40,7 @@
     pub async fn answer(&mut self) -> Result<Accepted, Refusal> {
         // One that another host has passed on is counted there, and so are its repeats.
         if self.origin == Origin::Caller {
-            self.window(|window, allowance| window.request(allowance, clock::steady()));
+            self.window(|window, allowance| window.record_request(allowance, clock::steady()));
             self.choose_first_model();
         }
         carry(self).await
@@ -61,7 +61,7 @@
         };
         match () {
             () if self.left().is_zero() => Err(Obstacle::Late),
-            () if !retry::may_try_elsewhere(&attempt) => Err(Obstacle::Kind),
+            () if !retry::may_retry_elsewhere(&attempt) => Err(Obstacle::Kind),
             () if tries.sent >= self.attempts_max => Err(Obstacle::Attempts),
             () if tries.unsent >= UNSENT_MAX && !self.has_host() => Err(Obstacle::Connections),
             () if tries.sent == 0 || tries.paid.swap(false, Ordering::Relaxed) => Ok(()),
@@ -73,7 +73,7 @@
     /// Takes a repeat of the host's, if there is one for this request.
     pub fn take_repeat(&self) -> bool {
         let streams = if self.tries.is_passed_on { 0 } else { self.streams() };
-        self.window(|window, allowance| window.take_beside(streams, allowance, clock::steady()))
+        self.window(|window, allowance| window.take_reserving(streams, allowance, clock::steady()))
     }
 
     /// Streams under way that may need a repeat of those that this request's service has; a plain
@@ -86,7 +86,7 @@
     pub fn take_spare_repeat(&self) -> bool {
         let streams = self.streams();
         let taken =
-            self.window(|window, allowance| window.take_spare(streams, allowance, clock::steady()));
+            self.window(|window, allowance| window.take_extra(streams, allowance, clock::steady()));
         self.tries.paid.fetch_or(taken, Ordering::Relaxed);
         taken
     }
@@ -95,7 +95,7 @@
     pub fn has_spare_repeat(&self) -> bool {
         let streams = self.streams();
         self.window(|window, allowance| {
-            window.has_spare_beside(streams, allowance, clock::steady())
+            window.would_take_extra(streams, allowance, clock::steady())
         })
     }
 
--- a/crates/gateway/src/detour.rs
+++ b/crates/gateway/src/detour.rs
@@ -98,7 +98,7 @@
                 || self.tries.unsent + self.tries.refused > 0
                 || pool.backends.iter().any(|backend| backend.server.is_ill(now))
         };
-        let may_detour = self.origin == Origin::Caller && self.tries.hosts < detour::TRIES_MAX;
+        let may_detour = self.origin == Origin::Caller && self.tries.hosts < detour::DETOURS_MAX;
         may_detour && !pool.backends.is_empty() && is_out_of_reach()
     }
 
@@ -132,7 +132,11 @@
             Err(failure) => {
                 match failure {
                     Failure::Lost(_) => {
-                        self.tries.sent = detour::spent(self.tries.sent, detour::LENT, None);
+                        self.tries.sent = detour::count_attempts(
+                            self.tries.sent,
+                            detour::FORWARDED_ATTEMPTS,
+                            None,
+                        );
                         self.tries.was_tried = true;
                     }
                     _ => forwarding.end(),
@@ -160,8 +164,8 @@
         }
         let said = self.state.codec.head(head.status, &head.headers);
         let is_misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
-        let lent = if is_misdirected { 0 } else { detour::LENT };
-        let tries = detour::spent(self.tries.sent, lent, passed.sent);
+        let lent = if is_misdirected { 0 } else { detour::FORWARDED_ATTEMPTS };
+        let tries = detour::count_attempts(self.tries.sent, lent, passed.sent);
         self.tries.was_tried = tries > self.tries.sent;
         self.tries.sent = tries;
         log::info!(target: "route", request:% = self.ask.id, host:% = host.id,
--- a/crates/gateway/src/end.rs
+++ b/crates/gateway/src/end.rs
@@ -95,7 +95,7 @@
 pub fn log_stranded<C: Codec>(job: &Job<C>, obstacle: Obstacle) {
     let now = clock::steady();
     let tries = &job.tries;
-    let repeats = job.window(|window, allowance| window.left(allowance, now));
+    let repeats = job.window(|window, allowance| window.remaining(allowance, now));
     let world = job.state.world.load();
     let pool = world.pools.get(&job.service);
     let takes_work = |version| {
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -143,8 +143,9 @@
     let wait_ms = ask.patience_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
     let subject = ask.session.as_ref().unwrap_or(&ask.id);
     let service = service(route, subject);
-    let attempts_max =
-        forwarded.as_ref().map_or(route.attempts_max, |forwarded| forwarded.sent + detour::LENT);
+    let attempts_max = forwarded
+        .as_ref()
+        .map_or(route.attempts_max, |forwarded| forwarded.sent + detour::FORWARDED_ATTEMPTS);
     let origin = if forwarded.is_some() { Origin::Host } else { Origin::Caller };
     let forwarded = forwarded.unwrap_or_default();
     let largest = route.models.len().saturating_sub(1);
@@ -218,7 +219,7 @@
 /// of a table that is there ten milliseconds later. While the store can't be read nobody waits.
 async fn wait_for_start<C>(state: &State<C>, patience_ms: Option<u64>) {
     if !state.world.load().is_complete {
-        let longest = Duration::from_millis(bootstrap::wait_ms(patience_ms));
+        let longest = Duration::from_millis(bootstrap::request_wait_ms(patience_ms));
         // Read or not: what is known by then decides.
         let _ = tokio::time::timeout(longest, state.started.cancelled()).await;
     }
--- a/crates/gateway/src/helpers.rs
+++ b/crates/gateway/src/helpers.rs
@@ -59,7 +59,7 @@
     pub fn wants_far(&self, now: Millis) -> bool {
         let hosts = self.lock();
         let usable = hosts.values().filter(|host| !host.near && host.server.takes_work(now));
-        self.domain(&hosts).wants_far(usable.count())
+        self.domain(&hosts).needs_other_domains(usable.count())
     }
 
     /// Whether one takes requests that is not among those tried.
@@ -80,8 +80,8 @@
             hosts.iter().map(|host| host.requests(now)).collect()
         };
         match self.domain(&hosts).choose(&loads(&near), &loads(&far), seed)? {
-            Choice::Near(index) => Some(Arc::clone(near[index])),
-            Choice::Far(index) => Some(Arc::clone(far[index])),
+            Choice::SameDomain(index) => Some(Arc::clone(near[index])),
+            Choice::OtherDomain(index) => Some(Arc::clone(far[index])),
         }
     }
 
--- a/crates/gateway/src/reach.rs
+++ b/crates/gateway/src/reach.rs
@@ -45,7 +45,7 @@
     #[must_use]
     pub fn is_doubtful(&self) -> bool {
         let is_calm = self.is_calm.load(Ordering::Relaxed);
-        !is_calm && self.with(|isolation| isolation.is_doubtful(clock::steady()))
+        !is_calm && self.with(|isolation| isolation.may_be_isolated(clock::steady()))
     }
 
     /// Whether a server is among those that failed since one last answered.
@@ -61,7 +61,7 @@
 
     /// A backend server took no connection, or broke one off without an answer.
     pub fn failed(&self, backend: &Backend) {
-        if self.with(|isolation| isolation.failed(backend.hash, clock::steady())) {
+        if self.with(|isolation| isolation.record_failure(backend.hash, clock::steady())) {
             log::warn!(target: "route", backend:% = backend.id;
                 "this host reaches no backend server");
             metrics::gauge!("gateway_isolated").set(1.0);
@@ -75,7 +75,7 @@
         if self.is_calm.load(Ordering::Relaxed) {
             return false;
         }
-        let ended = self.with(|isolation| isolation.reached(clock::steady()));
+        let ended = self.with(|isolation| isolation.record_answer(clock::steady()));
         let Some(ms) = ended else { return false };
         log::info!(target: "route", isolated_ms = ms; "this host reaches backend servers again");
         metrics::gauge!("gateway_isolated").set(0.0);
@@ -86,7 +86,7 @@
     fn with<T>(&self, use_it: impl FnOnce(&mut Isolation) -> T) -> T {
         let mut isolation = self.isolation.lock().unwrap_or_else(PoisonError::into_inner);
         let used = use_it(&mut isolation);
-        self.is_calm.store(isolation.is_calm(), Ordering::Relaxed);
+        self.is_calm.store(isolation.has_no_failures(), Ordering::Relaxed);
         used
     }
 }
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -45,7 +45,11 @@
     pub fn allowance(&self) -> Allowance {
         let known = self.lock();
         let settings::Repeats { share, slack, window_ms } = known.repeats;
-        Allowance { share, spare: repeat::spare(slack, known.domains, known.hosts), window_ms }
+        Allowance {
+            share,
+            spare: repeat::spare_per_host(slack, known.domains, known.hosts),
+            window_ms,
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, Known> {
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -5,8 +5,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+use policy::heartbeat;
 use policy::name::Name;
-use policy::pulse;
 use policy::time::Millis;
 
 /// Hosts remembered at most, which bounds memory only.
@@ -44,7 +44,7 @@
     /// Forgets those that were not heard of for long.
     pub fn forget(&self, now: Millis) {
         let mut hosts = self.lock();
-        let forget_ms = pulse::forget_ms(hosts.len());
+        let forget_ms = heartbeat::forget_ms(hosts.len());
         hosts.retain(|_, known| now.since(known.heard) < forget_ms);
     }
 
@@ -57,7 +57,7 @@
     /// Between two signs of life to all of them.
     #[must_use]
     pub fn pulse(&self) -> Duration {
-        Duration::from_millis(pulse::every_ms(self.lock().len()))
+        Duration::from_millis(heartbeat::interval_ms(self.lock().len()))
     }
 
     /// How many are known, also of those that may be gone.
@@ -76,7 +76,7 @@
     #[must_use]
     pub fn alive(&self, now: Millis) -> Vec<(Name, u8)> {
         let hosts = self.lock();
-        let gone_ms = pulse::gone_ms(hosts.len());
+        let gone_ms = heartbeat::timeout_ms(hosts.len());
         let alive = hosts.iter().filter(|(_, known)| now.since(known.heard) < gone_ms);
         alive.map(|(name, known)| (name.clone(), known.class)).collect()
     }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -258,7 +258,7 @@
 
 /// Serves other hosts until the process ends; a host of a higher class serves more at once.
 pub async fn serve<S: Source>(listener: TcpListener, source: Arc<S>, shelf: Shelf, class: u8) {
-    let places = Arc::new(Semaphore::new(tree::children(class, 0) + READERS_SPARE));
+    let places = Arc::new(Semaphore::new(tree::children_max(class, 0) + READERS_SPARE));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -94,8 +94,8 @@
 /// seconds, and are gone if they do not; operators say nothing of when they do.
 fn missing_ms(list: List) -> u64 {
     match list {
-        List::Operators => recovery::REWRITTEN_MS,
-        List::Backends => roster::LAPSE_MS,
+        List::Operators => recovery::REWRITE_TIMEOUT_MS,
+        List::Backends => roster::LAPSE_GRACE_MS,
     }
 }
 
@@ -300,19 +300,19 @@
     /// nothing.
     #[must_use]
     pub fn is_wanting(&self) -> bool {
-        self.revision().is_none() && self.relay().is_wanting()
+        self.revision().is_none() && self.relay().needs_list_from_peer()
     }
 
     /// This host has read the list.
     pub fn read(&self, now: Millis) {
         *lock(&self.read_at) = Some(now);
-        self.relay().read(now);
+        self.relay().record_read(now);
     }
 
     /// What this host tells the others of what it reads.
     #[must_use]
     pub fn position(&self, now: Millis) -> Option<Position> {
-        if !self.relay().tells(now) {
+        if !self.relay().announces_reads(now) {
             return None;
         }
         let read_at = (*lock(&self.read_at))?;
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -150,7 +150,7 @@
     pub fn settle(&self, now: Millis) -> Option<News> {
         let phase = self.recovery.phase(now);
         let is_due = |listed: &Option<Entry>| match listed {
-            None => phase > Phase::Missing,
+            None => phase > Phase::AllDoubted,
             Some(_) => phase == Phase::Settled,
         };
         let revision = self.revision?.next_step();
@@ -190,7 +190,7 @@
             let is_held = is_of_before || self.doubts.get(key) == Some(&None);
             is_held && !known.is_removed() && !listed.contains(key) && !given.contains_key(key)
         };
-        let lost = self.entries.values().filter(|_| phase == Phase::Missing).filter(is_lost);
+        let lost = self.entries.values().filter(|_| phase == Phase::AllDoubted).filter(is_lost);
         let missing: Vec<Entry> = lost.map(|known| known.entry.clone()).collect();
         let counts = (missing.len(), doubted.len());
         held.extend(missing.iter().map(|entry| (entry.key.clone(), None)));
--- a/crates/node/src/peers/find.rs
+++ b/crates/node/src/peers/find.rs
@@ -83,19 +83,19 @@
                     tokio::time::sleep(pause).await;
                     continue;
                 }
-                Step::Write => self.list().await.map(|()| listing.wrote()),
+                Step::Write => self.list().await.map(|()| listing.record_write()),
                 Step::Read => self.listed().await.and_then(|(hosts, is_listed)| {
                     found = hosts;
                     if listing.is_outdated(is_listed) {
                         return Err(Error::Refused("an answer older than the row written".into()));
                     }
-                    listing.read(is_listed);
+                    listing.record_read(is_listed);
                     Ok(())
                 }),
             };
             if let Err(error) = done {
                 log::warn!(target: "peers", error:% = error; "peers not found, tried again");
-                listing.failed(rand::random(), clock::steady());
+                listing.record_failure(rand::random(), clock::steady());
             }
         }
     }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -138,7 +138,8 @@
     let (orders, ordered) = mpsc::unbounded_channel();
     let (notifier, notices) = mpsc::channel(NOTICES);
     let (changes_within, now) = (watch::bounds(&settings), clock::steady());
-    let bootstrap = if settings.first_start { Bootstrap::first(now) } else { Bootstrap::new(now) };
+    let bootstrap =
+        if settings.first_start { Bootstrap::first_start(now) } else { Bootstrap::new(now) };
     let class = strength::class(settings.resources.core_share, settings.resources.link_mbps);
     let relay = |list: List| {
         let relay = Relay::new(changes_within, &settings.name, list.name(), bootstrap);
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -378,7 +378,7 @@
         if hosts == course.written {
             return;
         }
-        let is_alone = self.watch.follow(List::Operators).relay().is_alone(clock::steady());
+        let is_alone = self.watch.follow(List::Operators).relay().reads_alone(clock::steady());
         let of = if is_alone { &self.host } else { &self.failure_domain };
         let counted = Counted { order: known.issued(), hosts };
         let value = match record::write(&counted) {
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -124,8 +124,11 @@
             table_age_ms: catalog.table_at().map(|at| now.since(at)),
             backends_revision: world.revision,
             store_age_ms: catalog.heard(now),
-            peers: follows.iter().map(|follow| follow.relay().others(now)).max().unwrap_or(0),
-            reads: follows.iter().map(|f| (Name::from(f.list.name()), f.relay().reads())).collect(),
+            peers: follows.iter().map(|follow| follow.relay().alive_count(now)).max().unwrap_or(0),
+            reads: follows
+                .iter()
+                .map(|f| (Name::from(f.list.name()), f.relay().is_reader()))
+                .collect(),
             behind_ms: follows
                 .iter()
                 .map(|follow| (Name::from(follow.list.name()), follow.behind_ms(now)))
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -192,7 +192,7 @@
                     self.take_without_the_store(list);
                     // Until the store has answered again nothing is held back: a question asked
                     // while it is silent is never answered, and its return must be heard at once.
-                    follow.relay().failed(pause_ms, rand::random(), clock::steady());
+                    follow.relay().record_failure(pause_ms, rand::random(), clock::steady());
                     pause_ms = (pause_ms * 2).min(PAUSE_MAX_MS);
                     0
                 }
@@ -212,10 +212,10 @@
         }
         let follow = self.follow(list);
         let is_table = list == List::Operators;
-        let is_waited_for = follow.relay().is_waited_for(bytes, self.link_mbps);
+        let is_waited_for = follow.relay().can_relay_in_time(bytes, self.link_mbps);
         let is_long_change = is_table && !is_waited_for && follow.is_long_change(bytes);
         follow.set_incoming(is_long_change);
-        if is_long_change && follow.relay().reads_first(clock::steady()) {
+        if is_long_change && follow.relay().is_first_reader(clock::steady()) {
             log::info!(target: "watch", list:? = list, bytes, link_mbps = self.link_mbps;
                 "long answer begins, others notified");
             self.notify(Notice::Incoming(list));
@@ -254,7 +254,7 @@
         let is_old = news.is_whole && news.revision < own.stored();
         if !self.take(list, &news) || is_old {
             // Read afresh in a moment: the store has answered from an old state.
-            follow.relay().failed(PAUSE_MS, rand::random(), clock::steady());
+            follow.relay().record_failure(PAUSE_MS, rand::random(), clock::steady());
             return Ok(0);
         }
         follow.read(clock::steady());
@@ -272,7 +272,7 @@
         self.catalog.set_heard(list.name(), clock::steady());
         let before = Millis(self.fresh.fetch_max(fresh.0, Ordering::Relaxed));
         let relay = self.follow(list).relay();
-        let (is_alone, away_ms) = (relay.is_alone(clock::steady()), relay.away_ms());
+        let (is_alone, away_ms) = (relay.reads_alone(clock::steady()), relay.outage_threshold_ms());
         drop(relay);
         let was_away = !is_alone && before > Millis(0) && fresh.since(before) > away_ms;
         if was_away {
@@ -281,9 +281,9 @@
         }
         self.catalog.with_roster(|roster| {
             if was_away {
-                roster.away(before);
+                roster.record_unreachable(before);
             }
-            roster.reached(clock::steady());
+            roster.record_reached(clock::steady());
         });
     }
 
@@ -313,7 +313,7 @@
     pub fn is_delegate(&self) -> bool {
         let relay = self.follow(List::Operators).relay();
         let now = clock::steady();
-        relay.is_alone(now) || relay.reads_for_others(now)
+        relay.reads_alone(now) || relay.reads_for_others(now)
     }
 
     /// Whether the store has come back from a copy lately: what was written shortly before may be lost.
@@ -334,8 +334,8 @@
 
     /// A host alone could not read, or late: entries that lapse meanwhile are no deaths.
     fn away(&self, list: List) {
-        if self.follow(list).relay().is_alone(clock::steady()) {
-            self.catalog.with_roster(|roster| roster.away(clock::steady()));
+        if self.follow(list).relay().reads_alone(clock::steady()) {
+            self.catalog.with_roster(|roster| roster.record_unreachable(clock::steady()));
         }
     }
 
--- a/crates/node/src/watch/peers.rs
+++ b/crates/node/src/watch/peers.rs
@@ -17,7 +17,7 @@
     pub fn incoming(&self, peer: &Name, list: List) {
         let follow = self.follow(list);
         if !follow.is_incoming() {
-            follow.relay().incoming(peer, clock::steady());
+            follow.relay().record_long_change(peer, clock::steady());
             follow.wake();
         }
     }
@@ -51,7 +51,7 @@
     /// Another host of the failure domain is there.
     pub fn met(&self, peer: &Name, class: u8) {
         for follow in self.follows.iter() {
-            follow.relay().met_class(peer, class, clock::steady());
+            follow.relay().record_peer_class(peer, class, clock::steady());
         }
     }
 
@@ -59,7 +59,7 @@
     pub fn hear_position(self: &Arc<Self>, peer: &Name, position: Position) {
         let follow = self.follow(position.list);
         let now = clock::steady();
-        follow.relay().heard(peer, now - position.age_ms, now);
+        follow.relay().record_peer_read(peer, now - position.age_ms, now);
         follow.note_bytes(position.bytes, false);
         self.reached(position.list, now - position.age_ms);
         if follow.revision().is_some_and(|own| own < position.changed) {
@@ -72,7 +72,7 @@
                 log::info!(target: "watch", list:? = position.list, from:% = peer, after:% = own,
                     revision:% = news.revision, count = news.entries.len(); "news sent by a peer");
                 if !self.take(position.list, news) {
-                    follow.relay().force();
+                    follow.relay().force_read();
                 }
                 follow.wake();
             }
@@ -89,7 +89,7 @@
                 follow.taken(&nothing, now);
                 follow.wake();
             }
-            (None, _) if follow.relay().may_take(now - position.age_ms, now) => {
+            (None, _) if follow.relay().may_start_from_peer(now - position.age_ms, now) => {
                 if follow.begin_taking() {
                     let (list, changed) = (position.list, position.changed);
                     let fresh = now - position.age_ms;
--- a/crates/node/src/watch/share.rs
+++ b/crates/node/src/watch/share.rs
@@ -58,12 +58,12 @@
     ) {
         let relay = || self.follow(list).relay();
         let waits = || {
-            relay().taking(clock::steady());
-            relay().may_take(fresh, clock::steady())
+            relay().defer_first_read(clock::steady());
+            relay().may_start_from_peer(fresh, clock::steady())
         };
         let is_taken = self.take_from_others(&root, list, Revision::NONE, changed, waits).await;
         if is_taken {
-            relay().took(fresh);
+            relay().record_start_from_peer(fresh);
         }
         self.end_taking(list, is_taken);
     }
@@ -74,7 +74,7 @@
         follow.end_taking();
         if !is_taken {
             log::info!(target: "watch", list:? = list; "news not had from peers");
-            follow.relay().force();
+            follow.relay().force_read();
         }
         follow.wake();
     }
--- a/crates/node/src/watch/start.rs
+++ b/crates/node/src/watch/start.rs
@@ -31,7 +31,7 @@
     pub fn found(&self, listed: &[Found]) {
         for follow in self.follows.iter() {
             let listed = listed.iter().map(|host| (&host.name, host.class));
-            follow.relay().found(listed, clock::steady());
+            follow.relay().record_listed(listed, clock::steady());
             follow.wake();
         }
     }
@@ -45,6 +45,6 @@
 
     /// Another host is reading all of a list.
     pub fn peer_reads(&self, peer: &Name, list: List) {
-        self.follow(list).relay().reading(peer, clock::steady());
+        self.follow(list).relay().record_peer_reading(peer, clock::steady());
     }
 }
--- a/crates/node/src/watch/take.rs
+++ b/crates/node/src/watch/take.rs
@@ -71,7 +71,8 @@
                 Fact::Order(order) => {
                     let service = order.service.clone();
                     let target = order.target.clone();
-                    let is_rewritten = self.is_back_within(recovery::REWRITTEN_MS, clock::steady());
+                    let is_rewritten =
+                        self.is_back_within(recovery::REWRITE_TIMEOUT_MS, clock::steady());
                     let taken = self.catalog.take_order(order.clone(), revision, is_rewritten);
                     changed |= taken;
                     log::info!(target: "watch", service:% = service, version:% = target, revision:%,
--- a/crates/node/tests/restored.rs
+++ b/crates/node/tests/restored.rs
@@ -5,7 +5,7 @@
 use node::history::History;
 use node::store::{Entry, Fact, News};
 use policy::name::Name;
-use policy::recovery::REWRITTEN_MS;
+use policy::recovery::REWRITE_TIMEOUT_MS;
 use policy::revision::Revision;
 use policy::time::Millis;
 use wire::routing::{Backend, Order, Table};
@@ -101,8 +101,8 @@
     take(&mut late, &host.behind(own, BACK + 10).unwrap(), BACK + 10);
     assert_eq!(held(&late, "a"), None);
     // And it does not stay so for good if the server is there after all.
-    assert_eq!(settle(&mut late, BACK + REWRITTEN_MS - 1), 0);
-    assert_eq!(settle(&mut late, BACK + 10 + REWRITTEN_MS), 1);
+    assert_eq!(settle(&mut late, BACK + REWRITE_TIMEOUT_MS - 1), 0);
+    assert_eq!(settle(&mut late, BACK + 10 + REWRITE_TIMEOUT_MS), 1);
     assert_eq!(held(&late, "a"), Some(server("a", false)));
 }
 
@@ -121,16 +121,16 @@
 /// Guards against a table that comes back older, at once or when everything else has settled.
 #[test]
 fn reconcile_table_never_goes_back() {
-    let mut host = History::new(REWRITTEN_MS);
+    let mut host = History::new(REWRITE_TIMEOUT_MS);
     host.take(&news(1, 300, true, vec![entry("config", 1, 250, table(7))]));
     host.take(&news(1, 500, false, vec![entry("config", 1, 490, table(9))]));
     let copy = news(2, 310, true, vec![entry("config", 2, 250, table(7))]);
     take(&mut host, &copy, BACK);
-    settle(&mut host, BACK + 2 * REWRITTEN_MS);
-    take(&mut host, &copy, BACK + 3 * REWRITTEN_MS);
+    settle(&mut host, BACK + 2 * REWRITE_TIMEOUT_MS);
+    take(&mut host, &copy, BACK + 3 * REWRITE_TIMEOUT_MS);
     assert_eq!(held(&host, "config"), Some(table(9)));
     let later = news(2, 320, false, vec![entry("config", 2, 320, table(11))]);
-    take(&mut host, &later, BACK + 4 * REWRITTEN_MS);
+    take(&mut host, &later, BACK + 4 * REWRITE_TIMEOUT_MS);
     assert_eq!(held(&host, "config"), Some(table(11)));
 }
 
@@ -139,7 +139,7 @@
 #[test]
 fn reconcile_evacuation_holds_until_written_again() {
     let evacuation = Fact::Evacuation(Name::from("a"));
-    let mut host = History::new(REWRITTEN_MS);
+    let mut host = History::new(REWRITE_TIMEOUT_MS);
     host.take(&news(1, 300, true, Vec::new()));
     host.take(&news(1, 500, false, vec![entry("evacuate/a", 1, 480, evacuation.clone())]));
     take(&mut host, &news(2, 310, true, Vec::new()), BACK);
@@ -151,7 +151,7 @@
     take(&mut host, &news(2, 330, false, vec![end]), BACK + 900);
     assert_eq!(held(&host, "evacuate/a"), None);
     // One that had ended, and is ordered anew at a number that was given out before.
-    let mut other = History::new(REWRITTEN_MS);
+    let mut other = History::new(REWRITE_TIMEOUT_MS);
     other.take(&news(1, 300, true, vec![entry("evacuate/a", 1, 200, evacuation.clone())]));
     other.take(&news(1, 500, false, vec![entry("evacuate/a", 1, 480, Fact::Removed)]));
     let fresh = entry("evacuate/a", 2, 400, evacuation.clone());
@@ -162,14 +162,14 @@
 /// Guards against an order of before that is carried out in place of the last one.
 #[test]
 fn reconcile_older_order_is_not_taken() {
-    let mut host = History::new(REWRITTEN_MS);
+    let mut host = History::new(REWRITE_TIMEOUT_MS);
     host.take(&news(1, 300, true, vec![entry("rollout/desk", 1, 200, order("v2", 200))]));
     host.take(&news(1, 500, false, vec![entry("rollout/desk", 1, 480, order("v3", 480))]));
     let copy = news(2, 310, true, vec![entry("rollout/desk", 2, 200, order("v2", 200))]);
     take(&mut host, &copy, BACK);
     assert_eq!(held(&host, "rollout/desk"), Some(order("v3", 480)));
     // Never written again, it is given up in the end.
-    assert_eq!(settle(&mut host, BACK + REWRITTEN_MS), 1);
+    assert_eq!(settle(&mut host, BACK + REWRITE_TIMEOUT_MS), 1);
     assert_eq!(held(&host, "rollout/desk"), Some(order("v2", 200)));
 }
 
@@ -180,6 +180,6 @@
     take(&mut host, &copy(), BACK);
     let second = news(3, 290, true, vec![entry("a", 3, 250, server("a", false))]);
     take(&mut host, &second, BACK + 9_000);
-    settle(&mut host, BACK + REWRITTEN_MS + 1);
+    settle(&mut host, BACK + REWRITE_TIMEOUT_MS + 1);
     assert_eq!(held(&host, "a"), Some(server("a", true)));
 }
--- a/crates/policy/src/intake.rs
+++ b/crates/policy/src/intake.rs
@@ -61,7 +61,7 @@
         }
         News {
             is_pause: statement.pause_ms.is_some_and(|ms| self.pause.ask(ms, draw, now)),
-            is_limit: self.throttle.heard(statement.per_second, sent, now),
+            is_limit: self.throttle.record_answer(statement.per_second, sent, now),
             is_leave: statement.is_leaving && self.leave(now),
         }
     }
@@ -131,7 +131,7 @@
     pub fn sent(&mut self, place: Option<&Place>, now: Millis) {
         self.pause.sent(now);
         if let Some(place) = place {
-            self.throttle.sent(place, now);
+            self.throttle.record_sent(place, now);
         }
     }
 }
--- a/crates/policy/src/isolation.rs
+++ b/crates/policy/src/isolation.rs
@@ -1,72 +1,79 @@
-//! Whether a host is cut off from all backend servers.
+//! Whether a host is isolated: cut off from all backend servers.
 //!
-//! Each server that does not answer looks alike, whether it is gone or this host can't reach it. What
-//! tells them apart is the others: several that fail one after the other, with none that takes a
-//! connection in between, are rare unless the host is at fault. Only new connections count. Old ones may
-//! live on while no new one opens, and a host that trusted them would go on trying the servers. One that
-//! opens counts once it has carried an answer: what breaks it off may sit behind what took it.
+//! A server that does not answer looks the same whether it is gone or this host can't reach it. Other
+//! servers tell these cases apart: several that fail one after another, while none accepts a connection,
+//! are rare unless the host is the cause. Only new connections count. Old ones may live on while no new one
+//! opens, and a host that trusted them would go on trying the servers. A new connection counts once it has
+//! carried an answer, because whatever accepted it may not be the server but something on the way that
+//! breaks it off.
 //!
-//! A wrong belief costs little: requests go by way of another host, and the first answer ends it.
+//! A false positive costs little: requests are forwarded through another host, and the first answer ends
+//! the isolation.
 
 use crate::time::Millis;
 
-/// Different servers that must fail in a row.
-const FAILED_MIN: usize = 3;
-/// Failures further apart have causes of their own, in milliseconds.
-const WINDOW_MS: u64 = 2_000;
+/// Number of different servers that must fail in a row for a host to count as isolated.
+const FAILED_SERVERS_MIN: usize = 3;
+/// Time within which failures count together, in milliseconds. Failures further apart have separate
+/// causes.
+const FAILURE_WINDOW_MS: u64 = 2_000;
 
-/// What one host knows of its way to the backend servers.
+/// What one host knows of its connection to the backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Isolation {
-    /// Servers that failed since one last answered, each with the last time.
-    failed: Vec<(u64, Millis)>,
-    since: Option<Millis>,
+    /// Hashes of the servers that failed since one last answered, each with the time of its last failure.
+    failures: Vec<(u64, Millis)>,
+    /// When the host became isolated; none if it is not.
+    isolated_since: Option<Millis>,
 }
 
 impl Isolation {
-    /// A server, named by a hash, took no connection or broke it off; whether the host is cut off from now on.
-    pub fn failed(&mut self, server: u64, now: Millis) -> bool {
-        if self.since.is_some() {
+    /// Records that a server, given by its hash, accepted no connection or broke one off. Returns whether
+    /// this makes the host isolated; false if it was already.
+    pub fn record_failure(&mut self, server: u64, now: Millis) -> bool {
+        if self.isolated_since.is_some() {
             return false;
         }
-        self.failed.retain(|(other, at)| *other != server && now.since(*at) < WINDOW_MS);
-        self.failed.push((server, now));
-        let is_isolated = self.failed.len() >= FAILED_MIN;
+        self.failures.retain(|(other, at)| *other != server && now.since(*at) < FAILURE_WINDOW_MS);
+        self.failures.push((server, now));
+        let is_isolated = self.failures.len() >= FAILED_SERVERS_MIN;
         if is_isolated {
-            self.since = Some(now);
+            self.isolated_since = Some(now);
         }
         is_isolated
     }
 
-    /// A server answered on a new connection; for how long the host had been cut off, if it was, in milliseconds.
-    pub fn reached(&mut self, now: Millis) -> Option<u64> {
-        self.failed.clear();
-        self.since.take().map(|since| now.since(since))
+    /// Records that a server answered on a new connection. Returns for how long the host had been isolated,
+    /// in milliseconds; none if it was not.
+    pub fn record_answer(&mut self, now: Millis) -> Option<u64> {
+        self.failures.clear();
+        self.isolated_since.take().map(|since| now.since(since))
     }
 
-    /// Whether it is cut off.
+    /// Whether the host is isolated.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
-        self.since.is_some()
+        self.isolated_since.is_some()
     }
 
-    /// Whether it may be: more than one server has failed. What is seen of servers then says nothing of
-    /// them.
+    /// Whether the host is isolated or close to it, because more than one server has failed. Failures that
+    /// it sees then say nothing about the servers.
     #[must_use]
-    pub fn is_doubtful(&self, now: Millis) -> bool {
-        let recent = self.failed.iter().filter(|(_, at)| now.since(*at) < WINDOW_MS).count();
-        self.is_isolated() || recent + 1 >= FAILED_MIN
+    pub fn may_be_isolated(&self, now: Millis) -> bool {
+        let recent =
+            self.failures.iter().filter(|(_, at)| now.since(*at) < FAILURE_WINDOW_MS).count();
+        self.is_isolated() || recent + 1 >= FAILED_SERVERS_MIN
     }
 
-    /// Whether a server is among those that failed since one last answered.
+    /// Whether a server, given by its hash, is among those that failed since one last answered.
     #[must_use]
     pub fn has_failed(&self, server: u64) -> bool {
-        self.failed.iter().any(|(other, _)| *other == server)
+        self.failures.iter().any(|(other, _)| *other == server)
     }
 
-    /// Whether anything speaks for it.
+    /// Whether no server has failed since one last answered.
     #[must_use]
-    pub fn is_calm(&self) -> bool {
-        self.failed.is_empty()
+    pub fn has_no_failures(&self) -> bool {
+        self.failures.is_empty()
     }
 }
--- a/crates/policy/src/listing.rs
+++ b/crates/policy/src/listing.rs
@@ -1,49 +1,53 @@
-//! How a host that starts lists itself where the others of its failure domain find it, and finds them.
+//! How a starting host lists itself in the store for the other hosts of its failure domain, and finds
+//! them there.
 //!
-//! The load this answers: all hosts of a deployment start within the same second, and each writes a
-//! row. The store carries out so many changes a second in one group of rows. It turns away those that
-//! would wait for too long, and those before them wait until their hosts have given up, but are made
-//! all the same. Were they written again without a look, the group would never be free: hosts would
-//! stay unknown to each other, and each would read all lists for itself. So a host that got no answer
-//! reads first, which costs the group nothing, and waits longer each time.
+//! The critical case is a whole deployment whose hosts all start within the same second, each writing a
+//! row. The store carries out a limited number of changes a second in one group of rows. It rejects those
+//! that would wait too long. Changes that wait less are still carried out, although their hosts have
+//! stopped waiting for the answer. If hosts repeated such writes blindly, the group would stay overloaded,
+//! hosts would not learn of each other, and each would read all lists for itself. A host that got no
+//! answer therefore reads first, which costs the group nothing, and waits longer after each failure.
 
 use crate::domain;
 use crate::time::Millis;
 
-/// Mean pause after the first failed call, in milliseconds; twice as long after each further one.
-const PAUSE_MS: f64 = 500.0;
+/// Mean pause after the first failed call, in milliseconds; it doubles with each further failure.
+const BACKOFF_MS: f64 = 500.0;
 /// Longest mean pause, in milliseconds: a store that is back must be found soon.
-const PAUSE_MAX_MS: f64 = 4_000.0;
+const BACKOFF_MAX_MS: f64 = 4_000.0;
 
 domain! {
-    /// What a host does next.
+    /// What a host does next to be listed.
     #[derive(Copy, Eq)]
     pub enum Step {
-        /// It reads who is listed.
+        /// Read which hosts are listed.
         Read,
-        /// It lists itself.
+        /// Write the host's own row.
         Write,
-        /// It tries again then.
+        /// Ask for the next step at the given time.
         Wait(Millis),
-        /// It is listed, and knows who else is.
+        /// Nothing: the host is listed and has read which others are.
         Done,
     }
 
-    /// How far a host has come.
+    /// The progress of one host in listing itself.
     #[derive(Copy)]
     pub struct Listing {
+        /// Whether the host's own row is in the store.
         is_listed: bool,
+        /// Whether the host has read the others' rows since its own is there.
         has_read: bool,
-        /// It looks before it writes.
+        /// Whether the host must read before it writes its row.
         looks_first: bool,
         failures: u32,
+        /// When the pause after the last failure ends.
         until: Millis,
     }
 }
 
 impl Listing {
-    /// Of a host that starts. When the whole deployment starts for the first time nobody is listed
-    /// yet, and there is nothing to look for.
+    /// Creates the progress of a host that starts. When the whole deployment starts for the first time no
+    /// host is listed yet, so a host need not read before it writes.
     #[must_use]
     pub fn new(is_first_start: bool) -> Self {
         Self {
@@ -55,7 +59,7 @@
         }
     }
 
-    /// What to do now.
+    /// Returns what the host does now.
     #[must_use]
     pub fn step(&self, now: Millis) -> Step {
         match () {
@@ -67,30 +71,33 @@
         }
     }
 
-    /// It has read who is listed, and whether it is itself. Of two hosts that list themselves at the
-    /// same time the one that reads later finds the other, so a host reads once more behind its write.
-    pub fn read(&mut self, is_listed: bool) {
+    /// Records that the host has read the rows, and whether its own was among them. A host reads once
+    /// more after its write: of two hosts that write at the same time, the one that reads later finds the
+    /// other.
+    pub fn record_read(&mut self, is_listed: bool) {
         self.looks_first = false;
         self.has_read = is_listed;
         self.is_listed = is_listed;
     }
 
-    /// Whether what it has read is older than its own row, which the store took. Answered with another row it
-    /// would write and read for as long as the store answers from that state, without a pause.
+    /// Whether a read is older than the host's own row, which the store has accepted. A host that answered
+    /// such a read with another write would write and read without a pause for as long as the store
+    /// answers from an old state.
     #[must_use]
     pub fn is_outdated(&self, is_listed: bool) -> bool {
         self.is_listed && !is_listed
     }
 
-    /// It has listed itself.
-    pub fn wrote(&mut self) {
+    /// Records that the store has accepted the host's row.
+    pub fn record_write(&mut self) {
         self.is_listed = true;
     }
 
-    /// A call failed; whether it was carried out is not known. `draw` is a uniform draw from 0 to 1.
-    pub fn failed(&mut self, draw: f64, now: Millis) {
-        let mean_ms = PAUSE_MS * f64::from(self.failures).exp2();
-        self.until = now + (mean_ms.min(PAUSE_MAX_MS) * (0.5 + draw)) as u64;
+    /// Records a failed call, which the store may have carried out or not, and sets the pause; `draw` is a
+    /// uniform draw from 0 to 1.
+    pub fn record_failure(&mut self, draw: f64, now: Millis) {
+        let mean_ms = BACKOFF_MS * f64::from(self.failures).exp2();
+        self.until = now + (mean_ms.min(BACKOFF_MAX_MS) * (0.5 + draw)) as u64;
         self.failures += 1;
         self.looks_first = true;
     }
--- a/crates/policy/src/recovery.rs
+++ b/crates/policy/src/recovery.rs
@@ -1,74 +1,79 @@
-//! What a host believes of a list after the store has come back from a copy.
+//! Which entries of a list a host trusts after the store has come back from a copy.
 //!
-//! The copy is some seconds old. What was acknowledged since is missing in it, or stands there as it was before,
-//! until whoever wrote it writes it again. A host that took the list as it is would send to servers that have said that
-//! they leave, end evacuations and begin roll-outs anew. So for a while what the host knew holds on where the
-//! list says something else, unless it can tell that this was written after the return; behind that time
-//! the list holds.
+//! The copy is some seconds old. Changes acknowledged since it was made are missing in it, or show their
+//! previous state, until whoever wrote them writes them again. A host that used the list as it is would
+//! send requests to servers that have said that they leave, end evacuations early and start roll-outs
+//! again. For a limited time the host therefore keeps what it knew where the list differs, unless it can
+//! tell that the list's entry was written after the return. After that time the list holds.
 
 use crate::revision::Revision;
 use crate::time::Millis;
 
-/// How long after the return an entry that stands as it was before is taken for one that will be written again,
-/// in milliseconds. To end an evacuation too soon, or to use a server that was gone, breaks a promise; to hold on
-/// to one too long costs some of the capacity.
-pub const REWRITTEN_MS: u64 = 10_000;
+/// How long after the return an entry that shows its previous state is expected to be written again, in
+/// milliseconds. Ending an evacuation too early, or using a server that has gone, breaks a promise;
+/// keeping either for too long only costs some capacity.
+pub const REWRITE_TIMEOUT_MS: u64 = 10_000;
 
-/// How far the time has come in which a list is doubted.
+/// How far a host trusts a list since the store's return; later phases trust it more.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// What the list lacks is kept, and what it has otherwise is not taken.
-    Missing,
-    /// What it lacks is gone; what it has otherwise is still not taken.
-    Changed,
-    /// The list holds.
+    /// Known entries that the list lacks are kept, and doubtful entries of the list are rejected (see
+    /// [`is_doubtful`]).
+    AllDoubted,
+    /// Known entries that the list lacks are dropped; doubtful entries of the list are still rejected.
+    ChangedDoubted,
+    /// The list is used as it is.
     #[default]
     Settled,
 }
 
-/// One list's recovery at one host.
+/// The recovery of one list at one host.
 #[derive(Clone, Copy, Debug)]
 pub struct Recovery {
-    /// How long entries that the list lacks are kept, in milliseconds.
+    /// How long entries that the list lacks are kept after the return, in milliseconds.
     missing_ms: u64,
-    began: Option<Millis>,
+    /// When this host first knew of the last return; none if the store has not come back from a copy.
+    began_at: Option<Millis>,
 }
 
 impl Recovery {
-    /// Of a list whose entries are kept for so long though it lacks them, in milliseconds.
+    /// Creates the recovery of a list whose known entries are kept for `missing_ms` milliseconds after a
+    /// return although the list lacks them.
     #[must_use]
     pub fn new(missing_ms: u64) -> Self {
-        Self { missing_ms, began: None }
+        Self { missing_ms, began_at: None }
     }
 
-    /// The store was first known to be back at a time.
-    pub fn begin(&mut self, began: Millis) {
-        self.began = Some(began);
+    /// Records that the store has come back from a copy and that this was first known at `began_at`.
+    pub fn begin(&mut self, began_at: Millis) {
+        self.began_at = Some(began_at);
     }
 
-    /// How long ago that was, in milliseconds; none if it has not come back.
+    /// Time since the return was first known, in milliseconds; none if the store has not come back from
+    /// a copy.
     #[must_use]
     pub fn age_ms(&self, now: Millis) -> Option<u64> {
-        self.began.map(|began| now.since(began))
+        self.began_at.map(|began_at| now.since(began_at))
     }
 
-    /// What is made of the list now.
+    /// Returns how far the list is trusted now.
     #[must_use]
     pub fn phase(&self, now: Millis) -> Phase {
         match self.age_ms(now) {
-            Some(age_ms) if age_ms < self.missing_ms => Phase::Missing,
-            Some(age_ms) if age_ms < REWRITTEN_MS => Phase::Changed,
+            Some(age_ms) if age_ms < self.missing_ms => Phase::AllDoubted,
+            Some(age_ms) if age_ms < REWRITE_TIMEOUT_MS => Phase::ChangedDoubted,
             _ => Phase::Settled,
         }
     }
 }
 
-/// Whether an entry that a list has otherwise than a host knows it may stand there as it was before the copy was
-/// made. `held` is the revision at which the host knows it, `before` the number of what was there before that, as far
-/// as the host knows.
+/// Whether an entry that differs in the list from what a host knows may be the entry's previous state
+/// from before the copy was made.
 ///
-/// The copy can have nothing newer than what the lost entry replaced; whatever was written after the return
-/// has a number above the copy's.
+/// `listed` is its revision in the list, `held` the revision that the host knows, and `before` the number
+/// of the state that `held` replaced, if the host knows that. The copy can hold nothing newer than the
+/// state that the lost change replaced, and whatever was written after the return has a number above the
+/// copy's.
 #[must_use]
 pub fn is_doubtful(listed: Revision, held: Revision, before: Option<u64>) -> bool {
     listed.era > held.era && listed.number <= before.unwrap_or(held.number)
--- a/crates/policy/src/relay.rs
+++ b/crates/policy/src/relay.rs
@@ -1,425 +1,448 @@
-//! Which host of a failure domain reads a list of the store for all of them.
+//! Decides which host of a failure domain reads a list of the store on behalf of all of them.
 //!
-//! Every call of the store has a price and all hosts share its rates, so not every host reads what
-//! its neighbours have just read. One reads; after each read it tells the others how new its state
-//! is, and they take changes from it. Nobody is elected and nothing is agreed on: a host that has
-//! not heard for a time that anybody's state is new reads for itself, and tells. Hosts wait in the
-//! order of their ranks, so one takes over and the rest hear of it. Two readers at once do no harm;
-//! the one with the higher rank gives way.
+//! Every store call has a price and all hosts share the store's rate limits, so a host should not
+//! read what another one has just read. One host, the reader, reads; after each read it announces
+//! how new its state is, and the others take the changes from it. There is no election and no
+//! agreement: a host that has heard of no fresh state for some time reads for itself and announces
+//! that. Hosts wait in the order of their ranks, so that one of them takes over and the others hear
+//! of it. Two readers at once do no harm; the one that ranks later stops.
 //!
-//! What must not happen is that a host stays behind because another was trusted that has lost the
-//! store, stands still, or is gone. It does not, because a host trusts only what it has heard
-//! lately, and the time after which it reads for itself is a part of the time in which changes must
-//! be in force.
+//! No host may fall behind because it trusted a reader that has lost the store, is paused, or is
+//! gone. This holds because a host trusts only what it heard recently: the time after which it reads
+//! for itself is a fraction of the time in which changes must be in force.
 
 use std::collections::BTreeMap;
 
 use crate::bootstrap::Bootstrap;
 use crate::domain;
+use crate::heartbeat;
 use crate::name::Name;
 use crate::place::{hash, mix};
-use crate::pulse;
 use crate::strength;
 use crate::time::Millis;
 use crate::turn;
 
-/// Part of the time in which changes must be in force for which the reader lets the store hold a
-/// call back. Each call that comes back proves that the state is new.
-const READ_PART: f64 = 0.4;
-/// Part of it after which a host that heard nothing reads for itself. The rest is left for that
-/// read, and for hosts of lower rank that could not.
-const STALE_PART: f64 = 0.62;
-/// Pause of the host that reads for the others behind few changes, in milliseconds, and part of the time
-/// in which changes must be in force behind many: each time they are passed on through the whole domain.
+/// Fraction of [`Bounds::change_ms`] for which the reader lets the store hold a call. Each call that
+/// returns proves that the reader's state is new.
+const READ_HOLD_FRACTION: f64 = 0.4;
+/// Fraction of [`Bounds::change_ms`] after which a host that heard of no fresh state reads for itself.
+/// The rest is left for that read, and for hosts of later rank if it fails.
+const STALE_FRACTION: f64 = 0.62;
+/// Pause of the reader after an answer with few changes, in milliseconds.
 const GATHER_MS: u64 = 300;
-const GATHER_PART: f64 = 0.2;
-/// Changes that are many.
-const MANY: usize = 16;
-/// Between the first two turns, in milliseconds: a read and its telling take a few.
-const TURN_MS: u64 = 50;
-/// Pause of a host that could not read, for each other host, in milliseconds: together they ask so
-/// often.
-const LOST_EACH_MS: u64 = 100;
-/// Most of that pause, as a part of the time in which changes must be in force: a store that serves
-/// only this host must be found by it.
-const LOST_PART: f64 = 0.75;
-/// Time without new state beyond [`STALE_PART`] after which the store is believed to have been
-/// away, in milliseconds; within it some host takes over whose turn it is.
-const AWAY_MS: u64 = 1_000;
-/// Longest time for which a host that reads for itself alone lets the store hold a call back, in
-/// milliseconds. Each call has its price. Shorter than the three heartbeats after which a silent server's
-/// entry lapses, so that an outage long enough for that is noticed.
-const ALONE_MAX_MS: u64 = 3_500;
-/// From the end of that time until a host whose connection has gone silent has read on a new one, in
+/// Pause of the reader after an answer with many changes, as a fraction of [`Bounds::change_ms`]: each
+/// batch is passed on through the whole domain.
+const GATHER_MANY_FRACTION: f64 = 0.2;
+/// Number of changes from which an answer has many.
+const MANY_CHANGES_MIN: usize = 16;
+/// Time between the turns of the first two hosts, in milliseconds; a read and its announcement take a
+/// few milliseconds.
+const TURN_GAP_MS: u64 = 50;
+/// Retry pause after a failed read for each other host of the domain, in milliseconds, so that all of
+/// them together call an unreachable store about once in this time.
+const RETRY_PER_HOST_MS: u64 = 100;
+/// Upper limit of the retry pause as a fraction of [`Bounds::change_ms`]: a store that answers only this
+/// host must be found by it in time.
+const RETRY_MAX_FRACTION: f64 = 0.75;
+/// Time beyond [`STALE_FRACTION`] without fresh state after which the store counts as having been away,
+/// in milliseconds. It is long enough for the host whose turn it is to take over.
+const OUTAGE_MARGIN_MS: u64 = 1_000;
+/// Longest time for which a host that reads alone lets the store hold a call, in milliseconds. A longer
+/// hold means fewer calls, each of which has a price. The limit stays below the three heartbeats after
+/// which a silent server's entry lapses, so that an outage long enough to cause lapses is noticed.
+const ALONE_HOLD_MAX_MS: u64 = 3_500;
+/// Time from the end of a hold until a host whose connection went silent has read on a new one, in
 /// milliseconds: it waits for the answer, pauses and connects.
-const NOTICE_MS: u64 = 1_200;
-/// Part of the time in which changes must be in force that the host which reads may take for an answer for
-/// which the others wait. The rest is left for the steps through the domain, each of which takes a link like
-/// its own a third of that: what is passed on is a fourteenth as long, and given to four others.
-const WAITED_PART: f64 = 0.3;
-/// How long a host waits after its first read to meet others, in milliseconds. They answer within a
-/// few.
-const MEET_MS: u64 = 150;
-
-/// For how long a host that reads for itself alone lets the store hold a call back, in milliseconds, if it
-/// must know what has changed `contact_ms` after its connections work again.
+const RECONNECT_MS: u64 = 1_200;
+/// Fraction of [`Bounds::change_ms`] that the reader may spend on receiving an answer that it passes on.
+/// The rest is left for the steps through the domain. On a link like the reader's each step takes about
+/// a third of the reading time, because the packed change is a fourteenth as long and is sent to four
+/// hosts.
+const RELAYED_READ_FRACTION: f64 = 0.3;
+/// How long a host waits for other hosts to answer after its first read, in milliseconds. They answer
+/// within a few milliseconds.
+const DISCOVERY_MS: u64 = 150;
+
+/// For how long a host that reads alone lets the store hold a call, in milliseconds, if it must know
+/// of changes `contact_ms` after its connections work again.
 ///
-/// A connection can go silent while new ones work. Nothing shows that but an answer that is overdue, and no
-/// neighbour's news make up for it. Held back for longer, a host would serve by an old table although
-/// everyone else reaches the store.
+/// A connection can go silent while new ones work. Only an overdue answer shows that, and what peers
+/// announce does not make up for it. With a longer hold, a host would go on using an old routing table
+/// although every other host reaches the store.
 #[must_use]
 pub fn alone_ms(contact_ms: u64) -> u64 {
-    contact_ms.saturating_sub(NOTICE_MS).min(ALONE_MAX_MS)
+    contact_ms.saturating_sub(RECONNECT_MS).min(ALONE_HOLD_MAX_MS)
 }
 
 domain! {
-    /// How long things may take, in milliseconds.
+    /// Time limits that follow from the settings, in milliseconds.
     #[derive(Copy)]
     pub struct Bounds {
-        /// In which a change must be in force on all hosts.
+        /// Time in which a change must be in force on all hosts.
         pub change_ms: u64,
-        /// For which a host that reads for itself alone lets the store hold a call back.
+        /// Time for which a host that reads alone lets the store hold a call.
         pub alone_ms: u64,
     }
 
-    /// What a host does now.
+    /// What a host does now about a list.
     #[derive(Copy, Eq)]
     pub enum Action {
-        /// It reads, and lets the store hold the call back while nothing changes.
+        /// Read the list from the store.
         Read {
-            /// For so long, in milliseconds.
+            /// How long the store may hold the call while nothing changes, in milliseconds.
             hold_ms: u64,
         },
-        /// It listens to the host that reads.
+        /// Wait for announcements of the reader.
         Listen {
-            /// And reads then, if it hears nothing until then.
+            /// When this host reads for itself if nothing has put that off by then.
             until: Millis,
         },
     }
 }
 
-/// Another host.
+/// Another host of the failure domain.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
-    /// When it was last heard of.
-    heard: Millis,
-    /// When its state was last new; none if it has not said.
-    fresh: Option<Millis>,
-    /// Its strength.
+    /// When this host last received any message of the peer.
+    heard_at: Millis,
+    /// When the peer's state was last known to be new; none if the peer has not said.
+    fresh_at: Option<Millis>,
+    /// Strength class of the peer.
     class: u8,
 }
 
-/// One list's reading in one failure domain, as one host sees it.
+/// Who reads one list in one failure domain, as seen by one host.
 #[derive(Clone, Debug)]
 pub struct Relay {
     bounds: Bounds,
-    /// This host's rank, and its strength.
-    own: u64,
+    /// Rank of this host; lower ranks read first.
+    own_rank: u64,
+    /// Strength class of this host.
     class: u8,
-    list: u64,
+    list_hash: u64,
     peers: BTreeMap<Name, Peer>,
-    /// When this host last read.
-    read: Millis,
-    /// It has read at all.
-    begun: bool,
-    /// It reads on, for the others or for itself alone.
-    reads: bool,
-    /// It has just taken over: its first read is not held back.
-    first: bool,
-    /// It could not read; when it tries again.
-    lost: Option<Millis>,
-    /// Its last try to read failed.
-    failed: bool,
-    /// What it heard of could not be had from another host.
-    forced: bool,
-    /// When it reads first.
+    /// When this host's state was last new by its own read or by the list that it started from.
+    read_at: Millis,
+    /// Whether this host has the list, from the store or from a peer.
+    has_list: bool,
+    /// Whether this host goes on reading, for the domain or for itself alone.
+    is_reader: bool,
+    /// Whether the store must answer the next read at once: this host has just started, taken over or
+    /// failed to read.
+    skips_hold: bool,
+    /// When this host reads again after a failure.
+    retry_at: Option<Millis>,
+    /// Whether the last read failed.
+    has_failed: bool,
+    /// Whether this host must read now, because no peer could give it an announced change.
+    is_forced: bool,
+    /// When this host reads for the first time.
     bootstrap: Bootstrap,
 }
 
 impl Relay {
-    /// Of a list, for a host by its name that starts.
+    /// Creates the state of a host that starts; `list` is the name of the list.
     #[must_use]
     pub fn new(bounds: Bounds, host: &Name, list: &str, bootstrap: Bootstrap) -> Self {
-        let list = hash(list.as_bytes());
+        let list_hash = hash(list.as_bytes());
         Self {
-            own: rank_of(host, 0, list),
+            own_rank: rank_of(host, 0, list_hash),
             class: 0,
-            list,
+            list_hash,
             bounds,
             peers: BTreeMap::new(),
-            read: bootstrap.started,
-            begun: false,
-            reads: false,
-            first: true,
-            lost: None,
-            failed: false,
-            forced: false,
+            read_at: bootstrap.started,
+            has_list: false,
+            is_reader: false,
+            skips_hold: true,
+            retry_at: None,
+            has_failed: false,
+            is_forced: false,
             bootstrap,
         }
     }
 
-    /// Of a host of a strength.
+    /// Sets the strength class of this host, which decides its rank.
     #[must_use]
     pub fn with_class(mut self, host: &Name, class: u8) -> Self {
-        self.own = rank_of(host, class, self.list);
+        self.own_rank = rank_of(host, class, self.list_hash);
         self.class = class;
         self
     }
 
-    /// These other hosts of the domain are listed, each with its strength; some may be gone, and have
-    /// rows still.
-    pub fn found<'a>(&mut self, listed: impl Iterator<Item = (&'a Name, u8)>, now: Millis) {
-        let ranks: Vec<u64> = listed.map(|(name, class)| rank_of(name, class, self.list)).collect();
-        let before = ranks.iter().filter(|rank| **rank < self.own).count();
-        self.bootstrap.found(ranks.len(), before as u64, now);
+    /// Records which other hosts of the domain are listed in the store, each with its strength class.
+    /// Some of them may be gone although their rows still exist.
+    pub fn record_listed<'a>(&mut self, listed: impl Iterator<Item = (&'a Name, u8)>, now: Millis) {
+        let ranks: Vec<u64> =
+            listed.map(|(name, class)| rank_of(name, class, self.list_hash)).collect();
+        let before = ranks.iter().filter(|rank| **rank < self.own_rank).count();
+        self.bootstrap.record_listed(ranks.len(), before as u64, now);
     }
 
-    /// Another host is reading all of the list.
-    pub fn reading(&mut self, peer: &Name, now: Millis) {
-        self.met(peer, now);
-        self.bootstrap.wait(now);
+    /// Records that a peer is reading the whole list.
+    pub fn record_peer_reading(&mut self, peer: &Name, now: Millis) {
+        self.record_peer(peer, now);
+        self.bootstrap.defer(now);
     }
 
-    /// Another host is giving all of the list to this one, or will in a moment.
-    pub fn taking(&mut self, now: Millis) {
-        self.bootstrap.wait(now);
+    /// Puts off this host's first read, because a peer sends it the whole list or will do so soon.
+    pub fn defer_first_read(&mut self, now: Millis) {
+        self.bootstrap.defer(now);
     }
 
-    /// Whether this host, which has nothing yet, may begin with what another one knows: its state
-    /// must be as new as that of a host that is listened to.
+    /// Whether this host, which has no list yet, may start with a peer's list that was new at
+    /// `fresh_at`. The list must be as new as that of a reader which is still trusted.
     #[must_use]
-    pub fn may_take(&self, fresh: Millis, now: Millis) -> bool {
-        !self.begun && now.since(fresh) < self.part(STALE_PART)
+    pub fn may_start_from_peer(&self, fresh_at: Millis, now: Millis) -> bool {
+        !self.has_list && now.since(fresh_at) < self.fraction_ms(STALE_FRACTION)
     }
 
-    /// This host has taken the list from another one, whose state was new at that time.
-    pub fn took(&mut self, fresh: Millis) {
-        self.read = self.read.max(fresh);
-        self.begun = true;
-        self.first = false;
-        self.lost = None;
+    /// Records that this host has started with a peer's list that was new at `fresh_at`.
+    pub fn record_start_from_peer(&mut self, fresh_at: Millis) {
+        self.read_at = self.read_at.max(fresh_at);
+        self.has_list = true;
+        self.skips_hold = false;
+        self.retry_at = None;
     }
 
-    /// In which a change must be in force on all hosts, in milliseconds.
+    /// Time in which a change must be in force on all hosts, in milliseconds.
     #[must_use]
     pub fn change_ms(&self) -> u64 {
         self.bounds.change_ms
     }
 
-    /// Sets how long things may take.
+    /// Replaces the time limits, for instance after the settings were read again.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
-    /// Another host of the domain is there.
-    pub fn met(&mut self, peer: &Name, now: Millis) {
-        self.peers.entry(peer.clone()).or_default().heard = now;
+    /// Records that a peer of the domain is alive.
+    pub fn record_peer(&mut self, peer: &Name, now: Millis) {
+        self.peers.entry(peer.clone()).or_default().heard_at = now;
     }
 
-    /// Another host of the domain is there, and says how strong it is.
-    pub fn met_class(&mut self, peer: &Name, class: u8, now: Millis) {
+    /// Records that a peer of the domain is alive, and its strength class.
+    pub fn record_peer_class(&mut self, peer: &Name, class: u8, now: Millis) {
         let held = self.peers.entry(peer.clone()).or_default();
-        (held.heard, held.class) = (now, class);
+        (held.heard_at, held.class) = (now, class);
     }
 
-    /// Another host has read; its state was new at that time.
-    pub fn heard(&mut self, peer: &Name, fresh: Millis, now: Millis) {
+    /// Records that a peer has read, and that its state was new at `fresh_at`.
+    pub fn record_peer_read(&mut self, peer: &Name, fresh_at: Millis, now: Millis) {
         let held = self.peers.entry(peer.clone()).or_default();
-        held.heard = now;
-        held.fresh = held.fresh.max(Some(fresh));
-        // News of a weaker host don't show that this one reaches the store, which it would read for the others.
+        held.heard_at = now;
+        held.fresh_at = held.fresh_at.max(Some(fresh_at));
+        // A read by a weaker peer does not show that this host, which would read in its place, reaches
+        // the store; only a read by an equally strong peer ends the retry pause.
         let is_as_strong = held.class >= self.class;
-        if is_as_strong && fresh > self.read && now.since(fresh) < self.part(STALE_PART) {
-            self.lost = None;
+        if is_as_strong
+            && fresh_at > self.read_at
+            && now.since(fresh_at) < self.fraction_ms(STALE_FRACTION)
+        {
+            self.retry_at = None;
         }
     }
 
-    /// This host has read.
-    pub fn read(&mut self, now: Millis) {
-        self.reads |= !self.begun && self.bootstrap.tells(now);
-        self.read = now;
-        self.begun = true;
-        self.first = false;
-        self.lost = None;
-        self.failed = false;
-        self.forced = false;
-    }
-
-    /// This host could not read; `draw` is a uniform draw from 0 to 1.
-    pub fn failed(&mut self, pause_ms: u64, draw: f64, now: Millis) {
-        let others = self.others(now) as u64;
-        let most_ms = self.part(LOST_PART).max(pause_ms);
-        let spread_ms = (others * LOST_EACH_MS).clamp(pause_ms, most_ms);
+    /// Records that this host has read the list.
+    pub fn record_read(&mut self, now: Millis) {
+        self.is_reader |= !self.has_list && self.bootstrap.announces_reads(now);
+        self.read_at = now;
+        self.has_list = true;
+        self.skips_hold = false;
+        self.retry_at = None;
+        self.has_failed = false;
+        self.is_forced = false;
+    }
+
+    /// Records that this host could not read, and sets when it reads again. The pause lies between half
+    /// and all of `pause_ms`, or of a longer time in a domain with many hosts; `draw` is a uniform draw
+    /// from 0 to 1.
+    pub fn record_failure(&mut self, pause_ms: u64, draw: f64, now: Millis) {
+        let others = self.alive_count(now) as u64;
+        let most_ms = self.fraction_ms(RETRY_MAX_FRACTION).max(pause_ms);
+        let spread_ms = (others * RETRY_PER_HOST_MS).clamp(pause_ms, most_ms);
         let ms = spread_ms as f64 * (0.5 + draw / 2.0);
-        self.lost = Some(now + ms as u64);
-        self.failed = true;
-        self.first = true;
-        self.reads = false;
+        self.retry_at = Some(now + ms as u64);
+        self.has_failed = true;
+        self.skips_hold = true;
+        self.is_reader = false;
     }
 
-    /// Whether others wait for an answer of so many bytes that this host reads over a link of so many
-    /// megabits a second. A wide link has it long before their own narrow ones would.
+    /// Whether this host receives an answer of `bytes` over a link of `link_mbps` megabits a second soon
+    /// enough to pass it on in time. The other hosts then wait for it. Over a wide link it arrives long
+    /// before it would over their own narrow ones.
     #[must_use]
-    pub fn is_waited_for(&self, bytes: u64, link_mbps: f64) -> bool {
+    pub fn can_relay_in_time(&self, bytes: u64, link_mbps: f64) -> bool {
         let transfer_ms = bytes as f64 * 8.0 / (link_mbps * 1_000.0);
-        transfer_ms <= self.part(WAITED_PART) as f64
+        transfer_ms <= self.fraction_ms(RELAYED_READ_FRACTION) as f64
     }
 
-    /// Another host is being sent a change that is too long to be passed on. This one begins to read
-    /// it now: after the other's last byte its own would come late by as much time again.
-    pub fn incoming(&mut self, peer: &Name, now: Millis) {
-        self.met(peer, now);
-        self.force();
+    /// Records that a peer is receiving a change that is too long to be passed on. This host starts to
+    /// read that change now: if it waited until the peer had it whole, it would have the change later by
+    /// the time of another transfer.
+    pub fn record_long_change(&mut self, peer: &Name, now: Millis) {
+        self.record_peer(peer, now);
+        self.force_read();
     }
 
-    /// What another host announced could not be had from it.
-    pub fn force(&mut self) {
-        self.forced = true;
+    /// Makes this host read at once, because a change that a peer announced could not be had from it.
+    pub fn force_read(&mut self) {
+        self.is_forced = true;
     }
 
-    /// Whether this host reads for itself: among so few hosts the calls of one that reads for all,
-    /// and so more often, would be as many as those of each for itself.
+    /// Whether this host reads for itself only. In a small domain a reader for all hosts, which reads
+    /// more often, would make as many calls as all hosts that read for themselves.
     #[must_use]
-    pub fn is_alone(&self, now: Millis) -> bool {
-        let hosts = self.others(now) as u64 + 1;
-        hosts * self.part(READ_PART) <= self.bounds.alone_ms
+    pub fn reads_alone(&self, now: Millis) -> bool {
+        let hosts = self.alive_count(now) as u64 + 1;
+        hosts * self.fraction_ms(READ_HOLD_FRACTION) <= self.bounds.alone_ms
     }
 
-    /// Time without new state, in milliseconds, after which the store is believed to have been
-    /// away for all hosts of the domain: had it answered one of them, that one would have said so.
+    /// Time without fresh state, in milliseconds, after which the store counts as having been away for
+    /// all hosts of the domain: any host that had got an answer would have announced it.
     #[must_use]
-    pub fn away_ms(&self) -> u64 {
-        self.part(STALE_PART) + AWAY_MS
+    pub fn outage_threshold_ms(&self) -> u64 {
+        self.fraction_ms(STALE_FRACTION) + OUTAGE_MARGIN_MS
     }
 
-    /// Whether this host has never read, and could not when it tried. It then takes over what
-    /// others know: it would otherwise refuse all requests until the store is back.
+    /// Whether this host has no list and failed to read it. It then takes over a peer's list whatever
+    /// its age, because it would otherwise refuse all requests until the store is back.
     #[must_use]
-    pub fn is_wanting(&self) -> bool {
-        !self.begun && self.failed
+    pub fn needs_list_from_peer(&self) -> bool {
+        !self.has_list && self.has_failed
     }
 
-    /// Whether this host reads on, for the others or for itself alone.
+    /// Whether this host goes on reading, for the domain or for itself alone.
     #[must_use]
-    pub fn reads(&self) -> bool {
-        self.reads
+    pub fn is_reader(&self) -> bool {
+        self.is_reader
     }
 
-    /// Whether this host tells others what it reads.
+    /// Whether this host announces its reads to the other hosts.
     #[must_use]
-    pub fn tells(&self, now: Millis) -> bool {
-        self.reads_for_others(now) || (self.reads && self.bootstrap.tells(now))
+    pub fn announces_reads(&self, now: Millis) -> bool {
+        self.reads_for_others(now) || (self.is_reader && self.bootstrap.announces_reads(now))
     }
 
-    /// Whether this host reads for others now.
+    /// Whether this host reads on behalf of the other hosts now.
     #[must_use]
     pub fn reads_for_others(&self, now: Millis) -> bool {
-        self.reads && !self.is_alone(now)
+        self.is_reader && !self.reads_alone(now)
     }
 
-    /// Whether this host reads for others, and none that goes before it does: its call may outlast the change
-    /// of readers. What holds of its own link then says nothing of how soon the others have what it reads.
+    /// Whether this host reads on behalf of the others and no host of earlier rank does. Two readers
+    /// overlap while the call of the one that stops is still held; the link of that one does not say how
+    /// soon the others will have a change.
     #[must_use]
-    pub fn reads_first(&self, now: Millis) -> bool {
-        self.reads_for_others(now) && !self.is_relieved(now)
+    pub fn is_first_reader(&self, now: Millis) -> bool {
+        self.reads_for_others(now) && !self.has_fresh_predecessor(now)
     }
 
-    /// How long the host that reads for the others lets changes gather before it asks for more, having
-    /// just read so many, in milliseconds.
+    /// How long the reader lets changes gather before its next call, in milliseconds; `changes` is the
+    /// number of changes in its last answer.
     #[must_use]
     pub fn gather_ms(&self, changes: usize) -> u64 {
-        if changes < MANY { GATHER_MS } else { GATHER_MS.max(self.part(GATHER_PART)) }
+        if changes < MANY_CHANGES_MIN {
+            GATHER_MS
+        } else {
+            GATHER_MS.max(self.fraction_ms(GATHER_MANY_FRACTION))
+        }
     }
 
-    /// What to do now.
+    /// Returns what this host does now.
     pub fn action(&mut self, now: Millis) -> Action {
-        if let Some(lost) = self.lost.filter(|lost| now < *lost) {
-            return Action::Listen { until: lost };
+        if let Some(retry_at) = self.retry_at.filter(|retry_at| now < *retry_at) {
+            return Action::Listen { until: retry_at };
         }
-        if self.bootstrap.has_met(now) {
-            self.bootstrap.met(self.others(now), self.rank(now), now);
+        if self.bootstrap.is_discovery_over(now) {
+            self.bootstrap.end_discovery(self.alive_count(now), self.rank(now), now);
         }
         let turn = self.bootstrap.turn();
-        match self.begun {
-            _ if self.forced => Action::Read { hold_ms: 0 },
+        match self.has_list {
+            _ if self.is_forced => Action::Read { hold_ms: 0 },
             false if now < turn => Action::Listen { until: turn },
             false => Action::Read { hold_ms: 0 },
-            true if self.is_alone(now) => self.action_alone(now),
+            true if self.reads_alone(now) => self.action_alone(now),
             true => self.action_among_others(now),
         }
     }
 
-    /// After its start a host has others to meet; until then it reads no more than those do.
+    /// Returns the action of a host that reads for itself. After its start it first waits for other
+    /// hosts to answer, so that it reads no more often than they do if there are many.
     fn action_alone(&mut self, now: Millis) -> Action {
-        let due = self.read + MEET_MS;
-        if !self.reads && now < due {
+        let due = self.read_at + DISCOVERY_MS;
+        if !self.is_reader && now < due {
             return Action::Listen { until: due };
         }
-        self.reads = true;
-        Action::Read { hold_ms: if self.first { 0 } else { self.bounds.alone_ms } }
+        self.is_reader = true;
+        Action::Read { hold_ms: if self.skips_hold { 0 } else { self.bounds.alone_ms } }
     }
 
     fn action_among_others(&mut self, now: Millis) -> Action {
-        let stale_ms = self.part(STALE_PART);
-        if self.reads && self.is_relieved(now) {
-            self.reads = false;
+        let stale_ms = self.fraction_ms(STALE_FRACTION);
+        if self.is_reader && self.has_fresh_predecessor(now) {
+            self.is_reader = false;
         }
-        // A weaker host that reads does so for want of this one: over its link a long change comes late to all.
+        // A weaker host reads only for lack of a stronger one, and over its link a long change comes late
+        // to all hosts. Its reads therefore don't put off those of this host.
         let as_strong = self.peers.values().filter(|peer| peer.class >= self.class);
-        let newest = as_strong.filter_map(|peer| peer.fresh).max().unwrap_or_default();
-        let due = newest.max(self.read) + stale_ms + turn::delay_ms(self.rank(now), TURN_MS);
+        let newest = as_strong.filter_map(|peer| peer.fresh_at).max().unwrap_or_default();
+        let due = newest.max(self.read_at) + stale_ms + turn::delay_ms(self.rank(now), TURN_GAP_MS);
         match () {
-            () if self.reads => {
-                let hold_ms = if self.first { 0 } else { self.part(READ_PART) };
+            () if self.is_reader => {
+                let hold_ms =
+                    if self.skips_hold { 0 } else { self.fraction_ms(READ_HOLD_FRACTION) };
                 Action::Read { hold_ms }
             }
             () if now >= due => {
-                self.reads = true;
-                self.first = true;
+                self.is_reader = true;
+                self.skips_hold = true;
                 Action::Read { hold_ms: 0 }
             }
             () => Action::Listen { until: due },
         }
     }
 
-    fn part(&self, part: f64) -> u64 {
-        (self.bounds.change_ms as f64 * part) as u64
+    /// A fraction of the time in which a change must be in force, in milliseconds.
+    fn fraction_ms(&self, fraction: f64) -> u64 {
+        (self.bounds.change_ms as f64 * fraction) as u64
     }
 
-    /// Names of other hosts that were heard of lately.
+    /// Returns the names of the peers whose last message is recent.
     pub fn alive(&self, now: Millis) -> impl Iterator<Item = &Name> {
-        self.living(now).map(|(name, _)| name)
+        self.alive_peers(now).map(|(name, _)| name)
     }
 
-    fn living(&self, now: Millis) -> impl Iterator<Item = (&Name, &Peer)> {
-        let gone_ms = pulse::gone_ms(self.peers.len());
-        self.peers.iter().filter(move |(_, peer)| now.since(peer.heard) < gone_ms)
+    fn alive_peers(&self, now: Millis) -> impl Iterator<Item = (&Name, &Peer)> {
+        let timeout_ms = heartbeat::timeout_ms(self.peers.len());
+        self.peers.iter().filter(move |(_, peer)| now.since(peer.heard_at) < timeout_ms)
     }
 
-    /// Whether a host that goes before this one has read lately.
-    fn is_relieved(&self, now: Millis) -> bool {
-        let stale_ms = self.part(STALE_PART);
-        let is_new = |peer: &Peer| peer.fresh.is_some_and(|fresh| now.since(fresh) < stale_ms);
-        self.peers.iter().any(|(name, peer)| self.is_before(name, peer) && is_new(peer))
+    /// Whether a host of earlier rank has fresh state.
+    fn has_fresh_predecessor(&self, now: Millis) -> bool {
+        let stale_ms = self.fraction_ms(STALE_FRACTION);
+        let is_fresh = |peer: &Peer| peer.fresh_at.is_some_and(|at| now.since(at) < stale_ms);
+        self.peers.iter().any(|(name, peer)| self.is_before(name, peer) && is_fresh(peer))
     }
 
+    /// Whether a peer has an earlier rank than this host.
     fn is_before(&self, name: &Name, peer: &Peer) -> bool {
-        rank_of(name, peer.class, self.list) < self.own
+        rank_of(name, peer.class, self.list_hash) < self.own_rank
     }
 
-    /// Other hosts that were heard of lately.
+    /// Number of peers whose last message is recent.
     #[must_use]
-    pub fn others(&self, now: Millis) -> usize {
+    pub fn alive_count(&self, now: Millis) -> usize {
         self.alive(now).count()
     }
 
-    /// Hosts whose turn comes before this one's.
+    /// Number of alive peers whose turn comes before this host's.
     fn rank(&self, now: Millis) -> u64 {
-        self.living(now).filter(|(name, peer)| self.is_before(name, peer)).count() as u64
+        self.alive_peers(now).filter(|(name, peer)| self.is_before(name, peer)).count() as u64
     }
 }
 
-/// Equally strong hosts have other ranks for each list, so that one host need not read them all.
-fn rank_of(host: &Name, class: u8, list: u64) -> u64 {
-    strength::rank(class, mix(hash(host.as_bytes()) ^ list))
+/// Equally strong hosts rank differently for each list, so that one host need not read all lists.
+fn rank_of(host: &Name, class: u8, list_hash: u64) -> u64 {
+    strength::rank(class, mix(hash(host.as_bytes()) ^ list_hash))
 }
--- a/crates/policy/src/repeat.rs
+++ b/crates/policy/src/repeat.rs
@@ -1,51 +1,53 @@
-//! How often requests may be sent again, kept by each host alone.
+//! How often requests may be sent again, counted by each host on its own.
 //!
-//! All hosts together may send a service so many repeats in any window: a share of the requests
-//! for it, and a few more. A host that keeps to the share of its own requests, and to its part of
-//! the few more, keeps the sum within the bound without asking anybody, also while it is cut off.
+//! In any window, all hosts together may send a service a limited number of repeats: a share of the
+//! requests for that service plus a fixed allowance. A host that stays within that share of its own
+//! requests, and within its part of the fixed allowance, keeps the sum within the limit without asking
+//! other hosts, even while it is cut off.
 
 use crate::domain;
 use crate::time::Millis;
 
-/// Counting cells of one window; a cell is as exact as the window's edge is kept.
-const CELLS: usize = 20;
-/// Part of the allowed share that is used. What one host counts as sent, a backend server may
-/// count a moment later, in the next window.
-const SAFETY: f64 = 0.85;
-
-/// Repeats kept for failures: so many, but no more than that part of those allowed. When many
-/// servers are lost at once a host has several streams that go on elsewhere together. A host with few
-/// requests, or one that has just started, has few repeats; were a fixed number kept, it would pass
-/// on every poor answer of a small model.
-const KEPT_MAX: f64 = 10.0;
-const KEPT_PART: f64 = 0.25;
-/// Repeats beyond the share that one host may send at most, however many all may: more would all be sent by
-/// one host in a moment.
-const SPARE_MAX: f64 = 2.0;
-/// Failure domains that a deployment is taken to have which names none, and hosts that a domain is taken to
-/// have by one that has not found the others.
-const DOMAINS_UNKNOWN: usize = 16;
-const HOSTS_UNKNOWN: usize = 256;
+/// Number of counting cells in one window. The window's edge is exact to the length of one cell.
+const CELL_COUNT: usize = 20;
+/// Fraction of the allowed share that a host uses. A repeat that the host counts as sent may be counted
+/// by the backend server a moment later, in the next window.
+const USED_FRACTION: f64 = 0.85;
+
+/// Most repeats that are reserved for failures. When many servers are lost at once, a host has several
+/// streams that continue elsewhere at the same time.
+const RESERVED_MAX: f64 = 10.0;
+/// Most repeats that are reserved for failures or for streams, as a fraction of the allowed ones. A host
+/// with few requests, or one that has just started, has few repeats; if a fixed number of them were
+/// reserved, it would pass on every poor answer of a small model.
+const RESERVED_FRACTION: f64 = 0.25;
+/// Most repeats beyond the share that one host may send, whatever all hosts together may send. A host
+/// might send more than that within a moment.
+const SPARE_PER_HOST_MAX: f64 = 2.0;
+/// Number of failure domains assumed for a deployment that names none.
+const DEFAULT_DOMAIN_COUNT: usize = 16;
+/// Number of hosts that a host assumes in its failure domain while it has not found the others.
+const DEFAULT_HOST_COUNT: usize = 256;
 
 domain! {
-    /// What all hosts together may do.
+    /// How many repeats one host may send to a service.
     #[derive(Copy)]
     pub struct Allowance {
-        /// Repeats for each request.
+        /// Repeats allowed per request.
         pub share: f64,
-        /// Repeats beyond that, of this host.
+        /// Repeats that this host may send in a window beyond its share.
         pub spare: f64,
         /// Length of the window, in milliseconds.
         pub window_ms: u64,
     }
 
-    /// What this host sent one service lately.
+    /// Requests and repeats of one host for one service in the last window.
     #[derive(Default)]
     pub struct Window {
         cells: Vec<Cell>,
     }
 
-    /// Counts of a part of the window.
+    /// Counts of one cell of the window.
     #[derive(Copy, Default)]
     struct Cell {
         number: u64,
@@ -55,96 +57,98 @@
 }
 
 /// Repeats beyond the share of its requests that one host may send, where all hosts together may send
-/// `slack`. `hosts` are those of its failure domain, itself among them.
+/// `slack`. `hosts` counts the hosts of its failure domain including itself.
 ///
-/// Each failure domain has an equal part, which its hosts share. So the sum keeps to the bound however
-/// many hosts there are and wherever they stand, and no host has to know of those of other domains.
+/// Each failure domain has an equal part, which its hosts share. The sum thus stays within the limit
+/// however many hosts there are and wherever they stand, and no host needs to know those of other
+/// domains.
 #[must_use]
-pub fn spare(slack: f64, domains: Option<usize>, hosts: Option<usize>) -> f64 {
-    let domains = domains.unwrap_or(DOMAINS_UNKNOWN).max(1) as f64;
-    let hosts = hosts.unwrap_or(HOSTS_UNKNOWN).max(1) as f64;
-    (slack / domains / hosts).min(SPARE_MAX)
+pub fn spare_per_host(slack: f64, domains: Option<usize>, hosts: Option<usize>) -> f64 {
+    let domains = domains.unwrap_or(DEFAULT_DOMAIN_COUNT).max(1) as f64;
+    let hosts = hosts.unwrap_or(DEFAULT_HOST_COUNT).max(1) as f64;
+    (slack / domains / hosts).min(SPARE_PER_HOST_MAX)
 }
 
 impl Default for Allowance {
-    /// One repeat for five requests; no spare ones.
+    /// One repeat per five requests and none beyond that.
     fn default() -> Self {
         Self { share: 0.2, spare: 0.0, window_ms: 10_000 }
     }
 }
 
 impl Window {
-    /// A request came in for the service.
-    pub fn request(&mut self, allowance: &Allowance, now: Millis) {
+    /// Counts a request that came in for the service.
+    pub fn record_request(&mut self, allowance: &Allowance, now: Millis) {
         self.cell(allowance, now).requests += 1;
     }
 
-    /// Takes one repeat if it is allowed.
+    /// Takes one repeat and returns true, if one is allowed.
     pub fn take(&mut self, allowance: &Allowance, now: Millis) -> bool {
-        self.take_beside(0, allowance, now)
+        self.take_reserving(0, allowance, now)
     }
 
-    /// Takes one repeat for a request whose caller has nothing of its answer yet, beside so many
-    /// streams under way.
+    /// Takes one repeat, if one is allowed, for a request whose caller has received nothing of an answer
+    /// yet, and reserves one for each of `streams` streams in flight.
     ///
-    /// Such a request can be refused and come back; a stream that breaks off has failed, and all that
-    /// was done for it is lost. Where full servers turn new requests away, each uses up two repeats for
-    /// nothing, and streams whose server is lost would find none. So for each stream one is kept.
-    pub fn take_beside(&mut self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
-        let may_take = self.has_beside(streams, allowance, now);
+    /// Such a request can be refused and sent again by its caller. A stream that breaks off has failed,
+    /// and all work done for it is lost. Where overloaded servers reject new requests, each request uses
+    /// up two repeats for nothing, and streams whose server is lost would find none left.
+    pub fn take_reserving(&mut self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
+        let may_take = self.has_reserving(streams, allowance, now);
         self.cell(allowance, now).repeats += u32::from(may_take);
         may_take
     }
 
-    /// Takes one repeat for a better answer beside so many streams under way, if one is left that is not
-    /// needed to put a failure right: some are kept for those.
+    /// Takes one repeat to get a better answer from a larger model, if one is left beyond those reserved
+    /// for failures and for `streams` streams in flight.
     ///
-    /// It is taken before the answer that there is gets dropped: were it looked for afterwards, another
-    /// request might have it, and the caller would get neither answer.
-    pub fn take_spare(&mut self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
-        self.has_spare(allowance, now) && self.take_beside(streams, allowance, now)
+    /// Take it before dropping the answer at hand. Otherwise another request might take the last repeat,
+    /// and the caller would get neither answer.
+    pub fn take_extra(&mut self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
+        self.exceeds_reserve(allowance, now) && self.take_reserving(streams, allowance, now)
     }
 
-    /// Whether [`Self::take_spare`] would take one now.
+    /// Whether [`Self::take_extra`] would take a repeat now.
     #[must_use]
-    pub fn has_spare_beside(&self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
-        self.has_spare(allowance, now) && self.has_beside(streams, allowance, now)
+    pub fn would_take_extra(&self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
+        self.exceeds_reserve(allowance, now) && self.has_reserving(streams, allowance, now)
     }
 
-    fn has_beside(&self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
+    fn has_reserving(&self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
         let (allowed, made) = self.allowed_and_made(allowance, now);
-        let kept = (streams as f64).min(allowed * KEPT_PART);
-        allowed - made >= 1.0 + kept
+        let reserved = (streams as f64).min(allowed * RESERVED_FRACTION);
+        allowed - made >= 1.0 + reserved
     }
 
-    /// Repeats that are left now.
+    /// Number of repeats left now. It may be negative, because requests leave the window before the
+    /// repeats that they allowed.
     #[must_use]
-    pub fn left(&self, allowance: &Allowance, now: Millis) -> f64 {
+    pub fn remaining(&self, allowance: &Allowance, now: Millis) -> f64 {
         let (allowed, made) = self.allowed_and_made(allowance, now);
         allowed - made
     }
 
-    /// Whether a repeat is left that is not needed to put a failure right: some are kept for those.
+    /// Whether more repeats are left than those reserved to recover from failures.
     #[must_use]
-    pub fn has_spare(&self, allowance: &Allowance, now: Millis) -> bool {
+    pub fn exceeds_reserve(&self, allowance: &Allowance, now: Millis) -> bool {
         let (allowed, made) = self.allowed_and_made(allowance, now);
-        allowed - made >= KEPT_MAX.min(allowed * KEPT_PART).max(1.0)
+        allowed - made >= RESERVED_MAX.min(allowed * RESERVED_FRACTION).max(1.0)
     }
 
-    /// Repeats allowed in the window that ends now, and those made in it.
+    /// Repeats allowed in the window that ends now, and repeats made in it.
     fn allowed_and_made(&self, allowance: &Allowance, now: Millis) -> (f64, f64) {
-        let oldest = number(allowance, now).saturating_sub(CELLS as u64);
+        let oldest = cell_number(allowance, now).saturating_sub(CELL_COUNT as u64);
         let recent = self.cells.iter().filter(|cell| cell.number >= oldest);
         let (requests, repeats) =
             recent.fold((0, 0), |sum, cell| (sum.0 + cell.requests, sum.1 + cell.repeats));
-        let allowed = f64::from(requests) * allowance.share * SAFETY + allowance.spare;
+        let allowed = f64::from(requests) * allowance.share * USED_FRACTION + allowance.spare;
         (allowed, f64::from(repeats))
     }
 
     fn cell(&mut self, allowance: &Allowance, now: Millis) -> &mut Cell {
-        let number = number(allowance, now);
-        self.cells.resize(CELLS + 1, Cell::default());
-        let cell = &mut self.cells[(number % (CELLS as u64 + 1)) as usize];
+        let number = cell_number(allowance, now);
+        self.cells.resize(CELL_COUNT + 1, Cell::default());
+        let cell = &mut self.cells[(number % (CELL_COUNT as u64 + 1)) as usize];
         if cell.number != number {
             *cell = Cell { number, ..Cell::default() };
         }
@@ -152,7 +156,8 @@
     }
 }
 
-fn number(allowance: &Allowance, now: Millis) -> u64 {
-    // From 1, so that a cell never used is not taken for one in use.
-    1 + now.0 / (allowance.window_ms / CELLS as u64).max(1)
+/// Number of the cell that counts at `now`, which grows with time.
+fn cell_number(allowance: &Allowance, now: Millis) -> u64 {
+    // Starts at 1, so that an unused cell, which has number 0, does not match.
+    1 + now.0 / (allowance.window_ms / CELL_COUNT as u64).max(1)
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,83 +1,83 @@
-//! Second tries and hedges: how many, and of which requests.
+//! Retries and hedges: how many, and of which requests.
 //!
-//! Both are paid from one budget that first tries fill. Without it a slow pool would get more
-//! work the slower it is, and a short fault would be kept up by its own retries.
+//! Both are paid from one budget, which first attempts fill. Without it a slow pool would get more work
+//! the slower it is, and a short fault would be prolonged by its own retries.
 
 use crate::domain;
 
-/// Second tries allowed for each first try.
-pub const SHARE: f64 = 0.1;
-/// Second tries that may come at once after a quiet time.
-pub const BURST: f64 = 10.0;
+/// Retries allowed per first attempt.
+pub const RETRY_SHARE: f64 = 0.1;
+/// Most retries that a budget holds, so that this many may come at once after a quiet time.
+pub const RETRY_BURST_MAX: f64 = 10.0;
 
 domain! {
-    /// Second tries of one client account or pool that are still allowed.
+    /// Retries that one client account or pool may still make.
     #[derive(Copy)]
     pub struct Budget {
-        /// Second tries left.
+        /// Retries left; fractions add up until one is whole.
         tokens: f64,
     }
 
-    /// What is known of a try that failed or is slow.
+    /// What is known of an attempt that failed or is slow.
     #[derive(Copy, Eq, Default)]
     pub struct Attempt {
         /// Whether the request may run more than once.
         pub may_repeat: bool,
-        /// Whether its first byte was written to a backend server.
+        /// Whether the first byte of the request was written to a backend server.
         pub first_byte_written: bool,
         /// Whether the first byte of an answer was passed on to the caller.
         pub answer_begun: bool,
-        /// Milliseconds that the caller still waits.
+        /// How much longer the caller waits, in milliseconds.
         pub left_ms: u64,
-        /// Milliseconds that another try is expected to take.
+        /// How long another attempt is expected to take, in milliseconds.
         pub expected_ms: u64,
     }
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { tokens: BURST }
+        Self { tokens: RETRY_BURST_MAX }
     }
 }
 
 impl Budget {
-    /// A first try was made.
+    /// Adds the share of a retry that one first attempt pays for.
     pub fn fill(&mut self) {
-        self.tokens = (self.tokens + SHARE).min(BURST);
+        self.tokens = (self.tokens + RETRY_SHARE).min(RETRY_BURST_MAX);
     }
 
-    /// Whether a second try is left.
+    /// Whether a whole retry is left.
     #[must_use]
-    pub fn has_one(&self) -> bool {
+    pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes a second try, if one is left.
+    /// Takes a retry and returns true, if one is left.
     pub fn take(&mut self) -> bool {
-        let left = self.has_one();
-        self.tokens -= if left { 1.0 } else { 0.0 };
-        left
+        let has_token = self.has_token();
+        self.tokens -= if has_token { 1.0 } else { 0.0 };
+        has_token
     }
 }
 
-/// Takes one second try from both budgets, or from none of them.
-pub fn take_both(account: &mut Budget, pool: &mut Budget) -> bool {
-    account.has_one() && pool.has_one() && account.take() && pool.take()
+/// Takes one retry from both budgets, or from neither if one of them is empty.
+pub fn take_from_both(account: &mut Budget, pool: &mut Budget) -> bool {
+    account.has_token() && pool.has_token() && account.take() && pool.take()
 }
 
-/// Whether a failed try may be made again on another backend server.
+/// Whether a failed attempt may be followed by one on another backend server.
 ///
-/// Once a byte was written, a request that may not be repeated may have run: a second try could
-/// double it, so it is never made.
+/// Once a byte was written, a request that must not be repeated may have run. Another attempt could run
+/// it twice, so none is made.
 #[must_use]
-pub fn may_try_elsewhere(attempt: &Attempt) -> bool {
+pub fn may_retry_elsewhere(attempt: &Attempt) -> bool {
     let cannot_double = attempt.may_repeat || !attempt.first_byte_written;
     cannot_double && !attempt.answer_begun && attempt.expected_ms <= attempt.left_ms
 }
 
-/// Whether a slow try may be joined by a second one, on a new connection.
+/// Whether a slow attempt may be joined by a second one, on a new connection.
 ///
-/// A hedge runs beside the first try, so only requests that may be repeated are hedged.
+/// A hedge runs beside the first attempt, so only requests that may be repeated are hedged.
 #[must_use]
 pub fn may_hedge(attempt: &Attempt, waited_ms: u64, usual_ms: u64) -> bool {
     attempt.may_repeat
--- a/crates/policy/src/revision.rs
+++ b/crates/policy/src/revision.rs
@@ -1,45 +1,48 @@
-//! A position in the life of a store whose counter may go back.
+//! The store's revision, which stays ordered when the store's counter goes back.
 //!
-//! The store may come back from a copy of some seconds ago. Its counter then goes back with it, and numbers are
-//! given out again for other changes: a number alone does not say which of two states is newer. The store
-//! counts its returns, and of two positions the one with more of them is newer, whatever the numbers say.
+//! The store may come back from a copy that is some seconds old. Its counter then goes back as well, and
+//! numbers are given out again for other changes, so a number alone does not say which of two states is
+//! newer. The store counts its returns from a copy. Of two revisions the one with more returns is newer,
+//! whatever the numbers say.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How often the store had come back from a copy, its counter since, and what hosts made of a list at that; ordered
-/// in that order.
+/// The state of a list at a host: the store's returns from a copy, its counter, and changes by hosts.
+///
+/// Revisions are ordered by these fields in the order of their declaration.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(from = "Form", into = "Form")]
 pub struct Revision {
-    /// Returns from a copy before it.
+    /// How often the store had come back from a copy.
     pub era: u64,
-    /// The store's counter; 0 is before the first change.
+    /// The store's counter; 0 before the first change.
     pub number: u64,
-    /// Changes that hosts made to what the store says at that number; 0 is as it says.
+    /// Number of changes that hosts made to the list since the store's state at `number`; 0 if the list
+    /// is as stored.
     pub step: u32,
 }
 
 impl Revision {
-    /// Before everything.
+    /// The revision before the first change.
     pub const NONE: Self = Self::new(0, 0);
 
-    /// One of an era.
+    /// Creates the revision of a list as stored.
     #[must_use]
     pub const fn new(era: u64, number: u64) -> Self {
         Self { era, number, step: 0 }
     }
 
-    /// As the store has it.
+    /// Returns the revision of the list as stored, without the changes by hosts.
     #[must_use]
     pub const fn stored(self) -> Self {
         Self { step: 0, ..self }
     }
 
-    /// The next one that hosts make of a list before the store changes it.
+    /// Returns the revision after one more change by a host, which precedes any change in the store.
     #[must_use]
     pub const fn next_step(self) -> Self {
         Self { step: self.step.saturating_add(1), ..self }
@@ -47,7 +50,7 @@
 }
 
 impl From<u64> for Revision {
-    /// One of a store that has never come back from a copy.
+    /// Creates the revision of a store that has never come back from a copy.
     fn from(number: u64) -> Self {
         Self::new(0, number)
     }
@@ -63,8 +66,8 @@
     }
 }
 
-/// As it is written: a plain number as long as the store has never come back, which programs that know of no
-/// eras can read.
+/// The serialized form of a revision. It is a plain number while the store has never come back from a
+/// copy, so that programs which don't know of eras can read it.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum Form {
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -1,10 +1,11 @@
 //! Which backend servers exist, from a list that may be late, stale, or empty after an outage.
 //!
-//! Three things must not happen. A server that is leaving must not come back because an old list
-//! is read afresh: each id's newest row wins, and a leaving or removed id never returns to work.
-//! Servers whose entries lapsed because the list was out of their reach must not be taken for
-//! dead: they are kept for a moment after the outage. And a server that is really gone must not
-//! be kept for long.
+//! Three failures are prevented:
+//! - A leaving server comes back because an old list is read again. For each id the newest row wins, and
+//!   an id that is leaving or removed never returns to work.
+//! - Servers whose entries lapsed while the list was unreachable count as dead. Their entries are kept
+//!   for a short time after the outage.
+//! - A server that is really gone is kept for long.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -13,134 +14,143 @@
 use crate::revision::Revision;
 use crate::time::Millis;
 
-/// How long an entry that lapsed during an outage is waited for after it, in milliseconds. Live
-/// servers renew theirs within about two seconds of the list's return.
-pub const LAPSE_MS: u64 = 2_000;
-/// How long a removed id is remembered, in milliseconds; no stale list is as old.
-const REMEMBER_MS: u64 = 120_000;
+/// How long after an outage a lapsed entry is kept, in milliseconds. Live servers renew theirs within
+/// about two seconds of the list's return.
+pub const LAPSE_GRACE_MS: u64 = 2_000;
+/// How long a removed id is remembered, in milliseconds; no stale list is that old.
+const REMOVED_RETENTION_MS: u64 = 120_000;
 
-/// One entry of the list, as the roster sees it.
+/// A backend server's entry in the list.
 pub trait Entry: Clone {
-    /// Names one server.
+    /// The server's id.
     fn id(&self) -> &Name;
-    /// When this start of it began, in milliseconds since the epoch; 0 if it does not say.
+    /// When the server started, in milliseconds since the Unix epoch; 0 if the entry does not say.
     fn born(&self) -> u64;
-    /// Whether it is leaving.
+    /// Whether the server is leaving.
     fn is_leaving(&self) -> bool;
-    /// The same, leaving.
+    /// Returns the entry marked as leaving.
     #[must_use]
-    fn leaving(self) -> Self;
+    fn into_leaving(self) -> Self;
 }
 
 domain! {
-    /// Where an entry stands.
+    /// Whether an entry is in use, and since or until when it is not.
     #[derive(Copy, Eq)]
     enum Status {
-        /// Listed.
+        /// The entry is in the list.
         Listed,
-        /// Lapsed while the list was away; kept until then.
+        /// The entry lapsed while the list was unreachable and is kept until the given time.
         Lapsed(Millis),
-        /// Removed then.
+        /// The entry was removed at the given time.
         Removed(Millis),
     }
 }
 
+/// What the roster knows of one id.
 #[derive(Clone, Debug)]
-struct Known<T> {
+struct Record<T> {
     entry: Option<T>,
     revision: Revision,
     status: Status,
-    left: bool,
+    /// Whether the server has said that it is leaving.
+    is_leaving: bool,
 }
 
-/// The list as this host believes it.
+/// The list of backend servers as this host believes it.
 #[derive(Clone, Debug)]
 pub struct Roster<T> {
-    known: BTreeMap<Name, Known<T>>,
-    /// Newest revision of the list that was taken in.
+    records: BTreeMap<Name, Record<T>>,
+    /// Newest revision of the list that the roster contains.
     pub revision: Revision,
-    /// When the list was last out of reach.
-    away_at: Option<Millis>,
-    /// When it was first reached after that.
-    back_at: Option<Millis>,
+    /// When the list was last unreachable.
+    unreachable_at: Option<Millis>,
+    /// When the list was first reached after it was last unreachable.
+    reached_at: Option<Millis>,
 }
 
 impl<T> Default for Roster<T> {
     fn default() -> Self {
-        Self { known: BTreeMap::new(), revision: Revision::NONE, away_at: None, back_at: None }
+        Self {
+            records: BTreeMap::new(),
+            revision: Revision::NONE,
+            unreachable_at: None,
+            reached_at: None,
+        }
     }
 }
 
 impl<T: Entry> Roster<T> {
-    /// The list could not be read.
-    pub fn away(&mut self, now: Millis) {
-        self.away_at = Some(now);
-        self.back_at = None;
+    /// Records that the list could not be read.
+    pub fn record_unreachable(&mut self, now: Millis) {
+        self.unreachable_at = Some(now);
+        self.reached_at = None;
     }
 
-    /// The list was reached.
-    pub fn reached(&mut self, now: Millis) {
-        if self.away_at.is_some() && self.back_at.is_none() {
-            self.back_at = Some(now);
+    /// Records that the list was reached.
+    pub fn record_reached(&mut self, now: Millis) {
+        if self.unreachable_at.is_some() && self.reached_at.is_none() {
+            self.reached_at = Some(now);
         }
     }
 
-    /// One entry as of a revision.
+    /// Adds or replaces an entry as of a revision, unless something newer is known of its id.
     pub fn put(&mut self, entry: T, revision: Revision) {
         let id = entry.id().clone();
-        let before = self.known.get(&id);
-        if before.is_some_and(|known| known.revision >= revision) {
+        let before = self.records.get(&id);
+        if before.is_some_and(|record| record.revision >= revision) {
             return;
         }
-        // A server may start again under its id. What the start before said ends with it: were a
-        // leave remembered, the new start would never get work. A late write of an old start
-        // changes nothing.
-        let born_before = before.and_then(|known| known.entry.as_ref()).map(Entry::born);
+        // A server may start again under its id. What it said before the restart no longer holds: if a
+        // leave were remembered, the restarted server would never get work. A late write from before the
+        // restart changes nothing.
+        let born_before = before.and_then(|record| record.entry.as_ref()).map(Entry::born);
         if born_before.is_some_and(|before| entry.born() < before) {
             return;
         }
         let before = before.filter(|_| born_before.is_none_or(|before| entry.born() == before));
-        let left = before.is_some_and(|known| known.left) || entry.is_leaving();
-        let removed = before.is_some_and(|known| matches!(known.status, Status::Removed(_)));
-        // A lapsed entry that comes back is the same start of the same server. One that was
-        // removed and comes back had left in between or was given up; it serves on, unless it
-        // had said that it was leaving.
-        let entry = if left { entry.leaving() } else { entry };
-        let status = match (removed, left) {
+        let is_leaving = before.is_some_and(|record| record.is_leaving) || entry.is_leaving();
+        let removed = before.is_some_and(|record| matches!(record.status, Status::Removed(_)));
+        // A lapsed entry that comes back belongs to the same start of the same server. A removed one that
+        // comes back had left in between, or its lapse was not waited for any longer; the server is used
+        // again unless it had said that it is leaving.
+        let entry = if is_leaving { entry.into_leaving() } else { entry };
+        let status = match (removed, is_leaving) {
             (true, true) => return,
             _ => Status::Listed,
         };
-        self.known.insert(id, Known { entry: Some(entry), revision, status, left });
+        self.records.insert(id, Record { entry: Some(entry), revision, status, is_leaving });
         self.revision = self.revision.max(revision);
     }
 
-    /// An entry was removed as of a revision.
+    /// Removes an entry as of a revision. After an outage the removal counts as a lapse, and the entry is
+    /// kept for a short time, unless its server is leaving.
     pub fn remove(&mut self, id: &Name, revision: Revision, now: Millis) {
         self.revision = self.revision.max(revision);
-        let lapsing = self.lapsing_until(now);
-        let Some(known) = self.known.get_mut(id) else { return };
-        if known.revision >= revision {
+        let lapsing = self.lapse_deadline(now);
+        let Some(record) = self.records.get_mut(id) else { return };
+        if record.revision >= revision {
             return;
         }
-        known.revision = revision;
-        known.status = match (lapsing, known.left) {
+        record.revision = revision;
+        record.status = match (lapsing, record.is_leaving) {
             (Some(until), false) => Status::Lapsed(until),
             _ => Status::Removed(now),
         };
     }
 
-    /// An entry was replaced by one that can't be read. It names no server to use; unlike one that
-    /// lapsed it is not waited for, since somebody has written it.
+    /// Removes an entry that was replaced by an unreadable one, which names no usable server. The removal
+    /// never counts as a lapse, because somebody has written the new entry.
     pub fn withdraw(&mut self, id: &Name, revision: Revision, now: Millis) {
         self.revision = self.revision.max(revision);
-        let known = self.known.get_mut(id).filter(|known| known.revision < revision);
-        if let Some(known) = known {
-            known.revision = revision;
-            known.status = Status::Removed(now);
+        let record = self.records.get_mut(id).filter(|record| record.revision < revision);
+        if let Some(record) = record {
+            record.revision = revision;
+            record.status = Status::Removed(now);
         }
     }
 
-    /// The whole list as of a revision; false if it is older than what is known.
+    /// Replaces the whole list as of a revision. Returns false, and changes nothing, if that revision is
+    /// older than the roster's.
     pub fn replace(
         &mut self,
         entries: Vec<(T, Revision)>,
@@ -154,7 +164,7 @@
         for (entry, revision) in entries {
             self.put(entry, revision);
         }
-        let held = self.known.iter().filter(|(_, known)| known.status == Status::Listed);
+        let held = self.records.iter().filter(|(_, record)| record.status == Status::Listed);
         let missing: Vec<Name> =
             held.map(|(id, _)| id.clone()).filter(|id| !listed.contains(id)).collect();
         for id in missing {
@@ -164,53 +174,55 @@
         true
     }
 
-    /// Servers that exist now, leaving ones included.
+    /// Returns the servers that exist now, leaving ones included.
     pub fn entries(&mut self, now: Millis) -> Vec<T> {
-        self.settle(now);
-        self.known
+        self.expire(now);
+        self.records
             .values()
-            .filter_map(|known| match known.status {
-                Status::Listed | Status::Lapsed(_) => known.entry.clone(),
+            .filter_map(|record| match record.status {
+                Status::Listed | Status::Lapsed(_) => record.entry.clone(),
                 Status::Removed(_) => None,
             })
             .collect()
     }
 
-    /// Whether an entry of that id was listed lately.
+    /// Whether the id is listed, or was until recently.
     #[must_use]
     pub fn remembers(&self, id: &Name) -> bool {
-        self.known.contains_key(id)
+        self.records.contains_key(id)
     }
 
-    /// When the next lapsed entry is given up, if any is waited for.
+    /// When the next lapsed entry is dropped; none if no entry has lapsed.
     #[must_use]
     pub fn next_lapse(&self) -> Option<Millis> {
-        let lapses = self.known.values().filter_map(|known| match known.status {
+        let lapses = self.records.values().filter_map(|record| match record.status {
             Status::Lapsed(until) => Some(until),
             _ => None,
         });
         lapses.min()
     }
 
-    fn lapsing_until(&self, now: Millis) -> Option<Millis> {
-        match (self.away_at, self.back_at) {
-            (Some(_), Some(back)) if now < back + LAPSE_MS => Some(back + LAPSE_MS),
-            (Some(_), None) => Some(now + LAPSE_MS),
+    /// Until when an entry that is removed now is kept as lapsed; none if the removal is final.
+    fn lapse_deadline(&self, now: Millis) -> Option<Millis> {
+        match (self.unreachable_at, self.reached_at) {
+            (Some(_), Some(at)) if now < at + LAPSE_GRACE_MS => Some(at + LAPSE_GRACE_MS),
+            (Some(_), None) => Some(now + LAPSE_GRACE_MS),
             _ => None,
         }
     }
 
-    fn settle(&mut self, now: Millis) {
-        for known in self.known.values_mut() {
-            match known.status {
+    /// Removes lapsed entries whose time is over, and forgets ids that were removed long ago.
+    fn expire(&mut self, now: Millis) {
+        for record in self.records.values_mut() {
+            match record.status {
                 Status::Lapsed(until) if until <= now => {
-                    known.status = Status::Removed(now);
+                    record.status = Status::Removed(now);
                 }
                 _ => {}
             }
         }
-        self.known.retain(|_, known| match known.status {
-            Status::Removed(at) => now.since(at) < REMEMBER_MS,
+        self.records.retain(|_, record| match record.status {
+            Status::Removed(at) => now.since(at) < REMOVED_RETENTION_MS,
             _ => true,
         });
     }
--- a/crates/policy/src/strength.rs
+++ b/crates/policy/src/strength.rs
@@ -1,23 +1,24 @@
-//! How much a host can do for the others of its failure domain.
+//! How much a host can do on behalf of the other hosts of its failure domain.
 //!
-//! Where hosts differ a hundredfold, what one of them does for all is done by one that has room for it:
-//! a list of thousands of servers takes a narrow link and a tenth of a core seconds.
+//! Where hosts differ a hundredfold, work for the whole domain belongs on a host that has capacity for it:
+//! a list of thousands of servers occupies a narrow link and a tenth of a core for seconds.
 
-/// Classes that hosts fall into.
-const CLASSES: u8 = 16;
+/// Number of strength classes.
+const CLASS_COUNT: u8 = 16;
 
-/// The class of a host with so much of a core and such a link, in megabits a second; each is twice as
-/// strong as the one below. Smaller differences don't matter.
+/// Returns the strength class of a host with a share of a core and a link of `link_mbps` megabits a second.
+/// Each class is twice as strong as the one below; smaller differences don't matter.
 #[must_use]
 pub fn class(core_share: f64, link_mbps: f64) -> u8 {
-    (core_share * link_mbps).max(1.0).log2().min(f64::from(CLASSES - 1)) as u8
+    (core_share * link_mbps).max(1.0).log2().min(f64::from(CLASS_COUNT - 1)) as u8
 }
 
-/// The rank of a host of a class among those of its failure domain, by a hash of its name: 0 is the first.
-/// Stronger hosts come first, equal ones in an order of their own for each purpose.
+/// Returns the rank of a host among those of its failure domain; the lowest rank comes first. Stronger hosts
+/// come before weaker ones. Equally strong hosts are ordered by `hash`, a hash of the host's name that
+/// differs for each purpose.
 #[must_use]
 pub fn rank(class: u8, hash: u64) -> u64 {
-    let weakness = u64::from(CLASSES - 1 - class.min(CLASSES - 1));
-    let places = u64::from(CLASSES);
+    let weakness = u64::from(CLASS_COUNT - 1 - class.min(CLASS_COUNT - 1));
+    let places = u64::from(CLASS_COUNT);
     weakness * (u64::MAX / places) + hash / places
 }
--- a/crates/policy/src/suspicion.rs
+++ b/crates/policy/src/suspicion.rs
@@ -1,41 +1,45 @@
-//! How much a backend server's last answers speak against it.
+//! How likely a backend server is to fail a request, judged by its last answers.
 //!
-//! A server can fail a part of its requests while its health check is good. Only its answers show
-//! that, so each answer moves a share of failures that fades with time: a server that is avoided
-//! gets no answers to clear itself by, and is tried again once its failures have faded.
+//! A server can fail some of its requests while its health check succeeds. Only its answers show that, so
+//! each answer moves a share of failures. The share decays with time: a server that is avoided gets no
+//! answers by which to clear itself, and is tried again once its failures have decayed.
 
 use crate::domain;
 use crate::time::Millis;
 
-/// Weight of one failure. Two in a row weigh 0.44: a server so suspected is used last.
-const FAILURE: f64 = 0.25;
-/// What one success leaves of the share. Five clear a single failure to under a half.
-const SUCCESS: f64 = 0.85;
+/// Weight of one failure in the share. After two failures in a row the share is 0.44, and a server with
+/// that share is used last.
+const FAILURE_WEIGHT: f64 = 0.25;
+/// Factor by which one success reduces the share. Five successes reduce the share of a single failure to
+/// less than half.
+const SUCCESS_FACTOR: f64 = 0.85;
 /// Time in which the share halves without answers, in milliseconds.
 const HALF_LIFE_MS: f64 = 3_000.0;
 
 domain! {
-    /// Of one server.
+    /// The share of failures of one server.
     #[derive(Copy, Default)]
     pub struct Suspicion {
+        /// Share of failures as of `at`, 0 to 1.
         share: f64,
+        /// When the server last answered or failed to.
         at: Millis,
     }
 }
 
 impl Suspicion {
-    /// The share of requests that it is expected to fail, 0 to 1.
+    /// Share of its requests that the server is expected to fail, 0 to 1.
     #[must_use]
     pub fn share(&self, now: Millis) -> f64 {
         self.share * (-(now.since(self.at) as f64) / HALF_LIFE_MS).exp2()
     }
 
-    /// It answered, or failed to.
-    pub fn note(&mut self, failed: bool, now: Millis) {
+    /// Records an answer of the server, or its failure to give one.
+    pub fn record(&mut self, has_failed: bool, now: Millis) {
         let share = self.share(now);
-        self.share = match failed {
-            true => share + FAILURE * (1.0 - share),
-            false => share * SUCCESS,
+        self.share = match has_failed {
+            true => share + FAILURE_WEIGHT * (1.0 - share),
+            false => share * SUCCESS_FACTOR,
         };
         self.at = now;
     }
--- a/crates/policy/src/turn.rs
+++ b/crates/policy/src/turn.rs
@@ -1,12 +1,12 @@
-//! How long hosts wait for each other that would all do the same at the same moment.
+//! How long hosts wait for each other when all of them would do the same thing at the same moment.
 //!
-//! Each waits its turn by rank, and looks then whether it is still to be done. Were turns equally far
-//! apart, the last of some hundred hosts would come seconds late where those before it could not be heard
-//! of. The first few turns lie far enough apart that one host is done before the next begins; only if
-//! these are all lost do several come together.
+//! Each host waits for its turn, which its rank decides, and then checks whether the work is still to be
+//! done. With turns at equal intervals, the last of some hundred hosts would come seconds late if it could
+//! not hear of those before it. The first few turns are far enough apart for one host to finish before the
+//! next begins; only if all of those hosts are lost do several begin together.
 
-/// Pause before a host's turn that has so many others before it; the second host's pause is given. In
-/// milliseconds.
+/// Delay of the turn of a host that has `before` hosts before it, in milliseconds. `second_ms` is the delay
+/// of the second host; the first one does not wait.
 #[must_use]
 pub fn delay_ms(before: u64, second_ms: u64) -> u64 {
     (second_ms as f64 * (before as f64 + 1.0).log2()) as u64
--- a/crates/policy/tests/bootstrap.rs
+++ b/crates/policy/tests/bootstrap.rs
@@ -79,10 +79,10 @@
     fn greet(&mut self, number: usize, now: u64) {
         let names: Vec<Name> = self.hosts.iter().map(|host| host.name.clone()).collect();
         let others = names.iter().filter(|name| **name != names[number]);
-        self.hosts[number].relay.found(others.map(|name| (name, 0)), Millis(now));
+        self.hosts[number].relay.record_listed(others.map(|name| (name, 0)), Millis(now));
         for other in 0..self.hosts.len() {
-            let tells =
-                self.hosts[other].has_at.is_some() && self.hosts[other].relay.tells(Millis(now));
+            let tells = self.hosts[other].has_at.is_some()
+                && self.hosts[other].relay.announces_reads(Millis(now));
             if tells {
                 self.hosts[number].heard.push(other);
             }
@@ -94,9 +94,9 @@
             return;
         }
         if let Some((from, until)) = self.hosts[number].takes_until {
-            self.hosts[number].relay.taking(Millis(now));
+            self.hosts[number].relay.defer_first_read(Millis(now));
             if now >= until {
-                self.hosts[number].relay.took(Millis(now));
+                self.hosts[number].relay.record_start_from_peer(Millis(now));
                 self.hosts[number].has_at = Some(now);
                 self.hosts[number].takes_until = None;
                 // Whoever is busy names those that it gave the list to.
@@ -118,11 +118,11 @@
             let given = self.hosts.iter().filter(|h| h.takes_until.is_some_and(|t| t.0 == *from));
             given.count() < GIVES_MAX
         };
-        let may_take = self.hosts[number].relay.may_take(Millis(now), Millis(now));
+        let may_take = self.hosts[number].relay.may_start_from_peer(Millis(now), Millis(now));
         if let Some(from) = sources.iter().copied().find(free).filter(|_| may_take) {
             self.hosts[number].takes_until = Some((from, now + self.give_ms));
         } else if !sources.is_empty() {
-            self.hosts[number].relay.taking(Millis(now));
+            self.hosts[number].relay.defer_first_read(Millis(now));
         }
         let host = &mut self.hosts[number];
         let reads = matches!(host.relay.action(Millis(now)), Action::Read { .. });
@@ -141,13 +141,13 @@
             // Told every 100 ms.
             if (until - now).is_multiple_of(100) || until - now == self.read_ms - 1 {
                 let others = self.hosts.iter_mut().filter(|host| host.name != name);
-                others.for_each(|host| host.relay.reading(&name, Millis(now)));
+                others.for_each(|host| host.relay.record_peer_reading(&name, Millis(now)));
             }
             return;
         }
-        self.hosts[number].relay.read(Millis(now));
+        self.hosts[number].relay.record_read(Millis(now));
         self.hosts[number].has_at = Some(now);
-        if self.hosts[number].relay.tells(Millis(now)) {
+        if self.hosts[number].relay.announces_reads(Millis(now)) {
             let others = self.hosts.iter_mut().filter(|host| host.name != name);
             others.for_each(|host| host.heard.push(number));
         }
@@ -207,9 +207,9 @@
 #[test]
 fn turn_few_others_at_once() {
     let mut bootstrap = Bootstrap::new(Millis(1_000));
-    bootstrap.found(3, 2, Millis(1_020));
+    bootstrap.record_listed(3, 2, Millis(1_020));
     assert_eq!(bootstrap.turn(), Millis(1_020));
-    assert!(!bootstrap.tells(Millis(1_030)));
+    assert!(!bootstrap.announces_reads(Millis(1_030)));
 }
 
 #[test]
@@ -222,8 +222,8 @@
 #[test]
 fn turn_is_not_put_off_for_ever() {
     let mut bootstrap = Bootstrap::new(Millis(0));
-    bootstrap.found(50, 49, Millis(20));
-    (20..20_000).for_each(|now| bootstrap.wait(Millis(now)));
+    bootstrap.record_listed(50, 49, Millis(20));
+    (20..20_000).for_each(|now| bootstrap.defer(Millis(now)));
     assert!(bootstrap.turn() <= Millis(3_000), "{:?}", bootstrap.turn());
 }
 
@@ -234,7 +234,7 @@
     let names: Vec<Name> = (0..80).map(|number| Name::from(format!("host-{number}"))).collect();
     let mut relays: Vec<Relay> = names
         .iter()
-        .map(|name| Relay::new(BOUNDS, name, "list", Bootstrap::first(Millis(1))))
+        .map(|name| Relay::new(BOUNDS, name, "list", Bootstrap::first_start(Millis(1))))
         .collect();
     /// A long list on a narrow link.
     const READ_MS: u64 = 600;
@@ -247,24 +247,24 @@
         let before = listed;
         listed = names.len().min(now as usize * 3 / 10);
         for number in before..listed {
-            relays[number].found(names[..number].iter().map(|name| (name, 0)), Millis(now));
+            relays[number].record_listed(names[..number].iter().map(|name| (name, 0)), Millis(now));
             for other in 0..number {
-                relays[other].met(&names[number], Millis(now));
-                relays[number].met(&names[other], Millis(now));
+                relays[other].record_peer(&names[number], Millis(now));
+                relays[number].record_peer(&names[other], Millis(now));
             }
         }
         if let Some((reader, until)) = reading {
             let others = (0..names.len()).filter(|other| *other != reader);
             if now == until {
-                relays[reader].read(Millis(now));
+                relays[reader].record_read(Millis(now));
                 reading = None;
             }
             // Told at once, and then each 100 ms.
             let is_told = (until - now).is_multiple_of(100) || until - now == READ_MS - 1;
             for other in others.filter(|_| is_told) {
-                relays[other].reading(&names[reader], Millis(now));
-                if now == until && relays[other].may_take(Millis(now), Millis(now)) {
-                    relays[other].took(Millis(now));
+                relays[other].record_peer_reading(&names[reader], Millis(now));
+                if now == until && relays[other].may_start_from_peer(Millis(now), Millis(now)) {
+                    relays[other].record_start_from_peer(Millis(now));
                     has[other] = true;
                 }
             }
--- a/crates/policy/tests/detour.rs
+++ b/crates/policy/tests/detour.rs
@@ -1,6 +1,6 @@
 //! Hosts cut off from all backend servers, and what those that serve get from them.
 
-use policy::detour::{Choice, Domain, WANTED_MIN};
+use policy::detour::{CANDIDATES_MIN, Choice, Domain};
 use policy::place::mix;
 use policy::sample;
 
@@ -23,7 +23,7 @@
         let first = mix(*seed) as usize;
         for domain in (0..self.domains).map(|step| (first + step) % self.domains) {
             let cut = (self.cut_in)(domain);
-            if domain == own || cut == self.size || !at.wants_far(found.len()) {
+            if domain == own || cut == self.size || !at.needs_other_domains(found.len()) {
                 continue;
             }
             *seed = mix(*seed);
@@ -53,8 +53,8 @@
                 seed = mix(seed);
                 let Some(choice) = at.choose(&known.0, &known.1, seed) else { continue };
                 let (place, known) = match choice {
-                    Choice::Near(index) => (near[index], &mut known.0[index]),
-                    Choice::Far(index) => (far[index], &mut known.1[index]),
+                    Choice::SameDomain(index) => (near[index], &mut known.0[index]),
+                    Choice::OtherDomain(index) => (far[index], &mut known.1[index]),
                 };
                 let load = &mut loads[place.0][place.1];
                 *load += 1;
@@ -93,13 +93,12 @@
     assert_eq!(alone.choose(&[], &[], 1), None);
     assert_eq!(
         alone.choose(&[Some(9.0)], &[], 1),
-        Some(Choice::Near(0)),
+        Some(Choice::SameDomain(0)),
         "any is better than none"
     );
-    assert!(
-        (0..100)
-            .all(|seed| alone.choose(&[], &[Some(9.0), Some(1.0)], seed) == Some(Choice::Far(1)))
-    );
+    assert!((0..100).all(
+        |seed| alone.choose(&[], &[Some(9.0), Some(1.0)], seed) == Some(Choice::OtherDomain(1))
+    ));
     let drawn: std::collections::HashSet<_> =
         (0..200).map(|seed| format!("{:?}", alone.choose(&[], &[None; 5], seed))).collect();
     assert_eq!(drawn.len(), 5, "equal ones are drawn alike");
@@ -110,9 +109,12 @@
 fn choose_stays_near_while_neighbours_suffice() {
     let at = Domain { serving: 3, isolated: 3 };
     assert!(
-        (0..100).all(|seed| matches!(at.choose(&[None; 3], &[None], seed), Some(Choice::Near(_))))
+        (0..100).all(|seed| matches!(
+            at.choose(&[None; 3], &[None], seed),
+            Some(Choice::SameDomain(_))
+        ))
     );
-    assert!(!at.wants_far(0));
-    assert!(Domain { serving: 1, isolated: 1 }.wants_far(0), "the one may be lost");
-    assert!(!Domain { serving: 1, isolated: 9 }.wants_far(WANTED_MIN));
+    assert!(!at.needs_other_domains(0));
+    assert!(Domain { serving: 1, isolated: 1 }.needs_other_domains(0), "the one may be lost");
+    assert!(!Domain { serving: 1, isolated: 9 }.needs_other_domains(CANDIDATES_MIN));
 }
--- a/crates/policy/tests/escalate.rs
+++ b/crates/policy/tests/escalate.rs
@@ -2,7 +2,7 @@
 
 use policy::escalate::{Doubt, begins_with_largest, escalate, threshold};
 use policy::place::mix;
-use policy::repeat::{Allowance, Window, spare};
+use policy::repeat::{Allowance, Window, spare_per_host};
 use policy::time::Millis;
 
 const DOUBT: Doubt = Doubt {
@@ -61,7 +61,7 @@
     const REQUESTS: u64 = 36_000;
     let allowance = Allowance {
         share: 0.9,
-        spare: spare(1_040.0, Some(DOMAINS), Some(hosts.div_ceil(DOMAINS))),
+        spare: spare_per_host(1_040.0, Some(DOMAINS), Some(hosts.div_ceil(DOMAINS))),
         window_ms: 10_000,
     };
     let mut windows = vec![Window::default(); hosts];
@@ -69,14 +69,14 @@
     for number in 0..REQUESTS {
         let now = Millis(1_000_000 + number * 60_000 / REQUESTS);
         let window = &mut windows[mix(number) as usize % hosts];
-        window.request(&allowance, now);
+        window.record_request(&allowance, now);
         let unasked = Doubt { confidence: None, waited_ms: 0.0, ..DOUBT };
-        let has_spare = window.has_spare_beside(1, &allowance, now);
+        let has_spare = window.would_take_extra(1, &allowance, now);
         if begins && !has_spare && begins_with_largest(&unasked) {
             continue;
         }
         let is_doubtful = mix(number ^ 0x5eed) % 3 < 2;
-        if is_doubtful && !window.take_spare(1, &allowance, now) {
+        if is_doubtful && !window.take_extra(1, &allowance, now) {
             passed_on += 1.0;
         }
     }
--- a/crates/policy/tests/hosts/mod.rs
+++ b/crates/policy/tests/hosts/mod.rs
@@ -121,7 +121,7 @@
         let names: Vec<Name> = self.hosts.iter().map(|host| host.name.clone()).collect();
         for host in &mut self.hosts {
             for name in names.iter().filter(|name| **name != host.name) {
-                host.relay.met(name, Millis(self.now));
+                host.relay.record_peer(name, Millis(self.now));
             }
         }
     }
@@ -187,11 +187,11 @@
                     if call.fails {
                         // Hosts draw differently.
                         let draw = (number as f64 * 0.618 + now as f64 * 0.000_7).fract();
-                        host.relay.failed(PAUSE_MS, draw, Millis(now));
+                        host.relay.record_failure(PAUSE_MS, draw, Millis(now));
                         continue;
                     }
                     host.revision = call.brings.unwrap_or(revision);
-                    host.relay.read(Millis(now));
+                    host.relay.record_read(Millis(now));
                     self.tell(number);
                 }
             }
@@ -208,7 +208,7 @@
             self.words += 1;
             let host = &mut self.hosts[number];
             if !self.words.is_multiple_of(self.lose_every) && host.frozen_until <= self.now {
-                host.relay.incoming(&name, Millis(self.now));
+                host.relay.record_long_change(&name, Millis(self.now));
             }
         }
     }
@@ -222,11 +222,11 @@
             if is_lost || host.frozen_until > self.now {
                 continue;
             }
-            host.relay.heard(&name, Millis(self.now), Millis(self.now));
+            host.relay.record_peer_read(&name, Millis(self.now), Millis(self.now));
             match () {
                 () if self.body_ms == 0 => host.revision = host.revision.max(revision),
                 () if host.revision < revision && host.call.is_none_or(|c| c.brings.is_none()) => {
-                    host.relay.force();
+                    host.relay.force_read();
                 }
                 () => {}
             }
--- a/crates/policy/tests/lending.rs
+++ b/crates/policy/tests/lending.rs
@@ -1,6 +1,6 @@
 //! Tries of a request that goes by other hosts, over links between them that lose answers.
 
-use policy::detour::{LENT, spent};
+use policy::detour::{FORWARDED_ATTEMPTS, count_attempts};
 use policy::place::mix;
 
 /// Requests of one run.
@@ -37,7 +37,7 @@
     for _ in 0..REQUESTS {
         let (mut sent, mut runs) = (0, 0);
         while sent < allowed {
-            let lent = if way == Way::Lent { LENT } else { allowed - sent };
+            let lent = if way == Way::Lent { FORWARDED_ATTEMPTS } else { allowed - sent };
             let (mut made, mut is_served) = (0, false);
             while made < lent && !is_served {
                 made += 1;
@@ -46,7 +46,7 @@
             runs += made;
             let reported = (!happens(losing)).then_some(sent + made);
             let counted = if way == Way::AsOne { 1 } else { lent };
-            sent = spent(sent, counted, reported);
+            sent = count_attempts(sent, counted, reported);
             if is_served && reported.is_some() {
                 outcome.served += 1;
                 break;
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -61,7 +61,7 @@
     let (mut full, mut empty) = (Budget::default(), Budget::default());
     while empty.take() {}
     let before = full;
-    assert!(!retry::take_both(&mut full, &mut empty));
+    assert!(!retry::take_from_both(&mut full, &mut empty));
     assert_eq!(full, before);
 }
 
@@ -70,11 +70,11 @@
     let left = Attempt { left_ms: 1_000, expected_ms: 500, ..Attempt::default() };
     let written = Attempt { first_byte_written: true, ..left };
     let repeatable = Attempt { may_repeat: true, ..written };
-    assert!(retry::may_try_elsewhere(&left));
-    assert!(!retry::may_try_elsewhere(&written));
-    assert!(retry::may_try_elsewhere(&repeatable));
-    assert!(!retry::may_try_elsewhere(&Attempt { answer_begun: true, ..repeatable }));
-    assert!(!retry::may_try_elsewhere(&Attempt { left_ms: 100, ..left }));
+    assert!(retry::may_retry_elsewhere(&left));
+    assert!(!retry::may_retry_elsewhere(&written));
+    assert!(retry::may_retry_elsewhere(&repeatable));
+    assert!(!retry::may_retry_elsewhere(&Attempt { answer_begun: true, ..repeatable }));
+    assert!(!retry::may_retry_elsewhere(&Attempt { left_ms: 100, ..left }));
     assert!(!retry::may_hedge(&left, 900, 500));
     assert!(retry::may_hedge(&repeatable, 900, 500));
 }
--- a/crates/policy/tests/listing.rs
+++ b/crates/policy/tests/listing.rs
@@ -54,12 +54,12 @@
                 Step::Done => drop(done.insert(host)),
                 _ if outcome.ms < down_ms => {
                     let draw = draw(&mut seed);
-                    listings[host].failed(draw, now);
+                    listings[host].record_failure(draw, now);
                 }
                 Step::Read => {
                     outcome.reads += 1;
                     let is_written = |(at, row): &&(u64, usize)| *at <= outcome.ms && *row == host;
-                    listings[host].read(written.iter().any(|row| is_written(&row)));
+                    listings[host].record_read(written.iter().any(|row| is_written(&row)));
                     let seen = written.iter().filter(|(at, _)| *at <= outcome.ms);
                     let found: BTreeSet<usize> = seen.map(|(_, row)| *row).collect();
                     outcome.found = outcome.found.max(found.len());
@@ -76,14 +76,14 @@
                     let draw = draw(&mut seed);
                     let answered_ms = (free_at - outcome.ms as f64) as u64;
                     match () {
-                        () if is_turned_away => listings[host].failed(draw, now),
+                        () if is_turned_away => listings[host].record_failure(draw, now),
                         () if answered_ms as f64 > ANSWER_MS => {
                             busy_until[host] = outcome.ms + ANSWER_MS as u64;
-                            listings[host].failed(draw, now + ANSWER_MS as u64);
+                            listings[host].record_failure(draw, now + ANSWER_MS as u64);
                         }
                         () => {
                             busy_until[host] = outcome.ms + answered_ms;
-                            listings[host].wrote();
+                            listings[host].record_write();
                         }
                     }
                 }
@@ -113,18 +113,18 @@
 fn step_host_that_starts_again_writes_nothing() {
     let mut listing = Listing::new(false);
     assert_eq!(listing.step(Millis(1)), Step::Read);
-    listing.read(true);
+    listing.record_read(true);
     assert_eq!(listing.step(Millis(2)), Step::Done);
 }
 
 #[test]
 fn step_new_host_reads_behind_its_write() {
     let mut listing = Listing::new(false);
-    listing.read(false);
+    listing.record_read(false);
     assert_eq!(listing.step(Millis(1)), Step::Write);
-    listing.wrote();
+    listing.record_write();
     assert_eq!(listing.step(Millis(2)), Step::Read);
-    listing.read(true);
+    listing.record_read(true);
     assert_eq!(listing.step(Millis(3)), Step::Done);
 }
 
@@ -132,17 +132,17 @@
 #[test]
 fn step_answer_older_than_the_own_row_is_not_answered_with_another() {
     let mut listing = Listing::new(false);
-    listing.read(false);
-    listing.wrote();
+    listing.record_read(false);
+    listing.record_write();
     for number in 1..4 {
         assert!(listing.is_outdated(false));
         let now = Millis(number * 100_000);
-        listing.failed(0.5, now);
+        listing.record_failure(0.5, now);
         assert!(matches!(listing.step(now), Step::Wait(_)));
         assert_eq!(listing.step(now + 50_000), Step::Read);
     }
     assert!(!listing.is_outdated(true));
-    listing.read(true);
+    listing.record_read(true);
     assert_eq!(listing.step(Millis(900_000)), Step::Done);
 }
 
@@ -150,10 +150,10 @@
 fn step_lost_answer_is_looked_for_before_it_is_written_again() {
     let mut listing = Listing::new(true);
     assert_eq!(listing.step(Millis(1)), Step::Write);
-    listing.failed(0.5, Millis(1));
+    listing.record_failure(0.5, Millis(1));
     let Step::Wait(until) = listing.step(Millis(2)) else { panic!("{listing:?}") };
     assert_eq!(listing.step(until), Step::Read);
-    listing.read(true);
+    listing.record_read(true);
     assert_eq!(listing.step(until), Step::Done);
 }
 
@@ -170,7 +170,7 @@
             Step::Wait(until) => now = until,
             _ => {
                 calls += 1;
-                listing.failed(0.5, now);
+                listing.record_failure(0.5, now);
             }
         }
     }
--- a/crates/policy/tests/pulse.rs
+++ b/crates/policy/tests/pulse.rs
@@ -1,15 +1,17 @@
 //! Signs of life in failure domains of one to a thousand hosts.
 
-use policy::pulse::{every_ms, forget_ms, gone_ms};
+use policy::heartbeat::{forget_ms, interval_ms, timeout_ms};
 
 /// Guards against hosts that spend their time on each other's signs of life.
 #[test]
 fn every_ms_what_a_host_hears_is_bounded() {
     for others in [0, 1, 49, 128, 195, 400, 1_000, 10_000] {
-        let heard_per_s = others as f64 * 1_000.0 / every_ms(others) as f64;
+        let heard_per_s = others as f64 * 1_000.0 / interval_ms(others) as f64;
         assert!(heard_per_s <= 40.0, "{others} {heard_per_s}");
-        assert!(every_ms(others) >= 5_000);
-        assert!(gone_ms(others) > 2 * every_ms(others) && forget_ms(others) > gone_ms(others));
+        assert!(interval_ms(others) >= 5_000);
+        assert!(
+            timeout_ms(others) > 2 * interval_ms(others) && forget_ms(others) > timeout_ms(others)
+        );
     }
-    assert_eq!(gone_ms(195), 12_000);
+    assert_eq!(timeout_ms(195), 12_000);
 }
--- a/crates/policy/tests/recovery.rs
+++ b/crates/policy/tests/recovery.rs
@@ -1,6 +1,6 @@
 //! Positions in a store that comes back from copies, and for how long what it lost is waited for.
 
-use policy::recovery::{Phase, REWRITTEN_MS, Recovery, is_doubtful};
+use policy::recovery::{Phase, REWRITE_TIMEOUT_MS, Recovery, is_doubtful};
 use policy::revision::Revision;
 use policy::time::Millis;
 
@@ -36,12 +36,12 @@
     let mut recovery = Recovery::new(MISSING_MS);
     assert_eq!(recovery.phase(BACK), Phase::Settled);
     recovery.begin(BACK);
-    assert_eq!(recovery.phase(BACK + MISSING_MS - 1), Phase::Missing);
-    assert_eq!(recovery.phase(BACK + MISSING_MS), Phase::Changed);
-    assert_eq!(recovery.phase(BACK + REWRITTEN_MS), Phase::Settled);
+    assert_eq!(recovery.phase(BACK + MISSING_MS - 1), Phase::AllDoubted);
+    assert_eq!(recovery.phase(BACK + MISSING_MS), Phase::ChangedDoubted);
+    assert_eq!(recovery.phase(BACK + REWRITE_TIMEOUT_MS), Phase::Settled);
     // The next return begins it anew.
     recovery.begin(BACK + 60_000);
-    assert_eq!(recovery.phase(BACK + 60_001), Phase::Missing);
+    assert_eq!(recovery.phase(BACK + 60_001), Phase::AllDoubted);
 }
 
 /// Guards against a leave undone by the copy, and against an order given after the return that is not obeyed.
--- a/crates/policy/tests/relay.rs
+++ b/crates/policy/tests/relay.rs
@@ -38,7 +38,7 @@
         let shared = 40_000 / (change_ms * 2 / 5);
         println!("{change_ms} ms, {hosts} hosts: {made} calls, alone {alone}, shared {shared}");
         assert!(made <= alone.min(shared) + 3 + hosts as u64, "{change_ms} {hosts} {made}");
-        let readers = domain.hosts.iter().filter(|host| host.relay.reads()).count();
+        let readers = domain.hosts.iter().filter(|host| host.relay.is_reader()).count();
         assert_eq!(readers == 1 && hosts > 1, is_shared, "{change_ms} {hosts}");
     }
 }
@@ -103,7 +103,7 @@
         let host = &mut domain.hosts[number];
         host.relay = host.relay.clone().with_class(&names[number], classes(number));
         for other in (0..30).filter(|other| *other != number) {
-            host.relay.met_class(&names[other], classes(other), Millis(1));
+            host.relay.record_peer_class(&names[other], classes(other), Millis(1));
         }
     }
     domain.run(6_000);
@@ -119,7 +119,7 @@
     (0..30).step_by(10).for_each(|strong| domain.set_path(strong, Path::Open));
     domain.run(5_000);
     assert!(is_strong(domain.reader()));
-    let readers = domain.hosts.iter().filter(|host| host.relay.reads()).count();
+    let readers = domain.hosts.iter().filter(|host| host.relay.is_reader()).count();
     assert_eq!(readers, 1);
 }
 
@@ -132,18 +132,18 @@
     let bootstrap = Bootstrap::new(Millis(0));
     let mut relay = Relay::new(bounds, &own, "list", bootstrap).with_class(&own, 4);
     let call = Millis(10_000);
-    relay.read(call);
-    relay.met_class(&strong, 9, call);
-    relay.met_class(&weak, 1, call);
+    relay.record_read(call);
+    relay.record_peer_class(&strong, 9, call);
+    relay.record_peer_class(&weak, 1, call);
     assert_eq!(relay.action(call + 1_300), Action::Read { hold_ms: 0 });
-    relay.read(call + 1_300);
-    relay.heard(&weak, call + 1_310, call + 1_310);
-    assert!(relay.reads_first(call + 1_310));
-    relay.heard(&strong, call + 1_310, call + 1_310);
+    relay.record_read(call + 1_300);
+    relay.record_peer_read(&weak, call + 1_310, call + 1_310);
+    assert!(relay.is_first_reader(call + 1_310));
+    relay.record_peer_read(&strong, call + 1_310, call + 1_310);
     assert!(relay.reads_for_others(call + 1_310));
-    assert!(!relay.reads_first(call + 1_310));
+    assert!(!relay.is_first_reader(call + 1_310));
     // It is lost again.
-    assert!(relay.reads_first(call + 1_310 + 1_240));
+    assert!(relay.is_first_reader(call + 1_310 + 1_240));
 }
 
 #[test]
@@ -222,17 +222,21 @@
     let mut relay = Relay::new(PATIENT, &Name::from("host-0"), "list", Bootstrap::new(Millis(1)));
     let peers: Vec<Name> = (1..20).map(|number| Name::from(format!("host-{number}"))).collect();
     for peer in &peers {
-        relay.met(peer, Millis(1));
+        relay.record_peer(peer, Millis(1));
     }
-    relay.read(Millis(1_000));
+    relay.record_read(Millis(1_000));
     let mut asked = 0;
     for now in (1_000..9_000).step_by(10) {
         if now > 4_000 {
-            relay.heard(&peers[now as usize % 19], Millis(1_000 + now % 90), Millis(now));
+            relay.record_peer_read(
+                &peers[now as usize % 19],
+                Millis(1_000 + now % 90),
+                Millis(now),
+            );
         }
         if let Action::Read { .. } = relay.action(Millis(now)) {
             asked += 1;
-            relay.failed(PAUSE_MS, 0.5, Millis(now));
+            relay.record_failure(PAUSE_MS, 0.5, Millis(now));
         }
     }
     assert!(asked < 10, "{asked} calls in 8 s");
--- a/crates/policy/tests/repeat.rs
+++ b/crates/policy/tests/repeat.rs
@@ -1,6 +1,6 @@
 //! Repeats: each host keeps to its own share, and so all hosts together to theirs.
 
-use policy::repeat::{Allowance, Window, spare};
+use policy::repeat::{Allowance, Window, spare_per_host};
 use policy::time::Millis;
 
 const ALLOWANCE: Allowance = Allowance { share: 0.9, spare: 2.0, window_ms: 10_000 };
@@ -17,7 +17,7 @@
 fn take_share_of_requests() {
     let mut window = Window::default();
     for _ in 0..100 {
-        window.request(&ALLOWANCE, START);
+        window.record_request(&ALLOWANCE, START);
     }
     let taken = (0..200).filter(|_| window.take(&ALLOWANCE, START + 5)).count();
     assert!((60..=92).contains(&taken), "{taken}");
@@ -29,23 +29,23 @@
     // answers, and a larger one may be asked: with a fixed number of repeats kept back for
     // failures, such a host would have passed on every poor answer.
     let mut window = Window::default();
-    window.request(&ALLOWANCE, START);
-    window.request(&ALLOWANCE, START + 10);
-    assert!(window.has_spare(&ALLOWANCE, START + 20));
+    window.record_request(&ALLOWANCE, START);
+    window.record_request(&ALLOWANCE, START + 10);
+    assert!(window.exceeds_reserve(&ALLOWANCE, START + 20));
     assert!(window.take(&ALLOWANCE, START + 20));
-    assert!(window.left(&ALLOWANCE, START + 30) >= 1.0);
+    assert!(window.remaining(&ALLOWANCE, START + 30) >= 1.0);
 }
 
 #[test]
 fn has_spare_keeps_some_for_failures() {
     let mut window = Window::default();
     for _ in 0..100 {
-        window.request(&ALLOWANCE, START);
+        window.record_request(&ALLOWANCE, START);
     }
-    while window.has_spare(&ALLOWANCE, START) {
+    while window.exceeds_reserve(&ALLOWANCE, START) {
         assert!(window.take(&ALLOWANCE, START));
     }
-    assert!(window.left(&ALLOWANCE, START) >= 3.0);
+    assert!(window.remaining(&ALLOWANCE, START) >= 3.0);
 }
 
 #[test]
@@ -67,7 +67,7 @@
         for (pause, burst) in steps {
             now = now + u64::from(pause % 900);
             for _ in 0..if *burst { 20 } else { 1 } {
-                window.request(&ALLOWANCE, now);
+                window.record_request(&ALLOWANCE, now);
                 requests.push(now);
                 if window.take(&ALLOWANCE, now) {
                     repeats.push(now);
@@ -91,9 +91,9 @@
 fn has_spare_keeps_enough_for_many_streams() {
     let mut window = Window::default();
     for _ in 0..100 {
-        window.request(&ALLOWANCE, START);
+        window.record_request(&ALLOWANCE, START);
     }
-    while window.has_spare(&ALLOWANCE, START) {
+    while window.exceeds_reserve(&ALLOWANCE, START) {
         assert!(window.take(&ALLOWANCE, START));
     }
     let streams = (0..8).filter(|_| window.take(&ALLOWANCE, START)).count();
@@ -106,9 +106,9 @@
 fn take_beside_streams_leaves_one_for_each() {
     let mut window = Window::default();
     for _ in 0..100 {
-        window.request(&ALLOWANCE, START);
+        window.record_request(&ALLOWANCE, START);
     }
-    while window.take_beside(12, &ALLOWANCE, START) {}
+    while window.take_reserving(12, &ALLOWANCE, START) {}
     let streams = (0..20).filter(|_| window.take(&ALLOWANCE, START)).count();
     assert_eq!(streams, 12);
 }
@@ -118,9 +118,9 @@
 fn take_beside_many_streams_leaves_repeats_for_others() {
     let mut window = Window::default();
     for _ in 0..10 {
-        window.request(&ALLOWANCE, START);
+        window.record_request(&ALLOWANCE, START);
     }
-    let others = (0..20).filter(|_| window.take_beside(500, &ALLOWANCE, START)).count();
+    let others = (0..20).filter(|_| window.take_reserving(500, &ALLOWANCE, START)).count();
     assert!(others >= 6, "{others}");
 }
 
@@ -129,11 +129,11 @@
 fn take_spare_is_the_repeat() {
     let mut window = Window::default();
     for _ in 0..100 {
-        window.request(&ALLOWANCE, START);
+        window.record_request(&ALLOWANCE, START);
     }
-    let spare = (0..100).filter(|_| window.take_spare(15, &ALLOWANCE, START)).count();
+    let spare = (0..100).filter(|_| window.take_extra(15, &ALLOWANCE, START)).count();
     assert!(spare > 0);
-    let left = window.left(&ALLOWANCE, START);
+    let left = window.remaining(&ALLOWANCE, START);
     assert!((15.0..17.0).contains(&left), "{left}");
 }
 
@@ -142,11 +142,15 @@
 fn spare_of_all_hosts_is_within_the_bound() {
     let slack = 1_040.0;
     for domains in [vec![1], vec![1, 1, 2, 2], vec![50; 6], vec![154, 180, 160, 10], vec![200; 5]] {
-        let spare_of = |hosts| spare(slack, Some(domains.len()), Some(hosts));
+        let spare_of = |hosts| spare_per_host(slack, Some(domains.len()), Some(hosts));
         let sum: f64 = domains.iter().map(|hosts| spare_of(*hosts) * *hosts as f64).sum();
         assert!(sum <= slack + 1e-6, "{domains:?}: {sum}");
-        let unknown = spare(slack, None, None) * domains.iter().sum::<usize>() as f64;
+        let unknown = spare_per_host(slack, None, None) * domains.iter().sum::<usize>() as f64;
         assert!(unknown <= slack, "{domains:?}: {unknown}");
     }
-    assert_eq!(spare(52.0, Some(4), Some(2)), 2.0, "a few hosts have as many as one may have");
+    assert_eq!(
+        spare_per_host(52.0, Some(4), Some(2)),
+        2.0,
+        "a few hosts have as many as one may have"
+    );
 }
--- a/crates/policy/tests/roster.rs
+++ b/crates/policy/tests/roster.rs
@@ -2,7 +2,7 @@
 
 use policy::name::Name;
 use policy::revision::Revision;
-use policy::roster::{Entry, LAPSE_MS, Roster};
+use policy::roster::{Entry, LAPSE_GRACE_MS, Roster};
 use policy::time::Millis;
 
 const START: Millis = Millis(1_000_000);
@@ -27,7 +27,7 @@
         self.leaving
     }
 
-    fn leaving(self) -> Self {
+    fn into_leaving(self) -> Self {
         Self { leaving: true, ..self }
     }
 }
@@ -60,7 +60,7 @@
 fn replace_stale_list_brings_nothing_back() {
     let mut roster = Roster::default();
     roster.put(server("a"), at(1));
-    roster.put(server("a").leaving(), at(5));
+    roster.put(server("a").into_leaving(), at(5));
     assert!(!roster.replace(vec![(server("a"), at(1))], at(3), START));
     assert!(working(&mut roster, START).is_empty());
     assert!(roster.replace(vec![(server("a"), at(1))], at(6), START));
@@ -75,23 +75,23 @@
     let mut roster = Roster::default();
     roster.put(server("a"), at(1));
     roster.put(server("b"), at(2));
-    roster.away(START);
-    roster.reached(START + 4_000);
+    roster.record_unreachable(START);
+    roster.record_reached(START + 4_000);
     for (id, revision) in [("a", 3), ("b", 4)] {
         roster.remove(&Name::from(id), Revision::from(revision), START + 4_000);
     }
     assert_eq!(working(&mut roster, START + 4_100), ["a", "b"]);
     roster.put(server("b"), at(5));
-    assert_eq!(working(&mut roster, START + 4_000 + LAPSE_MS), ["b"]);
+    assert_eq!(working(&mut roster, START + 4_000 + LAPSE_GRACE_MS), ["b"]);
     assert_eq!(working(&mut roster, START + 60_000), ["b"]);
 }
 
 #[test]
 fn remove_of_leaving_server_is_no_lapse() {
     let mut roster = Roster::default();
-    roster.put(server("a").leaving(), at(1));
-    roster.away(START);
-    roster.reached(START + 10);
+    roster.put(server("a").into_leaving(), at(1));
+    roster.record_unreachable(START);
+    roster.record_reached(START + 10);
     roster.remove(&Name::from("a"), at(2), START + 20);
     assert!(roster.entries(START + 30).is_empty());
 }
@@ -100,10 +100,10 @@
 fn remove_long_after_outage_is_final() {
     let mut roster = Roster::default();
     roster.put(server("a"), at(1));
-    roster.away(START);
-    roster.reached(START + 100);
-    roster.remove(&Name::from("a"), at(2), START + 100 + LAPSE_MS);
-    assert!(working(&mut roster, START + 100 + LAPSE_MS).is_empty());
+    roster.record_unreachable(START);
+    roster.record_reached(START + 100);
+    roster.remove(&Name::from("a"), at(2), START + 100 + LAPSE_GRACE_MS);
+    assert!(working(&mut roster, START + 100 + LAPSE_GRACE_MS).is_empty());
 }
 
 /// Changes, outages, dropped history and stale reads in any order against a plain model: the store
@@ -135,10 +135,10 @@
                     }
                 }
                 (1, Some(at)) => {
-                    store[at] = (server(&id).leaving(), Revision::from(revision));
+                    store[at] = (server(&id).into_leaving(), Revision::from(revision));
                     if seen {
                         said_leaving.push(id.clone());
-                        roster.put(server(&id).leaving(), Revision::from(revision));
+                        roster.put(server(&id).into_leaving(), Revision::from(revision));
                     }
                 }
                 (2, Some(at)) => {
@@ -148,9 +148,9 @@
                     }
                 }
                 (3, _) => {
-                    roster.away(now);
+                    roster.record_unreachable(now);
                     now = now + 500;
-                    roster.reached(now);
+                    roster.record_reached(now);
                 }
                 (4, _) => {
                     let (stale, as_of) =
@@ -163,7 +163,7 @@
             assert!(said_leaving.iter().all(|id| !working.contains(&id.to_string())));
         }
         roster.replace(store.clone(), Revision::from(revision + 1), now);
-        now = now + LAPSE_MS + 1_000;
+        now = now + LAPSE_GRACE_MS + 1_000;
         let mut expected: Vec<String> = store
             .iter()
             .filter(|(server, _)| !server.leaving)
@@ -180,12 +180,12 @@
 fn put_reborn_server_gets_work() {
     let mut roster = Roster::default();
     roster.put(server("a"), at(1));
-    roster.put(server("a").leaving(), at(2));
+    roster.put(server("a").into_leaving(), at(2));
     roster.remove(&Name::from("a"), at(3), START);
     roster.put(Server { born: 2, ..server("a") }, at(4));
     assert_eq!(working(&mut roster, START), ["a"]);
     // A late write of the first start does not end the second.
-    roster.put(server("a").leaving(), at(5));
+    roster.put(server("a").into_leaving(), at(5));
     assert_eq!(working(&mut roster, START), ["a"]);
 }
 
@@ -197,8 +197,8 @@
     let mut roster = Roster::default();
     roster.put(server("a"), at(1));
     roster.put(server("b"), at(2));
-    roster.away(START);
-    roster.reached(START + 100);
+    roster.record_unreachable(START);
+    roster.record_reached(START + 100);
     roster.withdraw(&Name::from("a"), at(3), START + 200);
     assert_eq!(working(&mut roster, START + 200), ["b"]);
     roster.put(server("a"), at(4));
--- a/crates/policy/tests/spread.rs
+++ b/crates/policy/tests/spread.rs
@@ -56,7 +56,7 @@
         let (name, link) = &self.hosts[0];
         let bounds = Bounds { change_ms: CHANGE_MS, alone_ms: CHANGE_MS };
         let relay = Relay::new(bounds, name, "list", Bootstrap::new(Millis(1)));
-        relay.is_waited_for(self.bytes() as u64, link.mbps)
+        relay.can_relay_in_time(self.bytes() as u64, link.mbps)
     }
 
     /// When the last host has it, in milliseconds, if each reads it from the store.
--- a/crates/policy/tests/suspicion.rs
+++ b/crates/policy/tests/suspicion.rs
@@ -8,17 +8,17 @@
 #[test]
 fn share_grows_and_clears() {
     let mut suspicion = Suspicion::default();
-    suspicion.note(true, START);
-    suspicion.note(true, START);
+    suspicion.record(true, START);
+    suspicion.record(true, START);
     assert!(suspicion.share(START) > 0.4);
-    (0..10).for_each(|_| suspicion.note(false, START));
+    (0..10).for_each(|_| suspicion.record(false, START));
     assert!(suspicion.share(START) < 0.1);
 }
 
 #[test]
 fn share_fades_without_answers() {
     let mut suspicion = Suspicion::default();
-    (0..10).for_each(|_| suspicion.note(true, START));
+    (0..10).for_each(|_| suspicion.record(true, START));
     let before = suspicion.share(START);
     assert!(before > 0.9);
     assert!(suspicion.share(START + 9_000) < before / 7.0);
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -21,7 +21,7 @@
 
 fn limited(per_second: f64) -> Throttle {
     let mut throttle = Throttle::default();
-    throttle.heard(Some(per_second), START, START);
+    throttle.record_answer(Some(per_second), START, START);
     throttle
 }
 
@@ -38,7 +38,7 @@
         let mut count = 0;
         for (throttle, place) in throttles.iter_mut().zip(places) {
             if throttle.has_room(place, now) {
-                throttle.sent(place, now);
+                throttle.record_sent(place, now);
                 count += 1;
             }
         }
@@ -98,9 +98,9 @@
 #[test]
 fn heard_without_a_limit_ends_it_unless_older() {
     let mut throttle = limited(2.0);
-    assert!(!throttle.heard(None, START - 10, START + 10));
+    assert!(!throttle.record_answer(None, START - 10, START + 10));
     assert!(throttle.is_limited(START + 40));
-    assert!(throttle.heard(None, START + 20, START + 40));
+    assert!(throttle.record_answer(None, START + 20, START + 40));
     assert!(!throttle.is_limited(START + 40));
     let alone = Place { before: 9, hosts: 10, is_near: false, domains: 4 };
     assert!(throttle.has_room(&alone, START + 40));
@@ -127,14 +127,14 @@
     let mut throttles = vec![limited(20.0); places.len()];
     send(&mut throttles, &places, 10_000);
     for throttle in &mut throttles {
-        throttle.heard(Some(2.0), START + 10_000, START + 10_000);
+        throttle.record_answer(Some(2.0), START + 10_000, START + 10_000);
     }
     let mut sent = 0;
     for step in 101..=140 {
         let now = START + step * 100;
         for (throttle, place) in throttles.iter_mut().zip(&places) {
             if throttle.has_room(place, now) {
-                throttle.sent(place, now);
+                throttle.record_sent(place, now);
                 sent += 1;
             }
         }
--- a/crates/policy/tests/tree.rs
+++ b/crates/policy/tests/tree.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use policy::bootstrap::wait_ms;
+use policy::bootstrap::request_wait_ms;
 use policy::name::Name;
 use policy::tree::sources;
 
@@ -105,9 +105,9 @@
 #[test]
 fn wait_lasts_until_the_list_has_come_through_a_large_domain() {
     for count in [1, 30, 200, 1_000] {
-        assert_eq!(refused(count, 150, wait_ms(Some(20_000))), 0.0, "{count} hosts");
+        assert_eq!(refused(count, 150, request_wait_ms(Some(20_000))), 0.0, "{count} hosts");
     }
     assert!(refused(200, 150, 300) > 0.5);
-    assert_eq!(wait_ms(Some(1_500)), 300, "a caller in a hurry comes back sooner");
-    assert_eq!(wait_ms(None), 300);
+    assert_eq!(request_wait_ms(Some(1_500)), 300, "a caller in a hurry comes back sooner");
+    assert_eq!(request_wait_ms(None), 300);
 }
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -48,7 +48,7 @@
         let now = START + ms;
         for (host, (throttle, place)) in throttles.iter_mut().zip(places).enumerate() {
             if throttle.has_room(place, now) {
-                throttle.sent(place, now);
+                throttle.record_sent(place, now);
                 arrivals.push(ms + late(host));
             }
         }
@@ -133,10 +133,10 @@
 fn learn_of_both_kinds_the_lower_limit_holds() {
     let alone = Place { before: 0, hosts: 1, is_near: true, domains: 1 };
     let mut throttle = Throttle::default();
-    throttle.heard(Some(4.0), START, START);
+    throttle.record_answer(Some(4.0), START, START);
     throttle.learn(Limit::warmup(11.0, START + WARMUP_MS, START), START);
     assert_eq!(throttle.per_second(START), Some(4.0));
-    throttle.heard(None, START + 10, START + 20);
+    throttle.record_answer(None, START + 10, START + 20);
     assert_eq!(throttle.per_second(START + 20), Some(11.0));
     assert!(!throttle.has_room(&alone, START + 20));
     assert_eq!(throttle.per_second(START + WARMUP_MS), None);
--- a/crates/replay/src/run/life.rs
+++ b/crates/replay/src/run/life.rs
@@ -311,8 +311,8 @@
         known.servers[worker].in_flight -= 1;
         known.refused(worker, now);
         let account = retries.entry(account).or_default();
-        let again =
-            retry::may_try_elsewhere(&attempt) && retry::take_both(account, &mut known.retries);
+        let again = retry::may_retry_elsewhere(&attempt)
+            && retry::take_from_both(account, &mut known.retries);
         match again {
             true => self.launch(life),
             false => self.give_up(life, |refusals| &mut refusals.broken),
--- a/crates/wire/src/routing.rs
+++ b/crates/wire/src/routing.rs
@@ -226,7 +226,7 @@
         self.draining
     }
 
-    fn leaving(self) -> Self {
+    fn into_leaving(self) -> Self {
         Self { draining: true, ..self }
     }
 }
