--- a/crates/policy/src/detour.rs
+++ b/crates/policy/src/detour.rs
@@ -1,19 +1,19 @@
 //! Through which other host a request is forwarded when its own host reaches no backend server.
 //!
-//! The critical case is that half of all hosts, or all hosts of a failure domain, lose their servers at
-//! the same moment and look for others that still serve. If they all agreed on a few hosts, or took the
-//! nearest, those would receive all the load. So the serving hosts of a domain receive the requests of as
-//! many isolated hosts as they are themselves. The rest goes to other failure domains, where each isolated
-//! host draws at random.
+//! The critical case is that half of all hosts, or all hosts of a failure domain, lose their
+//! servers at the same moment and look for others that still serve. If they all agreed on a few
+//! hosts, or took the nearest, those would receive all the load. So the serving hosts of a domain
+//! receive the requests of as many isolated hosts as they are themselves. The rest goes to other
+//! failure domains, where each isolated host draws at random.
 
 use crate::place::mix;
 use crate::sample;
 
-/// Number of candidates that an isolated host wants to know at least. One of them carries a request; of the
-/// others, one may have been lost and one may be isolated as well.
+/// Number of candidates that an isolated host wants to know at least. One of them carries a
+/// request; of the others, one may have been lost and one may be isolated as well.
 pub const CANDIDATES_MIN: usize = 3;
-/// Isolated hosts per serving host of the failure domain above which hosts of other domains are looked for,
-/// which takes a store call for each host.
+/// Isolated hosts per serving host of the failure domain above which hosts of other domains are
+/// looked for, which takes a store call for each host.
 const ISOLATED_PER_SERVING_MAX: usize = 2;
 /// Number of hosts drawn for one request, of which the least loaded is chosen.
 const SAMPLE_COUNT: usize = 4;
@@ -22,9 +22,9 @@
 
 /// Attempts that a host makes for a request forwarded to it.
 ///
-/// If the host's answer is lost, the number of attempts that it made is unknown, and all that it might have
-/// made count. With more than one, a lost answer would cost the caller's request more attempts than were
-/// made.
+/// If the host's answer is lost, the number of attempts that it made is unknown, and all that it
+/// might have made count. With more than one, a lost answer would cost the caller's request more
+/// attempts than were made.
 pub const FORWARDED_ATTEMPTS: u32 = 1;
 
 /// Number of requests in flight at a host; none if it is unknown.
@@ -39,9 +39,9 @@
     pub isolated: usize,
 }
 
-/// Counts the attempts of a request after it was forwarded to a host that might make `forwarded` attempts;
-/// `before` were made earlier. `reported` is the total that the host reports. Without a report, all
-/// attempts that it might have made count.
+/// Counts the attempts of a request after it was forwarded to a host that might make `forwarded`
+/// attempts; `before` were made earlier. `reported` is the total that the host reports. Without a
+/// report, all attempts that it might have made count.
 #[must_use]
 pub fn count_attempts(before: u32, forwarded: u32, reported: Option<u32>) -> u32 {
     reported.unwrap_or(before + forwarded).max(before)
@@ -62,7 +62,8 @@
         (self.serving as f64 / self.isolated.max(1) as f64).min(1.0)
     }
 
-    /// Whether an isolated host that knows `known` hosts of other failure domains should look for more.
+    /// Whether an isolated host that knows `known` hosts of other failure domains should look for
+    /// more.
     #[must_use]
     pub fn needs_other_domains(&self, known: usize) -> bool {
         let is_few = self.serving * ISOLATED_PER_SERVING_MAX < self.isolated
@@ -70,9 +71,9 @@
         is_few && known < CANDIDATES_MIN
     }
 
-    /// Chooses the host to which a request is forwarded, by a draw from `seed`. `same` and `other` are the
-    /// loads of the candidates in this failure domain and in others. If the drawn group is empty, the other
-    /// one is used; none if both are empty.
+    /// Chooses the host to which a request is forwarded, by a draw from `seed`. `same` and `other`
+    /// are the loads of the candidates in this failure domain and in others. If the drawn group is
+    /// empty, the other one is used; none if both are empty.
     #[must_use]
     pub fn choose(&self, same: &[Load], other: &[Load], seed: u64) -> Option<Choice> {
         let draw = (mix(seed ^ 2) >> 11) as f64 / (1_u64 << 53) as f64;
@@ -85,8 +86,8 @@
     }
 }
 
-/// Returns the least loaded of a few hosts drawn at random. An unknown load counts as the mean of the known
-/// ones.
+/// Returns the least loaded of a few hosts drawn at random. An unknown load counts as the mean of
+/// the known ones.
 fn least_loaded(loads: &[Load], seed: u64) -> Option<usize> {
     let (sum, known) =
         loads.iter().flatten().fold((0.0, 0.0), |(sum, known), load| (sum + load, known + 1.0));
--- a/crates/policy/src/listing.rs
+++ b/crates/policy/src/listing.rs
@@ -1,12 +1,13 @@
-//! How a starting host lists itself in the store for the other hosts of its failure domain, and finds
-//! them there.
+//! How a starting host lists itself in the store for the other hosts of its failure domain, and
+//! finds them there.
 //!
-//! The critical case is a whole deployment whose hosts all start within the same second, each writing a
-//! row. The store carries out a limited number of changes a second in one group of rows. It rejects those
-//! that would wait too long. Changes that wait less are still carried out, although their hosts have
-//! stopped waiting for the answer. If hosts repeated such writes blindly, the group would stay overloaded,
-//! hosts would not learn of each other, and each would read all lists for itself. A host that got no
-//! answer therefore reads first, which costs the group nothing, and waits longer after each failure.
+//! The critical case is a whole deployment whose hosts all start within the same second, each
+//! writing a row. The store carries out a limited number of changes a second in one group of rows.
+//! It rejects those that would wait too long. Changes that wait less are still carried out,
+//! although their hosts have stopped waiting for the answer. If hosts repeated such writes blindly,
+//! the group would stay overloaded, hosts would not learn of each other, and each would read all
+//! lists for itself. A host that got no answer therefore reads first, which costs the group
+//! nothing, and waits longer after each failure.
 
 use crate::domain;
 use crate::time::Millis;
@@ -46,8 +47,8 @@
 }
 
 impl Listing {
-    /// Creates the progress of a host that starts. When the whole deployment starts for the first time no
-    /// host is listed yet, so a host need not read before it writes.
+    /// Creates the progress of a host that starts. When the whole deployment starts for the first
+    /// time no host is listed yet, so a host need not read before it writes.
     #[must_use]
     pub fn new(is_first_start: bool) -> Self {
         Self {
@@ -71,18 +72,18 @@
         }
     }
 
-    /// Records that the host has read the rows, and whether its own was among them. A host reads once
-    /// more after its write: of two hosts that write at the same time, the one that reads later finds the
-    /// other.
+    /// Records that the host has read the rows, and whether its own was among them. A host reads
+    /// once more after its write: of two hosts that write at the same time, the one that reads
+    /// later finds the other.
     pub fn record_read(&mut self, is_listed: bool) {
         self.looks_first = false;
         self.has_read = is_listed;
         self.is_listed = is_listed;
     }
 
-    /// Whether a read is older than the host's own row, which the store has accepted. A host that answered
-    /// such a read with another write would write and read without a pause for as long as the store
-    /// answers from an old state.
+    /// Whether a read is older than the host's own row, which the store has accepted. A host that
+    /// answered such a read with another write would write and read without a pause for as long as
+    /// the store answers from an old state.
     #[must_use]
     pub fn is_outdated(&self, is_listed: bool) -> bool {
         self.is_listed && !is_listed
@@ -93,8 +94,8 @@
         self.is_listed = true;
     }
 
-    /// Records a failed call, which the store may have carried out or not, and sets the pause; `draw` is a
-    /// uniform draw from 0 to 1.
+    /// Records a failed call, which the store may have carried out or not, and sets the pause;
+    /// `draw` is a uniform draw from 0 to 1.
     pub fn record_failure(&mut self, draw: f64, now: Millis) {
         let mean_ms = BACKOFF_MS * f64::from(self.failures).exp2();
         self.until = now + (mean_ms.min(BACKOFF_MAX_MS) * (0.5 + draw)) as u64;
--- a/crates/policy/src/relay.rs
+++ b/crates/policy/src/relay.rs
@@ -8,8 +8,8 @@
 //! of it. Two readers at once do no harm; the one that ranks later stops.
 //!
 //! No host may fall behind because it trusted a reader that has lost the store, is paused, or is
-//! gone. This holds because a host trusts only what it heard recently: the time after which it reads
-//! for itself is a fraction of the time in which changes must be in force.
+//! gone. This holds because a host trusts only what it heard recently: the time after which it
+//! reads for itself is a fraction of the time in which changes must be in force.
 
 use std::collections::BTreeMap;
 
@@ -22,53 +22,54 @@
 use crate::time::Millis;
 use crate::turn;
 
-/// Fraction of [`Bounds::change_ms`] for which the reader lets the store hold a call. Each call that
-/// returns proves that the reader's state is new.
+/// Fraction of [`Bounds::change_ms`] for which the reader lets the store hold a call. Each call
+/// that returns proves that the reader's state is new.
 const READ_HOLD_FRACTION: f64 = 0.4;
-/// Fraction of [`Bounds::change_ms`] after which a host that heard of no fresh state reads for itself.
-/// The rest is left for that read, and for hosts of later rank if it fails.
+/// Fraction of [`Bounds::change_ms`] after which a host that heard of no fresh state reads for
+/// itself. The rest is left for that read, and for hosts of later rank if it fails.
 const STALE_FRACTION: f64 = 0.62;
 /// Pause of the reader after an answer with few changes, in milliseconds.
 const GATHER_MS: u64 = 300;
-/// Pause of the reader after an answer with many changes, as a fraction of [`Bounds::change_ms`]: each
-/// batch is passed on through the whole domain.
+/// Pause of the reader after an answer with many changes, as a fraction of [`Bounds::change_ms`]:
+/// each batch is passed on through the whole domain.
 const GATHER_MANY_FRACTION: f64 = 0.2;
 /// Number of changes from which an answer has many.
 const MANY_CHANGES_MIN: usize = 16;
-/// Time between the turns of the first two hosts, in milliseconds; a read and its announcement take a
-/// few milliseconds.
+/// Time between the turns of the first two hosts, in milliseconds; a read and its announcement take
+/// a few milliseconds.
 const TURN_GAP_MS: u64 = 50;
-/// Retry pause after a failed read for each other host of the domain, in milliseconds, so that all of
-/// them together call an unreachable store about once in this time.
+/// Retry pause after a failed read for each other host of the domain, in milliseconds, so that all
+/// of them together call an unreachable store about once in this time.
 const RETRY_PER_HOST_MS: u64 = 100;
-/// Upper limit of the retry pause as a fraction of [`Bounds::change_ms`]: a store that answers only this
-/// host must be found by it in time.
+/// Upper limit of the retry pause as a fraction of [`Bounds::change_ms`]: a store that answers only
+/// this host must be found by it in time.
 const RETRY_MAX_FRACTION: f64 = 0.75;
-/// Time beyond [`STALE_FRACTION`] without fresh state after which the store counts as having been away,
-/// in milliseconds. It is long enough for the host whose turn it is to take over.
+/// Time beyond [`STALE_FRACTION`] without fresh state after which the store counts as having been
+/// away, in milliseconds. It is long enough for the host whose turn it is to take over.
 const OUTAGE_MARGIN_MS: u64 = 1_000;
-/// Longest time for which a host that reads alone lets the store hold a call, in milliseconds. A longer
-/// hold means fewer calls, each of which has a price. The limit stays below the three heartbeats after
-/// which a silent server's entry lapses, so that an outage long enough to cause lapses is noticed.
+/// Longest time for which a host that reads alone lets the store hold a call, in milliseconds. A
+/// longer hold means fewer calls, each of which has a price. The limit stays below the three
+/// heartbeats after which a silent server's entry lapses, so that an outage long enough to cause
+/// lapses is noticed.
 const ALONE_HOLD_MAX_MS: u64 = 3_500;
 /// Time from the end of a hold until a host whose connection went silent has read on a new one, in
 /// milliseconds: it waits for the answer, pauses and connects.
 const RECONNECT_MS: u64 = 1_200;
-/// Fraction of [`Bounds::change_ms`] that the reader may spend on receiving an answer that it passes on.
-/// The rest is left for the steps through the domain. On a link like the reader's each step takes about
-/// a third of the reading time, because the packed change is a fourteenth as long and is sent to four
-/// hosts.
+/// Fraction of [`Bounds::change_ms`] that the reader may spend on receiving an answer that it
+/// passes on. The rest is left for the steps through the domain. On a link like the reader's each
+/// step takes about a third of the reading time, because the packed change is a fourteenth as long
+/// and is sent to four hosts.
 const RELAYED_READ_FRACTION: f64 = 0.3;
-/// How long a host waits for other hosts to answer after its first read, in milliseconds. They answer
-/// within a few milliseconds.
+/// How long a host waits for other hosts to answer after its first read, in milliseconds. They
+/// answer within a few milliseconds.
 const DISCOVERY_MS: u64 = 150;
 
-/// For how long a host that reads alone lets the store hold a call, in milliseconds, if it must know
-/// of changes `contact_ms` after its connections work again.
+/// For how long a host that reads alone lets the store hold a call, in milliseconds, if it must
+/// know of changes `contact_ms` after its connections work again.
 ///
-/// A connection can go silent while new ones work. Only an overdue answer shows that, and what peers
-/// announce does not make up for it. With a longer hold, a host would go on using an old routing table
-/// although every other host reaches the store.
+/// A connection can go silent while new ones work. Only an overdue answer shows that, and what
+/// peers announce does not make up for it. With a longer hold, a host would go on using an old
+/// routing table although every other host reaches the store.
 #[must_use]
 pub fn alone_ms(contact_ms: u64) -> u64 {
     contact_ms.saturating_sub(RECONNECT_MS).min(ALONE_HOLD_MAX_MS)
@@ -127,8 +128,8 @@
     has_list: bool,
     /// Whether this host goes on reading, for the domain or for itself alone.
     is_reader: bool,
-    /// Whether the store must answer the next read at once: this host has just started, taken over or
-    /// failed to read.
+    /// Whether the store must answer the next read at once: this host has just started, taken over
+    /// or failed to read.
     skips_hold: bool,
     /// When this host reads again after a failure.
     retry_at: Option<Millis>,
@@ -170,8 +171,8 @@
         self
     }
 
-    /// Records which other hosts of the domain are listed in the store, each with its strength class.
-    /// Some of them may be gone although their rows still exist.
+    /// Records which other hosts of the domain are listed in the store, each with its strength
+    /// class. Some of them may be gone although their rows still exist.
     pub fn record_listed<'a>(&mut self, listed: impl Iterator<Item = (&'a Name, u8)>, now: Millis) {
         let ranks: Vec<u64> =
             listed.map(|(name, class)| rank_of(name, class, self.list_hash)).collect();
@@ -232,8 +233,8 @@
         let held = self.peers.entry(peer.clone()).or_default();
         held.heard_at = now;
         held.fresh_at = held.fresh_at.max(Some(fresh_at));
-        // A read by a weaker peer does not show that this host, which would read in its place, reaches
-        // the store; only a read by an equally strong peer ends the retry pause.
+        // A read by a weaker peer does not show that this host, which would read in its place,
+        // reaches the store; only a read by an equally strong peer ends the retry pause.
         let is_as_strong = held.class >= self.class;
         if is_as_strong
             && fresh_at > self.read_at
@@ -254,9 +255,9 @@
         self.is_forced = false;
     }
 
-    /// Records that this host could not read, and sets when it reads again. The pause lies between half
-    /// and all of `pause_ms`, or of a longer time in a domain with many hosts; `draw` is a uniform draw
-    /// from 0 to 1.
+    /// Records that this host could not read, and sets when it reads again. The pause lies between
+    /// half and all of `pause_ms`, or of a longer time in a domain with many hosts; `draw` is a
+    /// uniform draw from 0 to 1.
     pub fn record_failure(&mut self, pause_ms: u64, draw: f64, now: Millis) {
         let others = self.alive_count(now) as u64;
         let most_ms = self.fraction_ms(RETRY_MAX_FRACTION).max(pause_ms);
@@ -268,45 +269,46 @@
         self.is_reader = false;
     }
 
-    /// Whether this host receives an answer of `bytes` over a link of `link_mbps` megabits a second soon
-    /// enough to pass it on in time. The other hosts then wait for it. Over a wide link it arrives long
-    /// before it would over their own narrow ones.
+    /// Whether this host receives an answer of `bytes` over a link of `link_mbps` megabits a second
+    /// soon enough to pass it on in time. The other hosts then wait for it. Over a wide link it
+    /// arrives long before it would over their own narrow ones.
     #[must_use]
     pub fn can_relay_in_time(&self, bytes: u64, link_mbps: f64) -> bool {
         let transfer_ms = bytes as f64 * 8.0 / (link_mbps * 1_000.0);
         transfer_ms <= self.fraction_ms(RELAYED_READ_FRACTION) as f64
     }
 
-    /// Records that a peer is receiving a change that is too long to be passed on. This host starts to
-    /// read that change now: if it waited until the peer had it whole, it would have the change later by
-    /// the time of another transfer.
+    /// Records that a peer is receiving a change that is too long to be passed on. This host starts
+    /// to read that change now: if it waited until the peer had it whole, it would have the change
+    /// later by the time of another transfer.
     pub fn record_long_change(&mut self, peer: &Name, now: Millis) {
         self.record_peer(peer, now);
         self.force_read();
     }
 
-    /// Makes this host read at once, because a change that a peer announced could not be had from it.
+    /// Makes this host read at once, because a change that a peer announced could not be had from
+    /// it.
     pub fn force_read(&mut self) {
         self.is_forced = true;
     }
 
-    /// Whether this host reads for itself only. In a small domain a reader for all hosts, which reads
-    /// more often, would make as many calls as all hosts that read for themselves.
+    /// Whether this host reads for itself only. In a small domain a reader for all hosts, which
+    /// reads more often, would make as many calls as all hosts that read for themselves.
     #[must_use]
     pub fn reads_alone(&self, now: Millis) -> bool {
         let hosts = self.alive_count(now) as u64 + 1;
         hosts * self.fraction_ms(READ_HOLD_FRACTION) <= self.bounds.alone_ms
     }
 
-    /// Time without fresh state, in milliseconds, after which the store counts as having been away for
-    /// all hosts of the domain: any host that had got an answer would have announced it.
+    /// Time without fresh state, in milliseconds, after which the store counts as having been away
+    /// for all hosts of the domain: any host that had got an answer would have announced it.
     #[must_use]
     pub fn outage_threshold_ms(&self) -> u64 {
         self.fraction_ms(STALE_FRACTION) + OUTAGE_MARGIN_MS
     }
 
-    /// Whether this host has no list and failed to read it. It then takes over a peer's list whatever
-    /// its age, because it would otherwise refuse all requests until the store is back.
+    /// Whether this host has no list and failed to read it. It then takes over a peer's list
+    /// whatever its age, because it would otherwise refuse all requests until the store is back.
     #[must_use]
     pub fn needs_list_from_peer(&self) -> bool {
         !self.has_list && self.has_failed
@@ -330,16 +332,16 @@
         self.is_reader && !self.reads_alone(now)
     }
 
-    /// Whether this host reads on behalf of the others and no host of earlier rank does. Two readers
-    /// overlap while the call of the one that stops is still held; the link of that one does not say how
-    /// soon the others will have a change.
+    /// Whether this host reads on behalf of the others and no host of earlier rank does. Two
+    /// readers overlap while the call of the one that stops is still held; the link of that one
+    /// does not say how soon the others will have a change.
     #[must_use]
     pub fn is_first_reader(&self, now: Millis) -> bool {
         self.reads_for_others(now) && !self.has_fresh_predecessor(now)
     }
 
-    /// How long the reader lets changes gather before its next call, in milliseconds; `changes` is the
-    /// number of changes in its last answer.
+    /// How long the reader lets changes gather before its next call, in milliseconds; `changes` is
+    /// the number of changes in its last answer.
     #[must_use]
     pub fn gather_ms(&self, changes: usize) -> u64 {
         if changes < MANY_CHANGES_MIN {
@@ -383,8 +385,8 @@
         if self.is_reader && self.has_fresh_predecessor(now) {
             self.is_reader = false;
         }
-        // A weaker host reads only for lack of a stronger one, and over its link a long change comes late
-        // to all hosts. Its reads therefore don't put off those of this host.
+        // A weaker host reads only for lack of a stronger one, and over its link a long change
+        // comes late to all hosts. Its reads therefore don't put off those of this host.
         let as_strong = self.peers.values().filter(|peer| peer.class >= self.class);
         let newest = as_strong.filter_map(|peer| peer.fresh_at).max().unwrap_or_default();
         let due = newest.max(self.read_at) + stale_ms + turn::delay_ms(self.rank(now), TURN_GAP_MS);
--- a/crates/policy/src/repeat.rs
+++ b/crates/policy/src/repeat.rs
@@ -2,27 +2,27 @@
 //!
 //! In any window, all hosts together may send a service a limited number of repeats: a share of the
 //! requests for that service plus a fixed allowance. A host that stays within that share of its own
-//! requests, and within its part of the fixed allowance, keeps the sum within the limit without asking
-//! other hosts, even while it is cut off.
+//! requests, and within its part of the fixed allowance, keeps the sum within the limit without
+//! asking other hosts, even while it is cut off.
 
 use crate::domain;
 use crate::time::Millis;
 
 /// Number of counting cells in one window. The window's edge is exact to the length of one cell.
 const CELL_COUNT: usize = 20;
-/// Fraction of the allowed share that a host uses. A repeat that the host counts as sent may be counted
-/// by the backend server a moment later, in the next window.
+/// Fraction of the allowed share that a host uses. A repeat that the host counts as sent may be
+/// counted by the backend server a moment later, in the next window.
 const USED_FRACTION: f64 = 0.85;
 
-/// Most repeats that are reserved for failures. When many servers are lost at once, a host has several
-/// streams that continue elsewhere at the same time.
+/// Most repeats that are reserved for failures. When many servers are lost at once, a host has
+/// several streams that continue elsewhere at the same time.
 const RESERVED_MAX: f64 = 10.0;
-/// Most repeats that are reserved for failures or for streams, as a fraction of the allowed ones. A host
-/// with few requests, or one that has just started, has few repeats; if a fixed number of them were
-/// reserved, it would pass on every poor answer of a small model.
+/// Most repeats that are reserved for failures or for streams, as a fraction of the allowed ones. A
+/// host with few requests, or one that has just started, has few repeats; if a fixed number of them
+/// were reserved, it would pass on every poor answer of a small model.
 const RESERVED_FRACTION: f64 = 0.25;
-/// Most repeats beyond the share that one host may send, whatever all hosts together may send. A host
-/// might send more than that within a moment.
+/// Most repeats beyond the share that one host may send, whatever all hosts together may send. A
+/// host might send more than that within a moment.
 const SPARE_PER_HOST_MAX: f64 = 2.0;
 /// Number of failure domains assumed for a deployment that names none.
 const DEFAULT_DOMAIN_COUNT: usize = 16;
@@ -56,12 +56,12 @@
     }
 }
 
-/// Repeats beyond the share of its requests that one host may send, where all hosts together may send
-/// `slack`. `hosts` counts the hosts of its failure domain including itself.
+/// Repeats beyond the share of its requests that one host may send, where all hosts together may
+/// send `slack`. `hosts` counts the hosts of its failure domain including itself.
 ///
-/// Each failure domain has an equal part, which its hosts share. The sum thus stays within the limit
-/// however many hosts there are and wherever they stand, and no host needs to know those of other
-/// domains.
+/// Each failure domain has an equal part, which its hosts share. The sum thus stays within the
+/// limit however many hosts there are and wherever they stand, and no host needs to know those of
+/// other domains.
 #[must_use]
 pub fn spare_per_host(slack: f64, domains: Option<usize>, hosts: Option<usize>) -> f64 {
     let domains = domains.unwrap_or(DEFAULT_DOMAIN_COUNT).max(1) as f64;
@@ -87,23 +87,24 @@
         self.take_reserving(0, allowance, now)
     }
 
-    /// Takes one repeat, if one is allowed, for a request whose caller has received nothing of an answer
-    /// yet, and reserves one for each of `streams` streams in flight.
+    /// Takes one repeat, if one is allowed, for a request whose caller has received nothing of an
+    /// answer yet, and reserves one for each of `streams` streams in flight.
     ///
-    /// Such a request can be refused and sent again by its caller. A stream that breaks off has failed,
-    /// and all work done for it is lost. Where overloaded servers reject new requests, each request uses
-    /// up two repeats for nothing, and streams whose server is lost would find none left.
+    /// Such a request can be refused and sent again by its caller. A stream that breaks off has
+    /// failed, and all work done for it is lost. Where overloaded servers reject new requests, each
+    /// request uses up two repeats for nothing, and streams whose server is lost would find none
+    /// left.
     pub fn take_reserving(&mut self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
         let may_take = self.has_reserving(streams, allowance, now);
         self.cell(allowance, now).repeats += u32::from(may_take);
         may_take
     }
 
-    /// Takes one repeat to get a better answer from a larger model, if one is left beyond those reserved
-    /// for failures and for `streams` streams in flight.
+    /// Takes one repeat to get a better answer from a larger model, if one is left beyond those
+    /// reserved for failures and for `streams` streams in flight.
     ///
-    /// Take it before dropping the answer at hand. Otherwise another request might take the last repeat,
-    /// and the caller would get neither answer.
+    /// Take it before dropping the answer at hand. Otherwise another request might take the last
+    /// repeat, and the caller would get neither answer.
     pub fn take_extra(&mut self, streams: usize, allowance: &Allowance, now: Millis) -> bool {
         self.exceeds_reserve(allowance, now) && self.take_reserving(streams, allowance, now)
     }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,7 +1,7 @@
 //! Retries and hedges: how many, and of which requests.
 //!
-//! Both are paid from one budget, which first attempts fill. Without it a slow pool would get more work
-//! the slower it is, and a short fault would be prolonged by its own retries.
+//! Both are paid from one budget, which first attempts fill. Without it a slow pool would get more
+//! work the slower it is, and a short fault would be prolonged by its own retries.
 
 use crate::domain;
 
@@ -67,8 +67,8 @@
 
 /// Whether a failed attempt may be followed by one on another backend server.
 ///
-/// Once a byte was written, a request that must not be repeated may have run. Another attempt could run
-/// it twice, so none is made.
+/// Once a byte was written, a request that must not be repeated may have run. Another attempt could
+/// run it twice, so none is made.
 #[must_use]
 pub fn may_retry_elsewhere(attempt: &Attempt) -> bool {
     let cannot_double = attempt.may_repeat || !attempt.first_byte_written;
--- a/crates/policy/src/revision.rs
+++ b/crates/policy/src/revision.rs
@@ -1,15 +1,16 @@
 //! The store's revision, which stays ordered when the store's counter goes back.
 //!
-//! The store may come back from a copy that is some seconds old. Its counter then goes back as well, and
-//! numbers are given out again for other changes, so a number alone does not say which of two states is
-//! newer. The store counts its returns from a copy. Of two revisions the one with more returns is newer,
-//! whatever the numbers say.
+//! The store may come back from a copy that is some seconds old. Its counter then goes back as
+//! well, and numbers are given out again for other changes, so a number alone does not say which of
+//! two states is newer. The store counts its returns from a copy. Of two revisions the one with
+//! more returns is newer, whatever the numbers say.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The state of a list at a host: the store's returns from a copy, its counter, and changes by hosts.
+/// The state of a list at a host: the store's returns from a copy, its counter, and changes by
+/// hosts.
 ///
 /// Revisions are ordered by these fields in the order of their declaration.
 #[derive(
@@ -21,8 +22,8 @@
     pub era: u64,
     /// The store's counter; 0 before the first change.
     pub number: u64,
-    /// Number of changes that hosts made to the list since the store's state at `number`; 0 if the list
-    /// is as stored.
+    /// Number of changes that hosts made to the list since the store's state at `number`; 0 if the
+    /// list is as stored.
     pub step: u32,
 }
 
@@ -42,7 +43,8 @@
         Self { step: 0, ..self }
     }
 
-    /// Returns the revision after one more change by a host, which precedes any change in the store.
+    /// Returns the revision after one more change by a host, which precedes any change in the
+    /// store.
     #[must_use]
     pub const fn next_step(self) -> Self {
         Self { step: self.step.saturating_add(1), ..self }
@@ -66,8 +68,8 @@
     }
 }
 
-/// The serialized form of a revision. It is a plain number while the store has never come back from a
-/// copy, so that programs which don't know of eras can read it.
+/// The serialized form of a revision. It is a plain number while the store has never come back from
+/// a copy, so that programs which don't know of eras can read it.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum Form {
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -1,10 +1,10 @@
 //! Which backend servers exist, from a list that may be late, stale, or empty after an outage.
 //!
 //! Three failures are prevented:
-//! - A leaving server comes back because an old list is read again. For each id the newest row wins, and
-//!   an id that is leaving or removed never returns to work.
-//! - Servers whose entries lapsed while the list was unreachable count as dead. Their entries are kept
-//!   for a short time after the outage.
+//! - A leaving server comes back because an old list is read again. For each id the newest row
+//!   wins, and an id that is leaving or removed never returns to work.
+//! - Servers whose entries lapsed while the list was unreachable count as dead. Their entries are
+//!   kept for a short time after the outage.
 //! - A server that is really gone is kept for long.
 
 use std::collections::{BTreeMap, HashSet};
@@ -14,8 +14,8 @@
 use crate::revision::Revision;
 use crate::time::Millis;
 
-/// How long after an outage a lapsed entry is kept, in milliseconds. Live servers renew theirs within
-/// about two seconds of the list's return.
+/// How long after an outage a lapsed entry is kept, in milliseconds. Live servers renew theirs
+/// within about two seconds of the list's return.
 pub const LAPSE_GRACE_MS: u64 = 2_000;
 /// How long a removed id is remembered, in milliseconds; no stale list is that old.
 const REMOVED_RETENTION_MS: u64 = 120_000;
@@ -100,9 +100,9 @@
         if before.is_some_and(|record| record.revision >= revision) {
             return;
         }
-        // A server may start again under its id. What it said before the restart no longer holds: if a
-        // leave were remembered, the restarted server would never get work. A late write from before the
-        // restart changes nothing.
+        // A server may start again under its id. What it said before the restart no longer holds:
+        // if a leave were remembered, the restarted server would never get work. A late write from
+        // before the restart changes nothing.
         let born_before = before.and_then(|record| record.entry.as_ref()).map(Entry::born);
         if born_before.is_some_and(|before| entry.born() < before) {
             return;
@@ -110,9 +110,9 @@
         let before = before.filter(|_| born_before.is_none_or(|before| entry.born() == before));
         let is_leaving = before.is_some_and(|record| record.is_leaving) || entry.is_leaving();
         let removed = before.is_some_and(|record| matches!(record.status, Status::Removed(_)));
-        // A lapsed entry that comes back belongs to the same start of the same server. A removed one that
-        // comes back had left in between, or its lapse was not waited for any longer; the server is used
-        // again unless it had said that it is leaving.
+        // A lapsed entry that comes back belongs to the same start of the same server. A removed
+        // one that comes back had left in between, or its lapse was not waited for any longer; the
+        // server is used again unless it had said that it is leaving.
         let entry = if is_leaving { entry.into_leaving() } else { entry };
         let status = match (removed, is_leaving) {
             (true, true) => return,
@@ -122,8 +122,8 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Removes an entry as of a revision. After an outage the removal counts as a lapse, and the entry is
-    /// kept for a short time, unless its server is leaving.
+    /// Removes an entry as of a revision. After an outage the removal counts as a lapse, and the
+    /// entry is kept for a short time, unless its server is leaving.
     pub fn remove(&mut self, id: &Name, revision: Revision, now: Millis) {
         self.revision = self.revision.max(revision);
         let lapsing = self.lapse_deadline(now);
@@ -138,8 +138,8 @@
         };
     }
 
-    /// Removes an entry that was replaced by an unreadable one, which names no usable server. The removal
-    /// never counts as a lapse, because somebody has written the new entry.
+    /// Removes an entry that was replaced by an unreadable one, which names no usable server. The
+    /// removal never counts as a lapse, because somebody has written the new entry.
     pub fn withdraw(&mut self, id: &Name, revision: Revision, now: Millis) {
         self.revision = self.revision.max(revision);
         let record = self.records.get_mut(id).filter(|record| record.revision < revision);
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Replaces the whole list as of a revision. Returns false, and changes nothing, if that revision is
-    /// older than the roster's.
+    /// Replaces the whole list as of a revision. Returns false, and changes nothing, if that
+    /// revision is older than the roster's.
     pub fn replace(
         &mut self,
         entries: Vec<(T, Revision)>,
--- a/crates/policy/src/suspicion.rs
+++ b/crates/policy/src/suspicion.rs
@@ -1,17 +1,18 @@
 //! How likely a backend server is to fail a request, judged by its last answers.
 //!
-//! A server can fail some of its requests while its health check succeeds. Only its answers show that, so
-//! each answer moves a share of failures. The share decays with time: a server that is avoided gets no
-//! answers by which to clear itself, and is tried again once its failures have decayed.
+//! A server can fail some of its requests while its health check succeeds. Only its answers show
+//! that, so each answer moves a share of failures. The share decays with time: a server that is
+//! avoided gets no answers by which to clear itself, and is tried again once its failures have
+//! decayed.
 
 use crate::domain;
 use crate::time::Millis;
 
-/// Weight of one failure in the share. After two failures in a row the share is 0.44, and a server with
-/// that share is used last.
+/// Weight of one failure in the share. After two failures in a row the share is 0.44, and a server
+/// with that share is used last.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Factor by which one success reduces the share. Five successes reduce the share of a single failure to
-/// less than half.
+/// Factor by which one success reduces the share. Five successes reduce the share of a single
+/// failure to less than half.
 const SUCCESS_FACTOR: f64 = 0.85;
 /// Time in which the share halves without answers, in milliseconds.
 const HALF_LIFE_MS: f64 = 3_000.0;
--- a/crates/policy/src/throttle.rs
+++ b/crates/policy/src/throttle.rs
@@ -1,35 +1,37 @@
-//! How many requests a host may send to a backend server that takes a limited number, because it has said
-//! so or because it has just started and is still warming up.
+//! How many requests a host may send to a backend server that takes a limited number, because it
+//! has said so or because it has just started and is still warming up.
 //!
-//! The limit holds for all hosts together, and no host sees what the others send. The rate is therefore
-//! divided by rules that all hosts know. Nearly all of it goes to hosts of the server's own failure domain,
-//! in shares large enough to be used up: where many hosts share a small limit, only a few by rank get one,
-//! and the others send nothing. In each other domain one host sends a request occasionally, which shows it
-//! when the limit has ended.
+//! The limit holds for all hosts together, and no host sees what the others send. The rate is
+//! therefore divided by rules that all hosts know. Nearly all of it goes to hosts of the server's
+//! own failure domain, in shares large enough to be used up: where many hosts share a small limit,
+//! only a few by rank get one, and the others send nothing. In each other domain one host sends a
+//! request occasionally, which shows it when the limit has ended.
 
 use crate::domain;
 use crate::time::Millis;
 
-/// Least rate that one host is given, in requests a second, if the limit is that high. Smaller shares would
-/// stay unused: the host with a free share gets no request, and the hosts that get one have no share.
+/// Least rate that one host is given, in requests a second, if the limit is that high. Smaller
+/// shares would stay unused: the host with a free share gets no request, and the hosts that get one
+/// have no share.
 const HOST_RATE_MIN: f64 = 1.0;
-/// Least rate that one host is given while a server warms up, in requests a second. The server's limit holds
-/// in each second; with many small shares, many hosts would save them up and use them in the same second.
+/// Least rate that one host is given while a server warms up, in requests a second. The server's
+/// limit holds in each second; with many small shares, many hosts would save them up and use them
+/// in the same second.
 const WARMUP_HOST_RATE_MIN: f64 = 2.0;
 /// Share of a limit that hosts of other failure domains divide.
 const OTHER_DOMAINS_SHARE: f64 = 0.1;
-/// Tokens that a host has when a server begins to warm up, in requests. Without them the first of the few
-/// seconds would go unused.
+/// Tokens that a host has when a server begins to warm up, in requests. Without them the first of
+/// the few seconds would go unused.
 const WARMUP_INITIAL_TOKENS: f64 = 0.5;
 /// Time for which a host can save up its rate, in seconds.
 const BURST_S: f64 = 0.5;
 /// Lower bound of what a host may save up, in requests.
 const CAPACITY_MIN: f64 = 1.0;
-/// Lower bound of what a host may save up while a server warms up, in requests. It exceeds 1, so that tokens
-/// which gather while the host has no request to send are not lost.
+/// Lower bound of what a host may save up while a server warms up, in requests. It exceeds 1, so
+/// that tokens which gather while the host has no request to send are not lost.
 const WARMUP_CAPACITY_MIN: f64 = 1.5;
-/// How long the end of a limit is reported to other hosts, in milliseconds. Within that time each host's next
-/// heartbeat reaches the hosts that missed the message.
+/// How long the end of a limit is reported to other hosts, in milliseconds. Within that time each
+/// host's next heartbeat reaches the hosts that missed the message.
 const ENDED_REPORT_MS: u64 = 15_000;
 
 domain! {
@@ -40,8 +42,8 @@
         pub per_second: Option<f64>,
         /// When the server stated this.
         pub at: Millis,
-        /// When the server is warm and the limit ends by itself; none if the limit holds until the server
-        /// states something else.
+        /// When the server is warm and the limit ends by itself; none if the limit holds until the
+        /// server states something else.
         #[serde(default)]
         pub until: Option<Millis>,
     }
@@ -50,8 +52,8 @@
 /// The position of a host among those that may send to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Place {
-    /// Number of hosts of the host's own failure domain that rank before it; the order differs for each
-    /// server.
+    /// Number of hosts of the host's own failure domain that rank before it; the order differs for
+    /// each server.
     pub before: usize,
     /// Number of hosts of its failure domain, the host itself included.
     pub hosts: usize,
@@ -74,8 +76,8 @@
 }
 
 impl Limit {
-    /// Returns the limit with its times on another clock; `from` and `to` are the same moment on the old and
-    /// the new clock.
+    /// Returns the limit with its times on another clock; `from` and `to` are the same moment on
+    /// the old and the new clock.
     #[must_use]
     pub fn on_clock(self, from: Millis, to: Millis) -> Self {
         let until = self.until.map(|until| to + until.since(from));
@@ -117,8 +119,8 @@
         self.warmup.until.map_or(0, |until| until.since(now))
     }
 
-    /// Returns the limit that the server stated last if other hosts should be told: it is a real limit, or
-    /// the recent end of one.
+    /// Returns the limit that the server stated last if other hosts should be told: it is a real
+    /// limit, or the recent end of one.
     #[must_use]
     pub fn shared(&self, now: Millis) -> Option<Limit> {
         let is_new = self.stated.at > Millis(0) && now.since(self.stated.at) < ENDED_REPORT_MS;
@@ -132,9 +134,9 @@
         in_force.min_by(f64::total_cmp)
     }
 
-    /// Records an answer, with a limit or without one, to a request sent at `sent`. Returns whether the limit
-    /// changes. An answer without a limit is ignored if the limit was stated after the request was sent,
-    /// because answers overtake each other.
+    /// Records an answer, with a limit or without one, to a request sent at `sent`. Returns whether
+    /// the limit changes. An answer without a limit is ignored if the limit was stated after the
+    /// request was sent, because answers overtake each other.
     pub fn record_answer(&mut self, per_second: Option<f64>, sent: Millis, now: Millis) -> bool {
         let is_outdated = per_second.is_none() && sent <= self.stated.at;
         if is_outdated || (per_second.is_none() && self.stated.per_second.is_none()) {
@@ -143,8 +145,8 @@
         self.set_stated(Limit { per_second, at: now, until: None }, now)
     }
 
-    /// Takes over a limit from another host or from the server's entry. Returns whether this changes what the
-    /// host knew.
+    /// Takes over a limit from another host or from the server's entry. Returns whether this
+    /// changes what the host knew.
     pub fn learn(&mut self, limit: Limit, now: Millis) -> bool {
         match limit.until {
             Some(until) => self.learn_warmup(limit, until, now),
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Takes over a warm-up that ends later than the known one. A host that knows an earlier end may not know
-    /// that the server has started again.
+    /// Takes over a warm-up that ends later than the known one. A host that knows an earlier end
+    /// may not know that the server has started again.
     fn learn_warmup(&mut self, limit: Limit, until: Millis, now: Millis) -> bool {
         if until <= now.max(self.warmup.until.unwrap_or_default()) {
             return false;
@@ -204,9 +206,9 @@
     }
 }
 
-/// Requests a second that the host at `place` may send, where the server takes `limit` from all hosts. Hosts
-/// of the server's failure domain get equal shares of about `rate_min` or more, in the order of their ranks;
-/// those without a share get 0.
+/// Requests a second that the host at `place` may send, where the server takes `limit` from all
+/// hosts. Hosts of the server's failure domain get equal shares of about `rate_min` or more, in the
+/// order of their ranks; those without a share get 0.
 fn host_rate(limit: f64, rate_min: f64, place: &Place) -> f64 {
     let others = place.domains.saturating_sub(1) as f64;
     let far = if others > 0.0 { OTHER_DOMAINS_SHARE * limit } else { 0.0 };
--- a/crates/policy/tests/bootstrap.rs
+++ b/crates/policy/tests/bootstrap.rs
@@ -1,5 +1,5 @@
-//! Hundreds of hosts that start within the same second: who reads the whole list, and when each has
-//! it, in simulated time.
+//! A simulation of hundreds of hosts that start within the same second: which of them read the
+//! whole list, and when each has it.
 
 use std::collections::BTreeSet;
 
@@ -9,50 +9,55 @@
 use policy::time::Millis;
 
 const BOUNDS: Bounds = Bounds { change_ms: 4_000, alone_ms: 3_500 };
-/// A call of the store, to find the others.
+/// Duration of the store call that finds the other hosts, in milliseconds.
 const FIND_MS: u64 = 15;
-/// Hosts that one host gives the list to at once.
-const GIVES_MAX: usize = 2;
+/// Most hosts to which one host gives the list at the same time.
+const GIVEN_AT_ONCE_MAX: usize = 2;
 
 struct Host {
     name: Name,
     relay: Relay,
-    starts: u64,
-    /// It is listed, and never comes.
+    starts_at: u64,
+    /// Whether the host is listed but never starts.
     is_gone: bool,
-    /// It stops for good while it reads.
+    /// Whether the host stops for good while it reads.
     dies_reading: bool,
+    /// When the read in flight ends.
     reads_until: Option<u64>,
-    /// Who gives it the list, and until when.
-    takes_until: Option<(usize, u64)>,
-    has_at: Option<u64>,
-    /// It heard from these that they have the list.
-    heard: Vec<usize>,
+    /// The host that is giving the list to this one, and when it has given it.
+    transfer: Option<(usize, u64)>,
+    /// When the host got the list.
+    received_at: Option<u64>,
+    /// Hosts known to have the list.
+    known_sources: Vec<usize>,
+    /// Number of reads started.
     reads: u64,
 }
 
 struct Domain {
     hosts: Vec<Host>,
+    /// How long a read of the list from the store takes.
     read_ms: u64,
+    /// How long it takes to give the list to another host.
     give_ms: u64,
 }
 
 impl Domain {
-    /// Hosts that start one after the other within 300 ms.
+    /// Creates hosts that start one after another within 300 ms.
     fn new(count: usize, read_ms: u64, give_ms: u64) -> Self {
         let host = |number| {
             let name = Name::from(format!("host-{number}"));
-            let starts = 1 + (number as u64 * 7_919) % 300;
+            let starts_at = 1 + (number as u64 * 7_919) % 300;
             Host {
-                relay: Relay::new(BOUNDS, &name, "list", Bootstrap::new(Millis(starts))),
+                relay: Relay::new(BOUNDS, &name, "list", Bootstrap::new(Millis(starts_at))),
                 name,
-                starts,
+                starts_at,
                 is_gone: false,
                 dies_reading: false,
                 reads_until: None,
-                takes_until: None,
-                has_at: None,
-                heard: Vec::new(),
+                transfer: None,
+                received_at: None,
+                known_sources: Vec::new(),
                 reads: 0,
             }
         };
@@ -65,80 +70,81 @@
 
     fn tick(&mut self, now: u64) {
         for number in 0..self.hosts.len() {
-            if self.hosts[number].is_gone || now < self.hosts[number].starts + FIND_MS {
+            if self.hosts[number].is_gone || now < self.hosts[number].starts_at + FIND_MS {
                 continue;
             }
-            if now == self.hosts[number].starts + FIND_MS {
-                self.greet(number, now);
+            if now == self.hosts[number].starts_at + FIND_MS {
+                self.introduce(number, now);
             }
-            self.step(number, now);
+            self.advance(number, now);
         }
     }
 
-    /// All are listed, from before. Those that have the list tell of it.
-    fn greet(&mut self, number: usize, now: u64) {
+    /// Introduces a host that has just started. All hosts are listed already, and those that have
+    /// the list announce it to the host.
+    fn introduce(&mut self, number: usize, now: u64) {
         let names: Vec<Name> = self.hosts.iter().map(|host| host.name.clone()).collect();
         let others = names.iter().filter(|name| **name != names[number]);
         self.hosts[number].relay.record_listed(others.map(|name| (name, 0)), Millis(now));
         for other in 0..self.hosts.len() {
-            let tells = self.hosts[other].has_at.is_some()
+            let is_announced = self.hosts[other].received_at.is_some()
                 && self.hosts[other].relay.announces_reads(Millis(now));
-            if tells {
-                self.hosts[number].heard.push(other);
+            if is_announced {
+                self.hosts[number].known_sources.push(other);
             }
         }
     }
 
-    fn step(&mut self, number: usize, now: u64) {
-        if self.hosts[number].has_at.is_some() {
+    fn advance(&mut self, number: usize, now: u64) {
+        if self.hosts[number].received_at.is_some() {
             return;
         }
-        if let Some((from, until)) = self.hosts[number].takes_until {
+        if let Some((from, until)) = self.hosts[number].transfer {
             self.hosts[number].relay.defer_first_read(Millis(now));
             if now >= until {
                 self.hosts[number].relay.record_start_from_peer(Millis(now));
-                self.hosts[number].has_at = Some(now);
-                self.hosts[number].takes_until = None;
-                // Whoever is busy names those that it gave the list to.
-                self.hosts.iter_mut().filter(|h| h.heard.contains(&from)).for_each(|h| {
-                    h.heard.push(number);
+                self.hosts[number].received_at = Some(now);
+                self.hosts[number].transfer = None;
+                // A host that is busy names the hosts to which it gave the list.
+                self.hosts.iter_mut().filter(|h| h.known_sources.contains(&from)).for_each(|h| {
+                    h.known_sources.push(number);
                 });
             }
             return;
         }
         if let Some(until) = self.hosts[number].reads_until {
-            return self.go_on_reading(number, until, now);
+            return self.continue_reading(number, until, now);
         }
         self.begin(number, now);
     }
 
     fn begin(&mut self, number: usize, now: u64) {
-        let sources = self.hosts[number].heard.clone();
+        let sources = self.hosts[number].known_sources.clone();
         let free = |from: &usize| {
-            let given = self.hosts.iter().filter(|h| h.takes_until.is_some_and(|t| t.0 == *from));
-            given.count() < GIVES_MAX
+            let transfers = self.hosts.iter().filter(|h| h.transfer.is_some_and(|t| t.0 == *from));
+            transfers.count() < GIVEN_AT_ONCE_MAX
         };
         let may_take = self.hosts[number].relay.may_start_from_peer(Millis(now), Millis(now));
         if let Some(from) = sources.iter().copied().find(free).filter(|_| may_take) {
-            self.hosts[number].takes_until = Some((from, now + self.give_ms));
+            self.hosts[number].transfer = Some((from, now + self.give_ms));
         } else if !sources.is_empty() {
             self.hosts[number].relay.defer_first_read(Millis(now));
         }
         let host = &mut self.hosts[number];
         let reads = matches!(host.relay.action(Millis(now)), Action::Read { .. });
-        if host.takes_until.is_none() && reads {
+        if host.transfer.is_none() && reads {
             host.reads += 1;
             host.reads_until = Some(now + self.read_ms);
         }
     }
 
-    fn go_on_reading(&mut self, number: usize, until: u64, now: u64) {
+    fn continue_reading(&mut self, number: usize, until: u64, now: u64) {
         if self.hosts[number].dies_reading {
             return;
         }
         let name = self.hosts[number].name.clone();
         if now < until {
-            // Told every 100 ms.
+            // Announces the read every 100 ms.
             if (until - now).is_multiple_of(100) || until - now == self.read_ms - 1 {
                 let others = self.hosts.iter_mut().filter(|host| host.name != name);
                 others.for_each(|host| host.relay.record_peer_reading(&name, Millis(now)));
@@ -146,10 +152,10 @@
             return;
         }
         self.hosts[number].relay.record_read(Millis(now));
-        self.hosts[number].has_at = Some(now);
+        self.hosts[number].received_at = Some(now);
         if self.hosts[number].relay.announces_reads(Millis(now)) {
             let others = self.hosts.iter_mut().filter(|host| host.name != name);
-            others.for_each(|host| host.heard.push(number));
+            others.for_each(|host| host.known_sources.push(number));
         }
     }
 
@@ -157,16 +163,17 @@
         self.hosts.iter().map(|host| host.reads).sum()
     }
 
-    /// How long the last one took from its start.
+    /// Longest time from a host's start until it had the list, in milliseconds.
     fn slowest_ms(&self) -> u64 {
-        let lives = self.hosts.iter().filter(|host| !host.is_gone && !host.dies_reading);
-        lives.map(|host| host.has_at.map_or(u64::MAX, |at| at - host.starts)).max().unwrap()
+        let alive = self.hosts.iter().filter(|host| !host.is_gone && !host.dies_reading);
+        alive.map(|host| host.received_at.map_or(u64::MAX, |at| at - host.starts_at)).max().unwrap()
     }
 }
 
-/// The store sent each of hundreds of hosts the whole list of thousands of servers.
+/// Guards against a store that sends the whole list of thousands of servers to each of hundreds of
+/// hosts.
 #[test]
-fn hosts_started_at_once_read_the_whole_list_a_few_times() {
+fn action_hosts_started_at_once_read_the_whole_list_a_few_times() {
     for count in [50, 100, 150] {
         let mut short = Domain::new(count, 10, 10);
         short.run(4_000);
@@ -179,10 +186,10 @@
     }
 }
 
-/// Hosts whose rows stand still but that never come, and one that is lost while it reads, must not
-/// keep the others from the list.
+/// Guards against hosts that wait for hosts which are listed but gone, or for one that is lost
+/// while it reads.
 #[test]
-fn hosts_that_are_gone_are_not_waited_for() {
+fn action_hosts_that_are_gone_are_not_waited_for() {
     let mut domain = Domain::new(60, 100, 20);
     let gone = (0..60).step_by(2);
     gone.for_each(|number: usize| domain.hosts[number].is_gone = true);
@@ -191,9 +198,10 @@
     assert!(domain.slowest_ms() <= 3_000, "{}", domain.slowest_ms());
 }
 
-/// A store so slow that nobody's read ends soon is not asked by all hosts at the same time.
+/// Guards against hosts that all call a slow store at the same time, because no other host's read
+/// ends soon.
 #[test]
-fn hosts_before_a_slow_store_do_not_ask_at_the_same_time() {
+fn action_slow_store_is_not_called_by_all_hosts_at_once() {
     let mut domain = Domain::new(100, 5_000, 20);
     let mut begun = Vec::new();
     for now in 1..6_000 {
@@ -205,7 +213,7 @@
 }
 
 #[test]
-fn turn_few_others_at_once() {
+fn turn_with_few_others_is_now() {
     let mut bootstrap = Bootstrap::new(Millis(1_000));
     bootstrap.record_listed(3, 2, Millis(1_020));
     assert_eq!(bootstrap.turn(), Millis(1_020));
@@ -213,37 +221,39 @@
 }
 
 #[test]
-fn turn_nobody_found_in_time() {
+fn turn_without_other_hosts_comes_in_time() {
     let bootstrap = Bootstrap::new(Millis(1_000));
     assert!(bootstrap.turn() < Millis(1_500));
 }
 
-/// Neighbours that say for ever that they are reading must not keep a host from the store.
+/// Guards against peers that keep a host from the store because they announce without end that they
+/// are reading.
 #[test]
-fn turn_is_not_put_off_for_ever() {
+fn turn_is_not_put_off_without_end() {
     let mut bootstrap = Bootstrap::new(Millis(0));
     bootstrap.record_listed(50, 49, Millis(20));
     (20..20_000).for_each(|now| bootstrap.defer(Millis(now)));
     assert!(bootstrap.turn() <= Millis(3_000), "{:?}", bootstrap.turn());
 }
 
-/// Guards against a first start at which each host that is listed early finds nobody, and reads the list
-/// for itself.
+/// Guards against a first start at which each host that is listed early finds no other host and
+/// reads the list for itself.
 #[test]
-fn first_start_is_read_once_by_hosts_that_find_each_other_one_by_one() {
+fn first_start_hosts_that_find_each_other_one_by_one_read_once() {
     let names: Vec<Name> = (0..80).map(|number| Name::from(format!("host-{number}"))).collect();
     let mut relays: Vec<Relay> = names
         .iter()
         .map(|name| Relay::new(BOUNDS, name, "list", Bootstrap::first_start(Millis(1))))
         .collect();
-    /// A long list on a narrow link.
+    /// How long a long list takes on a narrow link, in milliseconds.
     const READ_MS: u64 = 600;
     let mut readers = BTreeSet::new();
     let mut listed = 0;
     let mut reading: Option<(usize, u64)> = None;
     let mut has = vec![false; names.len()];
     for now in 2..4_000_u64 {
-        // Three hosts are listed in ten milliseconds, each finds those before it, and greets them.
+        // Three hosts are listed every ten milliseconds. Each finds those before it and sends them
+        // a message.
         let before = listed;
         listed = names.len().min(now as usize * 3 / 10);
         for number in before..listed {
@@ -259,9 +269,9 @@
                 relays[reader].record_read(Millis(now));
                 reading = None;
             }
-            // Told at once, and then each 100 ms.
-            let is_told = (until - now).is_multiple_of(100) || until - now == READ_MS - 1;
-            for other in others.filter(|_| is_told) {
+            // Announces the read at once, and then every 100 ms.
+            let is_announced = (until - now).is_multiple_of(100) || until - now == READ_MS - 1;
+            for other in others.filter(|_| is_announced) {
                 relays[other].record_peer_reading(&names[reader], Millis(now));
                 if now == until && relays[other].may_start_from_peer(Millis(now), Millis(now)) {
                     relays[other].record_start_from_peer(Millis(now));
--- a/crates/policy/tests/detour.rs
+++ b/crates/policy/tests/detour.rs
@@ -17,7 +17,8 @@
 }
 
 impl Fleet<'_> {
-    /// Hosts of other domains that one of a domain finds: some of each in turn, until it has enough.
+    /// Hosts of other domains that one of a domain finds: some of each in turn, until it has
+    /// enough.
     fn find(&self, own: usize, at: Domain, seed: &mut u64) -> Vec<(usize, usize)> {
         let mut found = Vec::new();
         let first = mix(*seed) as usize;
@@ -33,8 +34,8 @@
         found
     }
 
-    /// Requests that the host with most has, its own among them. Those cut off send one after the other,
-    /// and learn with each answer what the host that gave it has.
+    /// Requests that the host with most has, its own among them. Those cut off send one after the
+    /// other, and learn with each answer what the host that gave it has.
     fn most_loaded(&self, mut seed: u64) -> usize {
         let mut loads = vec![vec![OWN; self.size]; self.domains];
         let mut cut_off = Vec::new();
@@ -65,8 +66,8 @@
     }
 }
 
-/// Guards against neighbours that get the load of all hosts that are cut off: none may have more than
-/// twice what each would have if they shared it equally.
+/// Guards against neighbours that get the load of all hosts that are cut off: none may have more
+/// than twice what each would have if they shared it equally.
 #[test]
 fn choose_floods_no_neighbour() {
     for (domains, size) in [(3, 10), (6, 50)] {
--- a/crates/policy/tests/hosts/mod.rs
+++ b/crates/policy/tests/hosts/mod.rs
@@ -1,32 +1,35 @@
-//! Hosts of one failure domain and the store, in simulated time.
+//! A simulation of one failure domain's hosts and the store.
 
 use policy::bootstrap::Bootstrap;
 use policy::name::Name;
 use policy::relay::{Action, Bounds, Relay, alone_ms};
 use policy::time::Millis;
 
-/// Bounds of a host that may let its calls be held back for long.
+/// Bounds that let the store hold the calls of a host that reads alone for a long time.
 pub const PATIENT: Bounds = Bounds { change_ms: 2_000, alone_ms: 3_500 };
-/// The usual bounds.
+/// Bounds by default.
 pub fn bounds() -> Bounds {
-    Bounds { change_ms: 2_000, alone_ms: alone_ms(TOUCH_MS) }
+    Bounds { change_ms: 2_000, alone_ms: alone_ms(CONTACT_MS) }
 }
 
-/// One step of simulated time, in milliseconds.
-pub const TICK: u64 = 10;
-/// What the client of the store waits beyond what a call is held back, in milliseconds.
-pub const ANSWER_MS: u64 = 700;
-/// What a host must have been in reach of the store to be bound, in milliseconds.
-pub const TOUCH_MS: u64 = 3_000;
-/// Pause of a host alone after a call that failed, in milliseconds.
+/// Length of one step of simulated time, in milliseconds.
+pub const TICK_MS: u64 = 10;
+/// How long the client of the store waits for an answer beyond the hold, in milliseconds.
+pub const ANSWER_TIMEOUT_MS: u64 = 700;
+/// Default time for which a host must have reached the store until changes must be in force on it,
+/// in milliseconds.
+pub const CONTACT_MS: u64 = 3_000;
+/// Retry pause of a host alone after a failed call, in milliseconds.
 pub const PAUSE_MS: u64 = 100;
-/// Between two signs of life of each host, in milliseconds.
-pub const GREET_MS: u64 = 5_000;
+/// Interval between two heartbeats of each host, in milliseconds.
+pub const HEARTBEAT_MS: u64 = 5_000;
 
+/// What happens to a host's calls of the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Path {
+    /// Calls are answered.
     Open,
-    /// Calls, also those under way, are never answered.
+    /// Calls, including those in flight, are never answered.
     Silent,
     /// Calls are refused at once.
     Refused,
@@ -36,48 +39,54 @@
     pub name: Name,
     pub relay: Relay,
     pub path: Path,
-    /// When its path was last not open, or it did not run.
-    pub troubled: Option<u64>,
+    /// When the path was last not open, or the host did not run; none if never.
+    pub disturbed_at: Option<u64>,
+    /// Until when the host does not run.
     pub frozen_until: u64,
-    /// The store's revision that it knows.
+    /// The store's revision that the host knows.
     pub revision: u64,
-    /// The call under way: when it is answered at the latest, or fails.
+    /// The store call in flight.
     pub call: Option<Call>,
+    /// Number of store calls made.
     pub calls: u64,
 }
 
 #[derive(Clone, Copy)]
 pub struct Call {
-    pub ends: u64,
-    pub fails: bool,
-    /// Its answer has begun; the revision that it will bring.
-    pub brings: Option<u64>,
+    /// When the call fails or is answered at the latest.
+    pub ends_at: u64,
+    pub is_failing: bool,
+    /// The revision that the answer brings, once the answer has begun.
+    pub revision: Option<u64>,
 }
 
 impl Call {
-    /// Its answer will not come. Nothing tells the host so before the answer is overdue.
-    fn is_lost(&mut self) {
-        self.ends += if self.fails { 0 } else { ANSWER_MS };
-        self.fails = true;
+    /// Loses the answer. The host does not notice before the answer is overdue.
+    fn lose(&mut self) {
+        self.ends_at += if self.is_failing { 0 } else { ANSWER_TIMEOUT_MS };
+        self.is_failing = true;
     }
 }
 
 pub struct Domain {
     pub bounds: Bounds,
-    /// What a host must have been in reach of the store to be bound, in milliseconds.
-    pub touch_ms: u64,
+    /// Time for which a host must have reached the store until changes must be in force on it, in
+    /// milliseconds.
+    pub contact_ms: u64,
     pub hosts: Vec<Host>,
     pub now: u64,
+    /// The store's revision.
     pub revision: u64,
     /// When each revision was made.
-    pub made: Vec<u64>,
-    /// How long the answer takes that brings a change; if it takes any time, it is too long to be
-    /// passed on.
+    pub made_at: Vec<u64>,
+    /// How long an answer that brings a change takes to be received, in milliseconds. An answer
+    /// that takes any time is too long to be passed on.
     pub body_ms: u64,
-    /// Words are lost when this divides their number.
+    /// Every message whose number is a multiple of this is lost.
     pub lose_every: u64,
-    pub words: u64,
-    /// A host that hears of nobody's reading.
+    /// Number of messages sent between hosts.
+    pub messages: u64,
+    /// A host that receives no announcements of reads.
     pub deaf: Option<usize>,
 }
 
@@ -93,7 +102,7 @@
                 relay: Relay::new(bounds, &name, "list", Bootstrap::new(Millis(1))),
                 name,
                 path: Path::Open,
-                troubled: None,
+                disturbed_at: None,
                 frozen_until: 0,
                 revision: 0,
                 call: None,
@@ -103,21 +112,21 @@
         let hosts = (0..count).map(host).collect();
         let mut domain = Self {
             bounds,
-            touch_ms: TOUCH_MS,
+            contact_ms: CONTACT_MS,
             hosts,
             now: 1,
             revision: 0,
-            made: vec![0],
+            made_at: vec![0],
             body_ms: 0,
             lose_every: u64::MAX,
-            words: 0,
+            messages: 0,
             deaf: None,
         };
-        domain.greet();
+        domain.send_heartbeats();
         domain
     }
 
-    pub fn greet(&mut self) {
+    pub fn send_heartbeats(&mut self) {
         let names: Vec<Name> = self.hosts.iter().map(|host| host.name.clone()).collect();
         for host in &mut self.hosts {
             for name in names.iter().filter(|name| **name != host.name) {
@@ -126,25 +135,26 @@
         }
     }
 
+    /// Changes the list in the store.
     pub fn change(&mut self) {
         self.revision += 1;
-        self.made.push(self.now);
+        self.made_at.push(self.now);
     }
 
     pub fn set_path(&mut self, number: usize, path: Path) {
         let host = &mut self.hosts[number];
         host.path = path;
         if let (Path::Silent, Some(call)) = (path, &mut host.call) {
-            call.is_lost();
+            call.lose();
         }
     }
 
-    /// Connections of all hosts go silent; new ones work.
+    /// Makes the open connections of all hosts silent, while new ones work.
     pub fn silence_connections(&mut self) {
         for host in &mut self.hosts {
-            host.troubled = Some(self.now);
+            host.disturbed_at = Some(self.now);
             if let Some(call) = &mut host.call {
-                call.is_lost();
+                call.lose();
             }
         }
     }
@@ -153,79 +163,85 @@
         let (name, now) = (self.hosts[number].name.clone(), self.now);
         let host = &mut self.hosts[number];
         host.relay = Relay::new(self.bounds, &name, "list", Bootstrap::new(Millis(now)));
-        (host.revision, host.call, host.troubled) = (0, None, Some(now));
+        (host.revision, host.call, host.disturbed_at) = (0, None, Some(now));
     }
 
     pub fn tick(&mut self) {
-        self.now += TICK;
-        if (self.now - 1).is_multiple_of(GREET_MS) {
-            self.greet();
+        self.now += TICK_MS;
+        if (self.now - 1).is_multiple_of(HEARTBEAT_MS) {
+            self.send_heartbeats();
         }
         for number in 0..self.hosts.len() {
             let (now, revision) = (self.now, self.revision);
             let host = &mut self.hosts[number];
             if host.path != Path::Open || host.frozen_until > now {
-                host.troubled = Some(now);
+                host.disturbed_at = Some(now);
             }
             if host.frozen_until > now {
                 continue;
             }
             match host.call {
-                None => host.ask(now),
+                None => host.start_call(now),
                 Some(call) => {
-                    let is_news = !call.fails && call.brings.is_none() && host.revision < revision;
+                    let is_news =
+                        !call.is_failing && call.revision.is_none() && host.revision < revision;
                     if is_news && self.body_ms > 0 {
-                        let ends = now + self.body_ms;
-                        host.call = Some(Call { ends, fails: false, brings: Some(revision) });
-                        self.announce(number);
+                        let ends_at = now + self.body_ms;
+                        host.call =
+                            Some(Call { ends_at, is_failing: false, revision: Some(revision) });
+                        self.announce_long_change(number);
                         continue;
                     }
-                    if !is_news && now < call.ends {
+                    if !is_news && now < call.ends_at {
                         continue;
                     }
                     host.call = None;
-                    if call.fails {
-                        // Hosts draw differently.
+                    if call.is_failing {
+                        // Each host draws another number.
                         let draw = (number as f64 * 0.618 + now as f64 * 0.000_7).fract();
                         host.relay.record_failure(PAUSE_MS, draw, Millis(now));
                         continue;
                     }
-                    host.revision = call.brings.unwrap_or(revision);
+                    host.revision = call.revision.unwrap_or(revision);
                     host.relay.record_read(Millis(now));
-                    self.tell(number);
+                    self.announce_read(number);
                 }
             }
         }
     }
 
-    /// The host that reads for the others tells them that a long answer comes.
-    fn announce(&mut self, from: usize) {
+    /// Announces, if `from` reads on behalf of the others, that it is receiving a long answer.
+    fn announce_long_change(&mut self, from: usize) {
         if !self.hosts[from].relay.reads_for_others(Millis(self.now)) {
             return;
         }
         let name = self.hosts[from].name.clone();
         for number in (0..self.hosts.len()).filter(|number| *number != from) {
-            self.words += 1;
+            self.messages += 1;
             let host = &mut self.hosts[number];
-            if !self.words.is_multiple_of(self.lose_every) && host.frozen_until <= self.now {
+            if !self.messages.is_multiple_of(self.lose_every) && host.frozen_until <= self.now {
                 host.relay.record_long_change(&name, Millis(self.now));
             }
         }
     }
 
-    fn tell(&mut self, from: usize) {
+    /// Announces that `from` has read, with the changes if they are short.
+    fn announce_read(&mut self, from: usize) {
         let (name, revision) = (self.hosts[from].name.clone(), self.hosts[from].revision);
         for number in (0..self.hosts.len()).filter(|number| *number != from) {
-            self.words += 1;
+            self.messages += 1;
             let host = &mut self.hosts[number];
-            let is_lost = self.words.is_multiple_of(self.lose_every) || self.deaf == Some(number);
+            let is_lost =
+                self.messages.is_multiple_of(self.lose_every) || self.deaf == Some(number);
             if is_lost || host.frozen_until > self.now {
                 continue;
             }
             host.relay.record_peer_read(&name, Millis(self.now), Millis(self.now));
             match () {
                 () if self.body_ms == 0 => host.revision = host.revision.max(revision),
-                () if host.revision < revision && host.call.is_none_or(|c| c.brings.is_none()) => {
+                () if host.revision < revision
+                    && host.call.is_none_or(|c| c.revision.is_none()) =>
+                {
                     host.relay.force_read();
                 }
                 () => {}
@@ -233,15 +249,15 @@
         }
     }
 
-    /// A host that has reached the store for a while knows each change in time.
+    /// Checks that each host that has reached the store for a while knows each change in time.
     pub fn check(&self) {
         for host in &self.hosts {
-            let in_touch = host.troubled.is_none_or(|at| self.now > at + self.touch_ms);
-            let missed = self.made.get(host.revision as usize + 1);
-            let late = missed.is_some_and(|made| self.now > made + self.bounds.change_ms);
+            let has_contact = host.disturbed_at.is_none_or(|at| self.now > at + self.contact_ms);
+            let missed = self.made_at.get(host.revision as usize + 1);
+            let is_late = missed.is_some_and(|made_at| self.now > made_at + self.bounds.change_ms);
             assert!(
-                !(in_touch && late),
-                "{} at {}: knows {}, made at {missed:?}",
+                !(has_contact && is_late),
+                "{} at {}: knows {}, next made at {missed:?}",
                 host.name,
                 self.now,
                 host.revision
@@ -250,17 +266,18 @@
     }
 
     pub fn run(&mut self, ms: u64) {
-        for _ in 0..ms / TICK {
+        for _ in 0..ms / TICK_MS {
             self.tick();
             self.check();
         }
     }
 
+    /// Number of store calls made by all hosts.
     pub fn calls(&self) -> u64 {
         self.hosts.iter().map(|host| host.calls).sum()
     }
 
-    /// The host whose turn to read comes last.
+    /// Returns the host whose turn to read comes last.
     pub fn last(&mut self) -> usize {
         let now = Millis(self.now);
         let turn = |host: &mut Host| match host.relay.action(now) {
@@ -271,7 +288,7 @@
         turns.max_by_key(|(_, turn)| *turn).unwrap().0
     }
 
-    /// The host that reads for the others.
+    /// Returns the host that reads on behalf of the others.
     pub fn reader(&self) -> usize {
         let reads = |host: &Host| host.relay.reads_for_others(Millis(self.now));
         self.hosts.iter().position(reads).unwrap()
@@ -279,13 +296,18 @@
 }
 
 impl Host {
-    fn ask(&mut self, now: u64) {
+    /// Starts a store call if it is this host's turn to read.
+    fn start_call(&mut self, now: u64) {
         let Action::Read { hold_ms } = self.relay.action(Millis(now)) else { return };
         self.calls += 1;
         self.call = Some(match self.path {
-            Path::Open => Call { ends: now + hold_ms, fails: false, brings: None },
-            Path::Silent => Call { ends: now + hold_ms + ANSWER_MS, fails: true, brings: None },
-            Path::Refused => Call { ends: now, fails: true, brings: None },
+            Path::Open => Call { ends_at: now + hold_ms, is_failing: false, revision: None },
+            Path::Silent => Call {
+                ends_at: now + hold_ms + ANSWER_TIMEOUT_MS,
+                is_failing: true,
+                revision: None,
+            },
+            Path::Refused => Call { ends_at: now, is_failing: true, revision: None },
         });
     }
 }
--- a/crates/policy/tests/lending.rs
+++ b/crates/policy/tests/lending.rs
@@ -1,33 +1,35 @@
-//! Tries of a request that goes by other hosts, over links between them that lose answers.
+//! Attempts of a request that is forwarded through other hosts, over links that lose answers.
 
 use policy::detour::{FORWARDED_ATTEMPTS, count_attempts};
 use policy::place::mix;
 
-/// Requests of one run.
+/// Number of simulated requests.
 const REQUESTS: u32 = 20_000;
 
-/// How the host that has the caller counts the tries of another one.
+/// How many attempts a host that receives a forwarded request makes, and how the caller's host
+/// counts them if the answer is lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    /// The other host makes all that are left; one counts where its answer is lost.
-    AsOne,
-    /// It makes all that are left, and all count where its answer is lost.
+enum Counting {
+    /// The receiving host makes all attempts that are left; a lost answer counts as one.
+    AllCountedAsOne,
+    /// The receiving host makes all attempts that are left; a lost answer counts as all of them.
     All,
-    /// It makes as many as the product lends.
-    Lent,
+    /// The receiving host makes and counts as many as [`FORWARDED_ATTEMPTS`].
+    Limited,
 }
 
-/// What became of all requests.
+/// What became of the simulated requests.
 #[derive(Default, Debug)]
 struct Outcome {
-    /// Requests that ran on more servers than allowed.
-    beyond: u32,
-    /// Requests that were answered.
-    served: u32,
+    /// Number of requests that ran on more servers than allowed.
+    exceeded: u32,
+    /// Number of requests that were answered.
+    answered: u32,
 }
 
-/// Plays requests: each try fails with `failing`, each answer between hosts is lost with `losing`.
-fn play(way: Way, allowed: u32, failing: f64, losing: f64) -> Outcome {
+/// Simulates requests: each attempt fails with the probability `failing`, and each answer between
+/// hosts is lost with the probability `losing`.
+fn simulate(counting: Counting, allowed: u32, failing: f64, losing: f64) -> Outcome {
     let mut state = 57;
     let mut happens = |probability: f64| {
         state = mix(state);
@@ -37,53 +39,55 @@
     for _ in 0..REQUESTS {
         let (mut sent, mut runs) = (0, 0);
         while sent < allowed {
-            let lent = if way == Way::Lent { FORWARDED_ATTEMPTS } else { allowed - sent };
-            let (mut made, mut is_served) = (0, false);
-            while made < lent && !is_served {
+            let forwarded =
+                if counting == Counting::Limited { FORWARDED_ATTEMPTS } else { allowed - sent };
+            let (mut made, mut is_answered) = (0, false);
+            while made < forwarded && !is_answered {
                 made += 1;
-                is_served = !happens(failing);
+                is_answered = !happens(failing);
             }
             runs += made;
             let reported = (!happens(losing)).then_some(sent + made);
-            let counted = if way == Way::AsOne { 1 } else { lent };
+            let counted = if counting == Counting::AllCountedAsOne { 1 } else { forwarded };
             sent = count_attempts(sent, counted, reported);
-            if is_served && reported.is_some() {
-                outcome.served += 1;
+            if is_answered && reported.is_some() {
+                outcome.answered += 1;
                 break;
             }
         }
-        outcome.beyond += u32::from(runs > allowed);
+        outcome.exceeded += u32::from(runs > allowed);
     }
     outcome
 }
 
-/// Guards against a request on more servers than its route allows, whatever is lost between hosts.
+/// Guards against a request that runs on more servers than its route allows, whatever answers are
+/// lost between hosts.
 #[test]
-fn spent_attempts_by_another_host_stay_within_the_route() {
+fn count_attempts_stays_within_the_route() {
     for allowed in 1..=4 {
         for failing in [0.0, 0.3, 0.9] {
             for losing in [0.0, 0.1, 0.5, 1.0] {
-                assert_eq!(play(Way::Lent, allowed, failing, losing).beyond, 0);
-                assert_eq!(play(Way::All, allowed, failing, losing).beyond, 0);
+                assert_eq!(simulate(Counting::Limited, allowed, failing, losing).exceeded, 0);
+                assert_eq!(simulate(Counting::All, allowed, failing, losing).exceeded, 0);
             }
         }
-        // The model brings the failure about.
-        let beyond = play(Way::AsOne, allowed, 0.3, 0.1).beyond;
-        assert_eq!(beyond > 0, allowed > 1, "{allowed} allowed, {beyond} beyond");
+        // The simulation does show the failure, with the counting that assumes too few attempts.
+        let exceeded = simulate(Counting::AllCountedAsOne, allowed, 0.3, 0.1).exceeded;
+        assert_eq!(exceeded > 0, allowed > 1, "{allowed} allowed, {exceeded} exceeded");
     }
 }
 
-/// Guards against lost answers that cost a request more tries than were made.
+/// Guards against lost answers that cost a request more attempts than were made.
 #[test]
-fn spent_of_one_lent_serves_more_than_of_all() {
+fn count_attempts_of_one_forwarded_answers_more_than_of_all() {
     for allowed in [2, 3] {
         for (failing, losing) in [(0.05, 0.05), (0.3, 0.1), (0.3, 0.3)] {
             let (one, all) = (
-                play(Way::Lent, allowed, failing, losing),
-                play(Way::All, allowed, failing, losing),
+                simulate(Counting::Limited, allowed, failing, losing),
+                simulate(Counting::All, allowed, failing, losing),
             );
             println!("{allowed} allowed, {failing} fail, {losing} lost: {one:?} {all:?}");
-            assert!(one.served > all.served, "{one:?} {all:?}");
+            assert!(one.answered > all.answered, "{one:?} {all:?}");
         }
     }
 }
--- a/crates/policy/tests/listing.rs
+++ b/crates/policy/tests/listing.rs
@@ -1,5 +1,5 @@
-//! Hosts that list themselves at the same time, before a store that carries out so many changes a
-//! second in one group of rows.
+//! Hosts that list themselves at the same time in a store that carries out a limited number of
+//! changes a second in one group of rows.
 
 use std::collections::BTreeSet;
 
@@ -7,13 +7,13 @@
 use policy::place::mix;
 use policy::time::Millis;
 
-/// Changes that the store carries out in a second in one group, one after another.
+/// Number of changes that the store carries out in a second in one group, one after another.
 const WRITES_PER_S: f64 = 300.0;
-/// Changes that would wait for longer are turned away, in milliseconds.
-const QUEUE_MS: f64 = 1_000.0;
-/// How long a host waits for an answer, in milliseconds.
-const ANSWER_MS: f64 = 700.0;
-/// A call of a store that is well, in milliseconds.
+/// Waiting time above which the store rejects a change, in milliseconds.
+const QUEUE_MAX_MS: f64 = 1_000.0;
+/// How long a host waits for the store's answer, in milliseconds.
+const ANSWER_TIMEOUT_MS: f64 = 700.0;
+/// Duration of a call of a healthy store, in milliseconds.
 const CALL_MS: u64 = 4;
 
 fn draw(seed: &mut u64) -> f64 {
@@ -21,23 +21,24 @@
     (*seed >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// What it took until all hosts were listed and had read.
+/// The time and calls until all hosts were listed and had read.
 #[derive(Debug)]
 struct Outcome {
     ms: u64,
     writes: usize,
     reads: usize,
-    /// Hosts found by the one that found most.
+    /// Most hosts that any one host found.
     found: usize,
 }
 
-/// Hosts of one group that start at the same time, each with what it does.
-fn start(hosts: usize, is_first_start: bool, down_ms: u64) -> Outcome {
+/// Simulates the hosts of one group that start at the same time. The store is down for the first
+/// `down_ms` milliseconds.
+fn simulate_start(hosts: usize, is_first_start: bool, down_ms: u64) -> Outcome {
     let mut seed = hosts as u64;
     let mut listings = vec![Listing::new(is_first_start); hosts];
     let mut busy_until = vec![0_u64; hosts];
     let mut free_at = 0.0_f64;
-    // Rows that are written, and when.
+    // The rows written, each with the time and the host.
     let mut written: Vec<(u64, usize)> = Vec::new();
     let mut outcome = Outcome { ms: 0, writes: 0, reads: 0, found: 0 };
     let mut done = BTreeSet::new();
@@ -68,18 +69,18 @@
                 Step::Write => {
                     outcome.writes += 1;
                     let waits_ms = free_at - outcome.ms as f64;
-                    let is_turned_away = waits_ms > QUEUE_MS;
-                    if !is_turned_away {
+                    let is_rejected = waits_ms > QUEUE_MAX_MS;
+                    if !is_rejected {
                         free_at = free_at.max(outcome.ms as f64) + 1_000.0 / WRITES_PER_S;
                         written.push((free_at as u64, host));
                     }
                     let draw = draw(&mut seed);
                     let answered_ms = (free_at - outcome.ms as f64) as u64;
                     match () {
-                        () if is_turned_away => listings[host].record_failure(draw, now),
-                        () if answered_ms as f64 > ANSWER_MS => {
-                            busy_until[host] = outcome.ms + ANSWER_MS as u64;
-                            listings[host].record_failure(draw, now + ANSWER_MS as u64);
+                        () if is_rejected => listings[host].record_failure(draw, now),
+                        () if answered_ms as f64 > ANSWER_TIMEOUT_MS => {
+                            busy_until[host] = outcome.ms + ANSWER_TIMEOUT_MS as u64;
+                            listings[host].record_failure(draw, now + ANSWER_TIMEOUT_MS as u64);
                         }
                         () => {
                             busy_until[host] = outcome.ms + answered_ms;
@@ -93,16 +94,16 @@
     outcome
 }
 
-/// Hosts that write their row again and again, since each time no answer comes before they give up,
-/// and so never find each other.
+/// Guards against hosts that never find each other, because each writes its row again and again and
+/// stops waiting before the answer comes.
 #[test]
-fn step_many_hosts_are_listed_at_their_first_start() {
+fn step_many_hosts_at_their_first_start_are_listed() {
     for hosts in [1, 10, 100, 200, 400, 1_000] {
-        let outcome = start(hosts, true, 0);
+        let outcome = simulate_start(hosts, true, 0);
         println!("{hosts} hosts: {outcome:?}");
         let least_ms = hosts as f64 / WRITES_PER_S * 1_000.0;
         assert!((outcome.ms as f64) < 2.0 * least_ms + 6_000.0, "{outcome:?}");
-        // The store carries out what it does not turn away, once for each host.
+        // Rows that the store does not reject are written, so few hosts write again.
         assert!(outcome.writes <= hosts * 4, "{outcome:?}");
         assert!(outcome.reads <= hosts * 5, "{outcome:?}");
         assert_eq!(outcome.found, hosts);
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn step_host_that_starts_again_writes_nothing() {
+fn step_restarted_host_writes_nothing() {
     let mut listing = Listing::new(false);
     assert_eq!(listing.step(Millis(1)), Step::Read);
     listing.record_read(true);
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn step_new_host_reads_behind_its_write() {
+fn step_new_host_reads_after_its_write() {
     let mut listing = Listing::new(false);
     listing.record_read(false);
     assert_eq!(listing.step(Millis(1)), Step::Write);
@@ -128,9 +129,10 @@
     assert_eq!(listing.step(Millis(3)), Step::Done);
 }
 
-/// Guards against a host that writes its row without a pause while the store answers from an older state.
+/// Guards against a host that writes its row without a pause while the store answers from an older
+/// state.
 #[test]
-fn step_answer_older_than_the_own_row_is_not_answered_with_another() {
+fn step_read_older_than_the_own_row_causes_no_further_write() {
     let mut listing = Listing::new(false);
     listing.record_read(false);
     listing.record_write();
@@ -147,7 +149,7 @@
 }
 
 #[test]
-fn step_lost_answer_is_looked_for_before_it_is_written_again() {
+fn step_lost_answer_is_followed_by_a_read_before_a_write() {
     let mut listing = Listing::new(true);
     assert_eq!(listing.step(Millis(1)), Step::Write);
     listing.record_failure(0.5, Millis(1));
@@ -157,10 +159,10 @@
     assert_eq!(listing.step(until), Step::Done);
 }
 
-/// A store that is away is asked less and less often, and found again within some seconds.
+/// An unreachable store is called less and less often, and found again within some seconds.
 #[test]
-fn step_store_that_is_away_is_asked_seldom() {
-    let outcome = start(200, true, 20_000);
+fn step_unreachable_store_is_called_seldom() {
+    let outcome = simulate_start(200, true, 20_000);
     println!("{outcome:?}");
     assert!(outcome.ms < 28_000, "{outcome:?}");
     let mut listing = Listing::new(false);
--- a/crates/policy/tests/recovery.rs
+++ b/crates/policy/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! Positions in a store that comes back from copies, and for how long what it lost is waited for.
+//! Revisions of a store that comes back from copies, and how long hosts keep what the store has
+//! lost.
 
 use policy::recovery::{Phase, REWRITE_TIMEOUT_MS, Recovery, is_doubtful};
 use policy::revision::Revision;
@@ -7,7 +8,8 @@
 const BACK: Millis = Millis(1_000_000);
 const MISSING_MS: u64 = 2_000;
 
-/// Guards against changes taken for known because their number was given out before the store's return.
+/// Guards against changes that count as known because their number was given out before the store's
+/// return.
 #[test]
 fn revision_of_a_later_era_is_newer() {
     let before = Revision::new(1, 500);
@@ -19,9 +21,10 @@
     assert!(Revision::NONE < Revision::new(0, 1));
 }
 
-/// Guards against programs of before that can't read positions of a store which has never come back.
+/// Guards against older programs that can't read revisions of a store which has never come back
+/// from a copy.
 #[test]
-fn revision_written_plainly_without_an_era() {
+fn revision_without_an_era_is_a_plain_number() {
     assert_eq!(serde_json::to_string(&Revision::from(7)).unwrap(), "7");
     assert_eq!(serde_json::from_str::<Revision>("7").unwrap(), Revision::from(7));
     fuzz::check::<(u64, u64, u32)>(2_000, |(era, number, step)| {
@@ -32,27 +35,29 @@
 }
 
 #[test]
-fn phase_passes_once() {
+fn phase_advances_after_each_return() {
     let mut recovery = Recovery::new(MISSING_MS);
     assert_eq!(recovery.phase(BACK), Phase::Settled);
     recovery.begin(BACK);
     assert_eq!(recovery.phase(BACK + MISSING_MS - 1), Phase::AllDoubted);
     assert_eq!(recovery.phase(BACK + MISSING_MS), Phase::ChangedDoubted);
     assert_eq!(recovery.phase(BACK + REWRITE_TIMEOUT_MS), Phase::Settled);
-    // The next return begins it anew.
+    // The next return starts the recovery again.
     recovery.begin(BACK + 60_000);
     assert_eq!(recovery.phase(BACK + 60_001), Phase::AllDoubted);
 }
 
-/// Guards against a leave undone by the copy, and against an order given after the return that is not obeyed.
+/// Guards against a server's leave that the copy undoes, and against an operator's change after the
+/// return that is ignored.
 #[test]
-fn is_doubtful_what_may_be_of_before_the_copy() {
+fn is_doubtful_entry_that_may_predate_the_copy() {
     let held = Revision::new(1, 500);
     assert!(is_doubtful(Revision::new(2, 300), held, Some(300)));
     assert!(!is_doubtful(Revision::new(2, 301), held, Some(300)));
-    // Not known what was there before: anything up to its own number may have been.
+    // Without the replaced state's number, any number up to the entry's own may be the previous
+    // state.
     assert!(is_doubtful(Revision::new(2, 500), held, None));
     assert!(!is_doubtful(Revision::new(2, 501), held, None));
-    // In the same era the newer one holds.
+    // Within one era the store's entry holds.
     assert!(!is_doubtful(Revision::new(1, 300), held, Some(300)));
 }
--- a/crates/policy/tests/relay.rs
+++ b/crates/policy/tests/relay.rs
@@ -10,15 +10,15 @@
 
 #[test]
 fn action_few_hosts_read_alone() {
-    // With fewer calls than that there is nothing to save, and a host that trusts nobody can't be
-    // behind for another's sake.
+    // A reader for all hosts would save no calls here, and a host that depends on no other host
+    // can't fall behind because of one.
     let mut domain = Domain::within(PATIENT, 3);
     domain.run(30_000);
     assert!(domain.hosts.iter().all(|host| host.calls >= 8));
 }
 
-/// Guards against small failure domains in which each host reads although one that reads for all would
-/// make fewer calls: where changes may take longer, it reads less often.
+/// Guards against small failure domains in which each host reads although one reader for all would
+/// make fewer calls. Where changes may take longer, such a reader reads less often.
 #[test]
 fn action_few_hosts_one_reads_where_that_saves_calls() {
     for (change_ms, hosts, is_shared) in [
@@ -30,10 +30,10 @@
     ] {
         let mut domain = Domain::within(Bounds { change_ms, ..PATIENT }, hosts);
         domain.run(10_000);
-        let begun = domain.calls();
+        let calls_before = domain.calls();
         domain.change();
         domain.run(40_000);
-        let made = domain.calls() - begun;
+        let made = domain.calls() - calls_before;
         let alone = hosts as u64 * 40_000 / PATIENT.alone_ms;
         let shared = 40_000 / (change_ms * 2 / 5);
         println!("{change_ms} ms, {hosts} hosts: {made} calls, alone {alone}, shared {shared}");
@@ -45,45 +45,45 @@
 
 #[test]
 fn action_many_hosts_one_reads() {
-    // The load: 22 hosts, nothing changes. Each for itself they would make 22 calls in 3.5 s.
+    // While nothing changes, 22 hosts that read for themselves would make 22 calls in 3.5 s.
     let mut domain = Domain::new(22);
     domain.run(5_000);
-    let begun = domain.calls();
+    let calls_before = domain.calls();
     domain.run(30_000);
-    let made = domain.calls() - begun;
+    let made = domain.calls() - calls_before;
     assert!(made <= 30_000 / 800 + 5, "{made} calls");
     let readers =
         domain.hosts.iter().filter(|host| host.relay.reads_for_others(Millis(domain.now)));
     assert_eq!(readers.count(), 1);
 }
 
-/// Guards against hundreds of hosts that each ask a store which is away once a second.
+/// Guards against hundreds of hosts that each call an unreachable store once a second.
 #[test]
-fn action_store_away_is_asked_in_the_time_that_changes_leave() {
+fn action_unreachable_store_is_called_as_seldom_as_changes_allow() {
     let change_ms = 5_000;
     let mut domain = Domain::within(Bounds { change_ms, ..bounds() }, 100);
     domain.run(6_000);
     (0..100).for_each(|number| domain.set_path(number, Path::Refused));
     domain.run(6_000);
-    let begun = domain.calls();
+    let calls_before = domain.calls();
     domain.run(6_000);
-    let asked = domain.calls() - begun;
-    assert!(asked <= 100 * 6_000 / 2_500, "{asked} calls in 6 s");
+    let made = domain.calls() - calls_before;
+    assert!(made <= 100 * 6_000 / 2_500, "{made} calls in 6 s");
     (0..100).for_each(|number| domain.set_path(number, Path::Open));
     domain.change();
     domain.run(500);
     assert!(domain.hosts.iter().all(|host| host.revision == 1));
 }
 
-/// Guards against a host that waits for the turns of hundreds before it, none of which it hears of: the
-/// reader's messages don't reach it, though all others' signs of life do.
+/// Guards against a host that waits for the turns of hundreds of hosts before it without learning
+/// the outcome of any of them: it receives all heartbeats, but no announcement of the reader.
 #[test]
-fn action_host_that_hears_of_no_reading_is_in_time() {
+fn action_host_without_announcements_is_in_time() {
     for hosts in [6, 50, 120] {
         for step in 0..2 {
             let mut domain = Domain::new(hosts);
             domain.run(3_000 + step * 170);
-            // It waits longest.
+            // The last host waits longest.
             domain.deaf = Some(domain.last());
             domain.change();
             domain.run(2_500);
@@ -91,10 +91,10 @@
     }
 }
 
-/// Guards against lists of thousands of servers that are read over a narrow link while the domain has
-/// hosts with wide ones.
+/// Guards against lists of thousands of servers that are read over a narrow link although the
+/// domain has hosts with wide ones.
 #[test]
-fn action_a_strong_host_reads() {
+fn action_strong_host_reads() {
     let mut domain = Domain::new(30);
     let is_strong = |number: usize| number.is_multiple_of(10);
     let classes = |number: usize| if is_strong(number) { 9 } else { 1 };
@@ -108,14 +108,14 @@
     }
     domain.run(6_000);
     assert!(is_strong(domain.reader()));
-    // While strong ones are lost, others read.
+    // A weak host reads while the strong ones can't reach the store.
     (0..30).step_by(10).for_each(|strong| domain.set_path(strong, Path::Refused));
     domain.change();
-    let begun = domain.hosts[0].calls;
+    let calls_before = domain.hosts[0].calls;
     domain.run(6_000);
     assert!(!is_strong(domain.reader()));
-    assert!(domain.hosts[0].calls - begun < 8, "{}", domain.hosts[0].calls - begun);
-    // A strong one reads again once it can, though the weak one's news come in time.
+    assert!(domain.hosts[0].calls - calls_before < 8, "{}", domain.hosts[0].calls - calls_before);
+    // A strong host reads again once it can, although the weak reader's announcements come in time.
     (0..30).step_by(10).for_each(|strong| domain.set_path(strong, Path::Open));
     domain.run(5_000);
     assert!(is_strong(domain.reader()));
@@ -123,10 +123,11 @@
     assert_eq!(readers, 1);
 }
 
-/// Guards against a weak host that has all others read a long change themselves while a strong one reads it for
-/// them: its own call outlasts the change of readers.
+/// Guards against a weak reader that makes all hosts read a long change for themselves while a
+/// strong host reads it for them. The weak reader's call is still held when the strong one has
+/// taken over.
 #[test]
-fn reads_first_not_beside_a_strong_host() {
+fn is_first_reader_not_beside_a_strong_reader() {
     let bounds = Bounds { change_ms: 2_000, alone_ms: 100 };
     let (own, strong, weak) = (Name::from("own"), Name::from("strong"), Name::from("weak"));
     let bootstrap = Bootstrap::new(Millis(0));
@@ -142,14 +143,14 @@
     relay.record_peer_read(&strong, call + 1_310, call + 1_310);
     assert!(relay.reads_for_others(call + 1_310));
     assert!(!relay.is_first_reader(call + 1_310));
-    // It is lost again.
+    // The strong host's state is stale again.
     assert!(relay.is_first_reader(call + 1_310 + 1_240));
 }
 
 #[test]
 fn action_reader_is_gone() {
-    // The host that reads is stopped. The others hear nothing, one of them reads for itself in
-    // time, and the rest go on with that one.
+    // The reader stops. The others hear no announcement, one of them reads for itself in time, and
+    // the rest follow that one.
     let mut domain = Domain::new(12);
     domain.run(6_000);
     let reader = domain.reader();
@@ -157,15 +158,15 @@
     domain.change();
     domain.run(2_200);
     assert_eq!(domain.hosts.iter().filter(|host| host.revision == 1).count(), 11);
-    let begun = domain.calls();
+    let calls_before = domain.calls();
     domain.run(10_000);
-    assert!(domain.calls() - begun <= 10_000 / 800 + 4);
+    assert!(domain.calls() - calls_before <= 10_000 / 800 + 4);
 }
 
 #[test]
-fn action_reader_and_those_after_it_lose_the_store() {
-    // The store turns away the host that reads and the three that would follow it; its answers to
-    // the others are as always. A change is in force with those in time all the same.
+fn action_reader_and_its_successors_lose_the_store() {
+    // The reader and the three hosts that succeed it lose the store one after another, while it
+    // answers all other hosts. Each change is still in force on those in time.
     let mut domain = Domain::new(16);
     for lost in 0..4 {
         domain.run(2_500);
@@ -178,19 +179,19 @@
 }
 
 #[test]
-fn action_store_away_is_asked_seldom_and_heard_at_once() {
-    // The store is down for all. Together the hosts ask about ten times a second, not each of
-    // them; when it is back one hears it, and tells the others.
+fn action_unreachable_store_is_called_seldom_and_found_at_once() {
+    // The store refuses all hosts. All of them together, not each, call it about ten times a
+    // second. When it is back, one host finds it and announces that.
     let mut domain = Domain::new(20);
     domain.run(5_000);
     for number in 0..20 {
         domain.set_path(number, Path::Refused);
     }
     domain.run(2_000);
-    let begun = domain.calls();
+    let calls_before = domain.calls();
     domain.run(5_000);
-    let asked = domain.calls() - begun;
-    assert!(asked <= 100, "{asked} calls in 5 s");
+    let made = domain.calls() - calls_before;
+    assert!(made <= 100, "{made} calls in 5 s");
     for number in 0..20 {
         domain.set_path(number, Path::Open);
     }
@@ -200,10 +201,10 @@
 }
 
 #[test]
-fn action_long_answers_come_to_all_at_once() {
-    // A table of routes takes 1.1 s on every host's link. The hosts that do not read for the others
-    // heard of it when the one that does had all of it, and began then: 2.2 s after the change where
-    // 2 s are allowed. They hear of it when its answer begins.
+fn action_long_answers_reach_all_hosts_in_time() {
+    // A routing table takes 1.1 s on every host's link, and 2 s are allowed. If the other hosts
+    // learned of it only once the reader had received it whole, they would have it after 2.2 s. The
+    // reader announces it when its answer begins.
     let mut domain = Domain::new(22);
     domain.run(5_000);
     domain.body_ms = 1_100;
@@ -215,17 +216,17 @@
 }
 
 #[test]
-fn action_pause_is_not_ended_by_old_news() {
-    // The store is down for all. Hosts go on telling each other things, among them how new their
-    // lists were before; each time one of them is a little newer than a host's own. Had that host
-    // asked at once every time, the store would have been asked thousands of times a second.
+fn action_retry_pause_is_not_ended_by_old_state() {
+    // The store is unreachable for all hosts. They still announce how new their lists were before,
+    // and each such state may be a little newer than a host's own. If each of these ended the retry
+    // pause, the store would be called thousands of times a second.
     let mut relay = Relay::new(PATIENT, &Name::from("host-0"), "list", Bootstrap::new(Millis(1)));
     let peers: Vec<Name> = (1..20).map(|number| Name::from(format!("host-{number}"))).collect();
     for peer in &peers {
         relay.record_peer(peer, Millis(1));
     }
     relay.record_read(Millis(1_000));
-    let mut asked = 0;
+    let mut calls = 0;
     for now in (1_000..9_000).step_by(10) {
         if now > 4_000 {
             relay.record_peer_read(
@@ -235,35 +236,36 @@
             );
         }
         if let Action::Read { .. } = relay.action(Millis(now)) {
-            asked += 1;
+            calls += 1;
             relay.record_failure(PAUSE_MS, 0.5, Millis(now));
         }
     }
-    assert!(asked < 10, "{asked} calls in 8 s");
+    assert!(calls < 10, "{calls} calls in 8 s");
 }
 
-/// Guards against hosts bound by an old table for too long, since the connection on which they wait for news
-/// has gone silent: whenever that is, and whenever the table changes.
+/// Guards against hosts that keep using an old routing table for too long because the connection on
+/// which they wait for changes has gone silent, whenever that happens and whenever the table
+/// changes.
 #[test]
-fn action_silent_connections_are_noticed_while_others_wait_for_contact() {
-    for (change_ms, touch_ms) in [(2_000, 3_000), (3_000, 4_000), (4_000, 5_000)] {
+fn action_silent_connections_are_noticed_in_time() {
+    for (change_ms, contact_ms) in [(2_000, 3_000), (3_000, 4_000), (4_000, 5_000)] {
         for hosts in [1, 2, 3, 5, 12] {
             for step in 0..20 {
-                let bounds = Bounds { change_ms, alone_ms: alone_ms(touch_ms) };
+                let bounds = Bounds { change_ms, alone_ms: alone_ms(contact_ms) };
                 let mut domain = Domain::within(bounds, hosts);
-                domain.touch_ms = touch_ms;
+                domain.contact_ms = contact_ms;
                 domain.run(3_000 + step * 190);
                 domain.silence_connections();
                 domain.run(step % 8 * 150);
                 domain.change();
-                domain.run(touch_ms + change_ms);
+                domain.run(contact_ms + change_ms);
             }
         }
     }
 }
 
-/// Hosts that stand still, start anew, lose the store in either way, lost words and changes, in
-/// any order: whoever has reached the store for three seconds knows each change in time.
+/// Pauses, restarts, both kinds of lost store connections, lost messages and changes, in any order.
+/// Each host that has reached the store for three seconds knows each change in time.
 #[test]
 fn action_generated_sequences() {
     fuzz::check::<(u8, Vec<(u8, u8, u8)>)>(60, |(size, steps)| {
@@ -276,17 +278,17 @@
 fn play(bounds: Bounds, hosts: usize, steps: &[(u8, u8, u8)]) {
     let mut domain = Domain::within(bounds, hosts);
     domain.run(3_000);
-    for (what, which, how_long) in steps.iter().take(24) {
-        let number = usize::from(*which) % hosts;
-        let ms = 200 + u64::from(*how_long) * 20;
-        match what % 8 {
+    for (event, host, length) in steps.iter().take(24) {
+        let number = usize::from(*host) % hosts;
+        let ms = 200 + u64::from(*length) * 20;
+        match event % 8 {
             0 => domain.hosts[number].frozen_until = domain.now + ms,
             1 => domain.restart(number),
             2 => domain.set_path(number, Path::Silent),
             3 => domain.set_path(number, Path::Refused),
             4 => (0..hosts).for_each(|number| domain.set_path(number, Path::Open)),
-            5 => domain.lose_every = 2 + u64::from(*which % 40),
-            // A third of the hosts at once.
+            5 => domain.lose_every = 2 + u64::from(*host % 40),
+            // A third of the hosts lose the store at once.
             6 => (number..hosts).step_by(3).for_each(|number| {
                 domain.set_path(number, Path::Silent);
             }),
--- a/crates/policy/tests/repeat.rs
+++ b/crates/policy/tests/repeat.rs
@@ -1,4 +1,5 @@
-//! Repeats: each host keeps to its own share, and so all hosts together to theirs.
+//! Repeats of requests: each host stays within its share, so all hosts together stay within the
+//! limit.
 
 use policy::repeat::{Allowance, Window, spare_per_host};
 use policy::time::Millis;
@@ -7,14 +8,14 @@
 const START: Millis = Millis(1_000_000);
 
 #[test]
-fn take_spare_without_requests() {
+fn take_without_requests_the_spare_repeats() {
     let mut window = Window::default();
     let taken = (0..10).filter(|_| window.take(&ALLOWANCE, START)).count();
     assert_eq!(taken, 2);
 }
 
 #[test]
-fn take_share_of_requests() {
+fn take_no_more_than_the_share_of_requests() {
     let mut window = Window::default();
     for _ in 0..100 {
         window.record_request(&ALLOWANCE, START);
@@ -24,10 +25,10 @@
 }
 
 #[test]
-fn has_spare_few_requests() {
-    // One of many hosts before a large pool: two requests in a window. A small model doubts its
-    // answers, and a larger one may be asked: with a fixed number of repeats kept back for
-    // failures, such a host would have passed on every poor answer.
+fn exceeds_reserve_few_requests() {
+    // One of many hosts of a large pool has two requests in a window, and a small model gives poor
+    // answers. With a fixed number of repeats reserved for failures, such a host could never ask a
+    // larger model and would pass on every poor answer.
     let mut window = Window::default();
     window.record_request(&ALLOWANCE, START);
     window.record_request(&ALLOWANCE, START + 10);
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn has_spare_keeps_some_for_failures() {
+fn exceeds_reserve_leaves_some_for_failures() {
     let mut window = Window::default();
     for _ in 0..100 {
         window.record_request(&ALLOWANCE, START);
@@ -56,11 +57,11 @@
     assert!(window.take(&ALLOWANCE, START + 11_000));
 }
 
-/// A service fails all its requests, and callers repeat at once and often: the worst case for the
-/// budget. In no window may repeats pass the share of the requests counted in it, the window
-/// before or the one half before, and two a host.
+/// A service fails all its requests and callers repeat at once and often, which is the worst case
+/// for the limit. In no window may a host's repeats exceed two plus their share of the requests of
+/// one window, which is that window, the one before, or the one that ends half a window earlier.
 #[test]
-fn take_bound_in_every_window() {
+fn take_within_the_limit_in_every_window() {
     fuzz::check::<Vec<(u16, bool)>>(300, |steps| {
         let mut window = Window::default();
         let (mut now, mut requests, mut repeats) = (START, Vec::new(), Vec::new());
@@ -78,17 +79,17 @@
             times.iter().filter(|at| **at <= end && end.since(**at) < 10_000).count() as f64
         };
         for end in &repeats {
-            let asked = [0, 5_000, 10_000].map(|back| within(&requests, *end - back));
-            let most = asked.into_iter().fold(0.0, f64::max);
+            let counts = [0, 5_000, 10_000].map(|ms| within(&requests, *end - ms));
+            let most = counts.into_iter().fold(0.0, f64::max);
             assert!(within(&repeats, *end) <= 0.9 * most + 2.0);
         }
     });
 }
 
-/// Streams broke off when many servers were lost at once: larger models had taken the repeats with
-/// which a host could have gone on with them.
+/// Guards against streams that break off when many servers are lost at once, because requests to
+/// larger models have taken the repeats with which a host could continue them elsewhere.
 #[test]
-fn has_spare_keeps_enough_for_many_streams() {
+fn exceeds_reserve_leaves_enough_for_many_streams() {
     let mut window = Window::default();
     for _ in 0..100 {
         window.record_request(&ALLOWANCE, START);
@@ -100,10 +101,10 @@
     assert_eq!(streams, 8);
 }
 
-/// Guards against streams that break off because requests that full servers turn away have taken all
-/// repeats.
+/// Guards against streams that break off because requests which overloaded servers reject have
+/// taken all repeats.
 #[test]
-fn take_beside_streams_leaves_one_for_each() {
+fn take_reserving_leaves_one_for_each_stream() {
     let mut window = Window::default();
     for _ in 0..100 {
         window.record_request(&ALLOWANCE, START);
@@ -113,9 +114,9 @@
     assert_eq!(streams, 12);
 }
 
-/// Guards against a host with many streams and few requests that tries no request a second time.
+/// Guards against a host with many streams and few requests that never sends a request again.
 #[test]
-fn take_beside_many_streams_leaves_repeats_for_others() {
+fn take_reserving_many_streams_leaves_repeats_for_requests() {
     let mut window = Window::default();
     for _ in 0..10 {
         window.record_request(&ALLOWANCE, START);
@@ -124,9 +125,10 @@
     assert!(others >= 6, "{others}");
 }
 
-/// Guards against a spare repeat that is promised and then, beside many streams, not to be had.
+/// Guards against taking an extra repeat that is not there, because the reserve for many streams
+/// was not considered.
 #[test]
-fn take_spare_is_the_repeat() {
+fn take_extra_leaves_the_reserve() {
     let mut window = Window::default();
     for _ in 0..100 {
         window.record_request(&ALLOWANCE, START);
@@ -137,9 +139,10 @@
     assert!((15.0..17.0).contains(&left), "{left}");
 }
 
-/// Above some hundred hosts, two repeats of each beyond its share were more than all may send.
+/// Guards against more repeats than all hosts together may send: with some hundred hosts, two
+/// repeats of each beyond its share would exceed the limit.
 #[test]
-fn spare_of_all_hosts_is_within_the_bound() {
+fn spare_per_host_of_all_hosts_is_within_the_limit() {
     let slack = 1_040.0;
     for domains in [vec![1], vec![1, 1, 2, 2], vec![50; 6], vec![154, 180, 160, 10], vec![200; 5]] {
         let spare_of = |hosts| spare_per_host(slack, Some(domains.len()), Some(hosts));
@@ -151,6 +154,6 @@
     assert_eq!(
         spare_per_host(52.0, Some(4), Some(2)),
         2.0,
-        "a few hosts have as many as one may have"
+        "each of a few hosts has the most that one host may have"
     );
 }
--- a/crates/policy/tests/roster.rs
+++ b/crates/policy/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers under stale reads, outages, lapses and returns.
+//! The list of backend servers under stale reads, outages, lapses and restarts.
 
 use policy::name::Name;
 use policy::revision::Revision;
@@ -53,11 +53,11 @@
     assert!(working(&mut roster, START).is_empty());
 }
 
-/// The list's history is dropped and it is read afresh, from a copy some seconds old, in which a
-/// server that has since said that it leaves still stands as ready. Work sent there would be cut
-/// off when it ends.
+/// Guards against requests to a leaving server, which would be cut off when it ends. The store
+/// drops the list's history, so the list is read again, from a state some seconds old in which the
+/// server is ready.
 #[test]
-fn replace_stale_list_brings_nothing_back() {
+fn replace_by_stale_list_brings_no_server_back() {
     let mut roster = Roster::default();
     roster.put(server("a"), at(1));
     roster.put(server("a").into_leaving(), at(5));
@@ -67,9 +67,9 @@
     assert!(working(&mut roster, START).is_empty());
 }
 
-/// The list is away for longer than entries live, so live servers' entries lapse. They renew them
-/// within two seconds of its return. Taken for dead at once, every server would be gone, and every
-/// request refused, for that time.
+/// Guards against refusing every request after an outage that is longer than entries live. The
+/// entries of live servers have lapsed by then, and the servers renew them within two seconds of
+/// the list's return.
 #[test]
 fn remove_after_outage_is_a_lapse() {
     let mut roster = Roster::default();
@@ -106,15 +106,15 @@
     assert!(working(&mut roster, START + 100 + LAPSE_GRACE_MS).is_empty());
 }
 
-/// Changes, outages, dropped history and stale reads in any order against a plain model: the store
-/// itself. What a server said last of its leaving is never forgotten, and once the list is read
-/// and lapses have passed, exactly the servers that stand in it work.
+/// Changes, outages, dropped history and stale reads in any order, compared with the store itself.
+/// A server's leave is never forgotten. Once the list is read and lapses have passed, exactly the
+/// listed servers that are not leaving are in use.
 #[test]
 fn entries_generated_sequences() {
     fuzz::check::<Vec<(u8, u8)>>(2_000, |steps| {
         let mut store: Vec<(Server, Revision)> = Vec::new();
         let mut old: Vec<(Vec<(Server, Revision)>, Revision)> = Vec::new();
-        // An id is never used again; the roster is bound by what it was told of it.
+        // No id is used twice here, so the roster must keep to a leave that it has seen.
         let mut used: Vec<Name> = Vec::new();
         let mut said_leaving: Vec<Name> = Vec::new();
         let mut roster = Roster::default();
@@ -124,26 +124,26 @@
             revision += 1;
             let id = Name::from(format!("s{}", which % 23));
             let at = store.iter().position(|(server, _)| server.id == id);
-            let seen = step & 0x10 == 0;
+            let is_seen = step & 0x10 == 0;
             old.push((store.clone(), Revision::from(revision - 1)));
             match (step % 5, at) {
                 (0, None) if !used.contains(&id) => {
                     used.push(id.clone());
                     store.push((server(&id), Revision::from(revision)));
-                    if seen {
+                    if is_seen {
                         roster.put(server(&id), Revision::from(revision));
                     }
                 }
                 (1, Some(at)) => {
                     store[at] = (server(&id).into_leaving(), Revision::from(revision));
-                    if seen {
+                    if is_seen {
                         said_leaving.push(id.clone());
                         roster.put(server(&id).into_leaving(), Revision::from(revision));
                     }
                 }
                 (2, Some(at)) => {
                     store.remove(at);
-                    if seen {
+                    if is_seen {
                         roster.remove(&id, Revision::from(revision), now);
                     }
                 }
@@ -174,24 +174,23 @@
     });
 }
 
-/// A server says that it leaves, ends, and starts again under its id on the next day. Bound by what
-/// the start before said, the hosts would never use it again.
+/// Guards against a server that never gets work again because it said that it leaves, ended, and
+/// was started again later under the same id.
 #[test]
-fn put_reborn_server_gets_work() {
+fn put_restarted_server_gets_work() {
     let mut roster = Roster::default();
     roster.put(server("a"), at(1));
     roster.put(server("a").into_leaving(), at(2));
     roster.remove(&Name::from("a"), at(3), START);
     roster.put(Server { born: 2, ..server("a") }, at(4));
     assert_eq!(working(&mut roster, START), ["a"]);
-    // A late write of the first start does not end the second.
+    // A late write from before the restart changes nothing.
     roster.put(server("a").into_leaving(), at(5));
     assert_eq!(working(&mut roster, START), ["a"]);
 }
 
-/// Another writer replaces a server's entry by one that can't be read, while the list was away a
-/// moment ago. It is not a lapse: the server is not used on, and works again once its own entry is
-/// back.
+/// Shortly after an outage another writer replaces a server's entry by an unreadable one. This is
+/// not a lapse: the server is no longer used, and is used again once its own entry is back.
 #[test]
 fn withdraw_is_no_lapse() {
     let mut roster = Roster::default();
--- a/crates/policy/tests/spread.rs
+++ b/crates/policy/tests/spread.rs
@@ -1,4 +1,5 @@
-//! How soon a list that has grown is with every host of a failure domain, by a model of their links.
+//! How soon a list that has grown is with every host of a failure domain, by a model of their
+//! links.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +15,8 @@
 const ROUTE_BYTES: f64 = 261.0;
 /// How much shorter a table is as hosts pass it on.
 const PACKED: f64 = 14.0;
-/// What a host with an eighth of a core takes to pass a table on and to take it in, in milliseconds, for each
-/// thousand routes.
+/// What a host with an eighth of a core takes to pass a table on and to take it in, in
+/// milliseconds, for each thousand routes.
 const TAKE_MS: f64 = 20.0;
 /// Part of a narrow link that its host's callers take.
 const CALLERS_PART: f64 = 0.1;
@@ -96,8 +97,9 @@
     }
 }
 
-/// Guards against hosts bound by an old table though one of their domain has the new one: a table that grows
-/// at once from nothing to so many routes, before domains of three to a third of a thousand hosts.
+/// Guards against hosts bound by an old table though one of their domain has the new one: a table
+/// that grows at once from nothing to so many routes, before domains of three to a third of a
+/// thousand hosts.
 #[test]
 fn is_waited_for_table_in_force_in_time() {
     for (count, wide) in [(3, 1), (27, 2), (51, 3), (164, 6), (330, 12)] {
@@ -113,8 +115,9 @@
     }
 }
 
-/// Guards against a domain without a wide link that waits for one host's long read, and then for the steps
-/// through the domain: what is waited for comes in time, and what is not has no quicker way.
+/// Guards against a domain without a wide link that waits for one host's long read, and then for
+/// the steps through the domain: what is waited for comes in time, and what is not has no quicker
+/// way.
 #[test]
 fn is_waited_for_no_long_read_on_a_narrow_link() {
     for count in [3, 27, 51, 164, 330] {
--- a/crates/policy/tests/tree.rs
+++ b/crates/policy/tests/tree.rs
@@ -50,8 +50,8 @@
     assert_eq!(sources((&hosts[1], 0), &hosts[0], [].into_iter()), [hosts[0].clone()]);
 }
 
-/// Some hosts are known to a part of the others only: everybody's way still ends at the root, and nobody
-/// is asked by many.
+/// Some hosts are known to a part of the others only: everybody's way still ends at the root, and
+/// nobody is asked by many.
 #[test]
 fn sources_views_that_differ() {
     let hosts = hosts(200);
@@ -88,8 +88,8 @@
     assert!(steps.iter().all(|steps| *steps <= 2), "{:?}", steps.iter().max());
 }
 
-/// All hosts of a domain start together, and callers come at once: the part of these that is refused, if a
-/// host has the list so much later than its source and keeps a caller for that long.
+/// All hosts of a domain start together, and callers come at once: the part of these that is
+/// refused, if a host has the list so much later than its source and keeps a caller for that long.
 fn refused(count: usize, step_ms: u64, wait_ms: u64) -> f64 {
     let hosts = hosts(count);
     let steps = |own: &Name| {
@@ -100,8 +100,8 @@
     refused as f64 / count as f64
 }
 
-/// At the last hosts of a large domain, which have the lists after several steps, callers were refused that
-/// had twenty seconds.
+/// At the last hosts of a large domain, which have the lists after several steps, callers were
+/// refused that had twenty seconds.
 #[test]
 fn wait_lasts_until_the_list_has_come_through_a_large_domain() {
     for count in [1, 30, 200, 1_000] {
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// When requests reach a server of which all hosts believe the same, hosts sending whenever they may.
+/// When requests reach a server of which all hosts believe the same, hosts sending whenever they
+/// may.
 fn arrivals(places: &[Place], per_second: f64, late: impl Fn(usize) -> u64) -> Vec<u64> {
     let limit = Limit::warmup(per_second, START + WARMUP_MS, START);
     let mut throttles = vec![Throttle::default(); places.len()];
