--- a/crates/policy/src/bootstrap.rs
+++ b/crates/policy/src/bootstrap.rs
@@ -6,8 +6,8 @@
 //! the others take the list from it and then from each other.
 //!
 //! There is no election, and no host depends on another one. Hosts take turns by rank. A host that
-//! reads announces it while it does, which puts off the turns of the others. A host whose turn
-//! comes before another one has given it the list reads it.
+//! reads announces it while it does, which puts off the turns of the others. A host that has not
+//! been given the list when its turn comes reads it from the store.
 
 use crate::domain;
 use crate::time::Millis;
--- a/crates/policy/tests/strength.rs
+++ b/crates/policy/tests/strength.rs
@@ -1,4 +1,4 @@
-//! Hosts of unlike strength.
+//! Strength classes and ranks of hosts that differ in their cores and links.
 
 use policy::place::mix;
 use policy::strength::{class, rank};
@@ -11,9 +11,9 @@
     assert_eq!(class(1.0, 1_000.0), class(1.0, 1_001.0));
 }
 
-/// Settings that make no sense give a class all the same.
+/// Settings out of range still give a class.
 #[test]
-fn class_of_nonsense() {
+fn class_of_settings_out_of_range() {
     assert_eq!(class(0.0, 0.0), 0);
     assert_eq!(class(-1.0, 5.0), 0);
     assert_eq!(class(f64::NAN, 1.0), 0);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn rank_stronger_hosts_come_first() {
+fn rank_of_stronger_hosts_is_lower() {
     let strongest = (0..1_000).map(|host| rank(9, mix(host))).max().unwrap();
     let weakest = (0..1_000).map(|host| rank(8, mix(host))).min().unwrap();
     assert!(strongest < weakest);
--- a/crates/policy/tests/suspicion.rs
+++ b/crates/policy/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! Servers that fail a part of their requests while their health check is good.
+//! Servers that fail some of their requests while their health check succeeds.
 
 use policy::suspicion::Suspicion;
 use policy::time::Millis;
@@ -6,7 +6,7 @@
 const START: Millis = Millis(1_000_000);
 
 #[test]
-fn share_grows_and_clears() {
+fn share_grows_with_failures_and_shrinks_with_successes() {
     let mut suspicion = Suspicion::default();
     suspicion.record(true, START);
     suspicion.record(true, START);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn share_fades_without_answers() {
+fn share_decays_without_answers() {
     let mut suspicion = Suspicion::default();
     (0..10).for_each(|_| suspicion.record(true, START));
     let before = suspicion.share(START);
--- a/crates/policy/tests/throttle.rs
+++ b/crates/policy/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Limits that backend servers name, kept by all hosts together.
+//! Limits that backend servers state, kept by all hosts together.
 
 use fuzz::check;
 use policy::place::mix;
@@ -8,7 +8,8 @@
 const START: Millis = Millis(1_000_000);
 const WINDOW_MS: u64 = 4_000;
 
-/// Hosts by failure domain, all of which know each other; the server stands in the first domain.
+/// Returns the places of hosts that all know each other; `hosts` is their number by failure domain,
+/// and the server is in the first domain.
 fn places(hosts: &[usize]) -> Vec<Place> {
     let place = |domain: usize, before| Place {
         before,
@@ -25,12 +26,12 @@
     throttle
 }
 
-fn named(per_second: f64) -> Limit {
+fn stated(per_second: f64) -> Limit {
     Limit { per_second: Some(per_second), at: START, until: None }
 }
 
-/// What is sent in each tenth of a second for so long by hosts that each have a request as often as
-/// that.
+/// Returns how many requests are sent in each tenth of a second for `ms` milliseconds, by hosts
+/// that each have one request to send in each tenth.
 fn send(throttles: &mut [Throttle], places: &[Place], ms: u64) -> Vec<usize> {
     let mut sent = Vec::new();
     for step in 1..=ms / 100 {
@@ -47,14 +48,14 @@
     sent
 }
 
-/// The most in any window.
+/// Returns the most requests in any window.
 fn most(sent: &[usize]) -> usize {
     let windows = sent.windows((WINDOW_MS / 100) as usize);
     windows.map(|window| window.iter().sum()).max().unwrap_or_default()
 }
 
 #[test]
-fn limit_is_kept_and_used_by_300_hosts() {
+fn has_room_limit_is_kept_and_used_by_300_hosts() {
     for hosts in [vec![50; 6], vec![1, 2, 1, 2], vec![300], vec![1], vec![2, 3, 2], vec![20; 4]] {
         for limit in [0.5, 1.6, 3.7, 10.0, 50.0] {
             let places = places(&hosts);
@@ -64,7 +65,7 @@
             let allowed = (limit * 4.0 * 1.5 + 5.0) as usize;
             assert!(most <= allowed, "{most} of {limit} a second, {hosts:?}");
             let used = sent.iter().sum::<usize>() as f64 / 60.0;
-            // One host asks ten times a second at most.
+            // One host sends ten requests a second at most.
             let most_used = limit.min(10.0 * hosts[0] as f64);
             assert!(used >= 0.7 * most_used, "{used} of {limit} a second, {hosts:?}");
         }
@@ -72,8 +73,8 @@
 }
 
 #[test]
-fn limit_is_kept_by_hosts_that_see_half_of_each_other() {
-    // Each half of the domain believes that the other is gone.
+fn has_room_limit_is_kept_by_hosts_that_see_half_of_each_other() {
+    // Each half of the first domain believes that the other half is gone.
     let halves = [places(&[25, 50, 50]), places(&[25, 50, 50])].concat();
     for limit in [0.5, 1.6, 10.0] {
         let mut throttles = vec![limited(limit); halves.len()];
@@ -90,13 +91,13 @@
         if hosts.is_empty() {
             return;
         }
-        let sum: f64 = places(&hosts).iter().map(|place| named(limit).rate(place)).sum();
+        let sum: f64 = places(&hosts).iter().map(|place| stated(limit).rate(place)).sum();
         assert!((sum - limit).abs() < 1e-6 * limit.max(1.0), "{sum} of {limit}, {hosts:?}");
     });
 }
 
 #[test]
-fn heard_without_a_limit_ends_it_unless_older() {
+fn record_answer_without_a_limit_ends_it_unless_older() {
     let mut throttle = limited(2.0);
     assert!(!throttle.record_answer(None, START - 10, START + 10));
     assert!(throttle.is_limited(START + 40));
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn learn_takes_the_newest_only() {
+fn learn_accepts_the_newest_only() {
     let mut throttle = limited(2.0);
     assert!(!throttle.learn(Limit { per_second: None, at: START - 1, until: None }, START + 10));
     assert!(throttle.is_limited(START + 40));
@@ -116,13 +117,13 @@
     );
     assert!(throttle.learn(Limit { per_second: None, at: START + 6, until: None }, START + 10));
     assert!(!throttle.is_limited(START + 40));
-    // Those that missed it are told again, for a while.
+    // Hosts that missed the end of the limit are told again for a while.
     assert!(throttle.shared(START + 5_000).is_some());
     assert!(throttle.shared(START + 60_000).is_none());
 }
 
 #[test]
-fn limit_that_halves_is_kept() {
+fn has_room_lowered_limit_is_kept() {
     let places = places(&[4, 4]);
     let mut throttles = vec![limited(20.0); places.len()];
     send(&mut throttles, &places, 10_000);
@@ -143,10 +144,10 @@
 }
 
 #[test]
-fn rate_is_spread_over_other_hosts_for_each_server() {
-    // Turns are hashes; the same host must not come first at every server.
-    let turn = |host: u64, server: u64| mix(mix(host) ^ mix(server));
-    let first = |server| (0..50_u64).min_by_key(|host| turn(*host, server));
+fn rate_goes_to_different_hosts_for_each_server() {
+    // Ranks are hashes; the same host must not come first at every server.
+    let rank = |host: u64, server: u64| mix(mix(host) ^ mix(server));
+    let first = |server| (0..50_u64).min_by_key(|host| rank(*host, server));
     let firsts: std::collections::HashSet<_> = (0..200).map(first).collect();
     assert!(firsts.len() > 40, "{}", firsts.len());
 }
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -1,4 +1,5 @@
-//! Backend servers that are not warm yet, and end at a rate well above what they take until then.
+//! Backend servers that are warming up, and stop running at a rate well above their limit until
+//! then.
 
 use fuzz::check;
 use policy::place::mix;
@@ -8,26 +9,28 @@
 const START: Millis = Millis(1_000_000);
 const WARMUP_MS: u64 = 3_000;
 const WINDOW_MS: u64 = 1_000;
-/// Beyond the rate, what all hosts may send in a second.
-const OVERRUN: f64 = 1.5;
+/// Factor of the rate that all hosts together may send in a second.
+const OVERRUN_FACTOR: f64 = 1.5;
+/// Number of requests that all hosts together may send in a second beyond that factor.
 const SLACK: f64 = 5.0;
-/// Between two chances to send, in milliseconds.
+/// Time between two chances to send, in milliseconds.
 const STEP_MS: u64 = 10;
-/// Of what a server takes, that must be used where callers ask for enough.
+/// Least share of a server's rate that must be used if callers send enough.
 const USED_MIN: f64 = 0.7;
 
-/// A fleet: hosts by failure domain, all of which know each other.
+/// The number of hosts by failure domain; all hosts know each other.
 struct Fleet {
     hosts: Vec<usize>,
 }
 
 impl Fleet {
-    /// Hosts' places at a server of the first domain; turns are hashes, as hosts work them out.
+    /// Returns the hosts' places at a server of the first domain; ranks are hashes, as hosts
+    /// compute them.
     fn places(&self, server: u64) -> Vec<Place> {
-        let turn = |domain: usize, host: usize| mix(mix((domain * 1_000 + host) as u64) ^ server);
+        let rank = |domain: usize, host: usize| mix(mix((domain * 1_000 + host) as u64) ^ server);
         let place = |domain: usize, host: usize| Place {
             before: (0..self.hosts[domain])
-                .filter(|other| turn(domain, *other) < turn(domain, host))
+                .filter(|other| rank(domain, *other) < rank(domain, host))
                 .count(),
             hosts: self.hosts[domain],
             is_near: domain == 0,
@@ -38,9 +41,9 @@
     }
 }
 
-/// When requests reach a server of which all hosts believe the same, hosts sending whenever they
-/// may.
-fn arrivals(places: &[Place], per_second: f64, late: impl Fn(usize) -> u64) -> Vec<u64> {
+/// Returns when requests reach a server for which all hosts know the same limit, if they send
+/// whenever they may. `delay_ms` gives the delay of a host's requests, in milliseconds.
+fn arrivals(places: &[Place], per_second: f64, delay_ms: impl Fn(usize) -> u64) -> Vec<u64> {
     let limit = Limit::warmup(per_second, START + WARMUP_MS, START);
     let mut throttles = vec![Throttle::default(); places.len()];
     throttles.iter_mut().for_each(|throttle| assert!(throttle.learn(limit, START)));
@@ -50,7 +53,7 @@
         for (host, (throttle, place)) in throttles.iter_mut().zip(places).enumerate() {
             if throttle.has_room(place, now) {
                 throttle.record_sent(place, now);
-                arrivals.push(ms + late(host));
+                arrivals.push(ms + delay_ms(host));
             }
         }
     }
@@ -58,7 +61,7 @@
     arrivals
 }
 
-/// The most in any second.
+/// Returns the most requests in any second.
 fn most(arrivals: &[u64]) -> usize {
     let within = |from: u64| {
         let second = from..from + WINDOW_MS;
@@ -68,11 +71,11 @@
 }
 
 fn allowed(per_second: f64) -> usize {
-    (per_second * OVERRUN + SLACK) as usize
+    (per_second * OVERRUN_FACTOR + SLACK) as usize
 }
 
 #[test]
-fn warmup_is_kept_and_used_by_300_hosts() {
+fn has_room_warmup_limit_is_kept_and_used_by_300_hosts() {
     let fleets = [vec![50; 6], vec![1, 2, 1, 2], vec![300], vec![1], vec![2, 3, 2], vec![22; 4]];
     for hosts in fleets {
         let fleet = Fleet { hosts };
@@ -90,10 +93,10 @@
     }
 }
 
-/// Guards against servers that are left alone where a whole failure domain of them comes back: the
-/// hosts of the domain must find room for their callers at once.
+/// Guards against servers that stay idle when a whole failure domain of them comes back. The hosts
+/// of the domain must be able to send their callers' requests at once.
 #[test]
-fn warmup_of_a_whole_domain_has_room_for_its_hosts() {
+fn rate_during_warmup_of_a_whole_domain_suffices_for_its_hosts() {
     const SERVERS: u64 = 28;
     let fleet = Fleet { hosts: vec![22; 4] };
     let mut by_host = vec![0.0; 22];
@@ -108,7 +111,7 @@
 }
 
 #[test]
-fn warmup_ends_by_itself() {
+fn has_room_after_the_warmup() {
     let mut throttle = Throttle::default();
     throttle.learn(Limit::warmup(11.0, START + WARMUP_MS, START), START);
     let far = Place { before: 3, hosts: 9, is_near: false, domains: 4 };
@@ -117,7 +120,8 @@
     assert!(!throttle.is_limited(START + WARMUP_MS));
 }
 
-/// Guards against a host that takes a server for warm since another has not heard of its new start.
+/// Guards against a host that counts a server as warm because another host does not know that the
+/// server has started again.
 #[test]
 fn learn_later_end_of_the_warmup_holds() {
     let mut throttle = Throttle::default();
@@ -126,12 +130,12 @@
     assert_eq!(throttle.warmup_ms(START + 10), 1_990);
     assert!(!throttle.learn(Limit::warmup(11.0, START + 3_000, START), START + 10));
     assert_eq!(throttle.warmup_ms(START + 10), 2_990);
-    // It turns cold once more.
+    // The server starts again.
     assert!(throttle.learn(Limit::warmup(11.0, START + 9_000, START + 6_000), START + 6_000));
 }
 
 #[test]
-fn learn_of_both_kinds_the_lower_limit_holds() {
+fn per_second_is_the_lower_of_both_limits() {
     let alone = Place { before: 0, hosts: 1, is_near: true, domains: 1 };
     let mut throttle = Throttle::default();
     throttle.record_answer(Some(4.0), START, START);
@@ -143,16 +147,16 @@
     assert_eq!(throttle.per_second(START + WARMUP_MS), None);
 }
 
-/// Guards against a rate that makes no sense: the server is left alone until it is warm.
+/// With a rate of zero, which makes no sense, the server gets no request until it is warm.
 #[test]
-fn warmup_of_rate_zero_takes_nothing() {
+fn has_room_not_at_a_warmup_rate_of_zero() {
     let places = Fleet { hosts: vec![3, 3] }.places(1);
     assert!(arrivals(&places, 0.0, |_| 0).is_empty());
 }
 
-/// Whatever the fleet, the rate and the hosts' delays within a tenth of a second.
+/// The limit holds for any fleet and rate, with any delays of hosts within a tenth of a second.
 #[test]
-fn warmup_is_kept_whatever_the_fleet() {
+fn has_room_warmup_limit_is_kept_by_any_fleet() {
     check(300, |(per_second, hosts, seed): &(u8, Vec<u8>, u64)| {
         let hosts: Vec<usize> = hosts.iter().take(5).map(|n| usize::from(*n % 60) + 1).collect();
         if hosts.is_empty() {
@@ -160,8 +164,8 @@
         }
         let per_second = f64::from(*per_second) / 4.0;
         let places = Fleet { hosts: hosts.clone() }.places(*seed);
-        let late = |host: usize| mix(*seed ^ host as u64) % 100;
-        let most = most(&arrivals(&places, per_second, late));
+        let delay_ms = |host: usize| mix(*seed ^ host as u64) % 100;
+        let most = most(&arrivals(&places, per_second, delay_ms));
         assert!(most <= allowed(per_second), "{most} of {per_second}, {hosts:?}");
     });
 }
