--- a/crates/policy/src/detour.rs
+++ b/crates/policy/src/detour.rs
@@ -39,9 +39,9 @@
     pub isolated: usize,
 }
 
-/// Counts the attempts of a request after it was forwarded to a host that might make `forwarded`
-/// attempts; `before` were made earlier. `reported` is the total that the host reports. Without a
-/// report, all attempts that it might have made count.
+/// Returns the number of attempts of a request after it was forwarded to a host that might make
+/// `forwarded` attempts; `before` were made earlier. `reported` is the total that the host reports.
+/// Without a report, all attempts that it might have made count.
 #[must_use]
 pub fn count_attempts(before: u32, forwarded: u32, reported: Option<u32>) -> u32 {
     reported.unwrap_or(before + forwarded).max(before)
--- a/crates/policy/src/relay.rs
+++ b/crates/policy/src/relay.rs
@@ -234,7 +234,7 @@
         held.heard_at = now;
         held.fresh_at = held.fresh_at.max(Some(fresh_at));
         // A read by a weaker peer does not show that this host, which would read in its place,
-        // reaches the store; only a read by an equally strong peer ends the retry pause.
+        // reaches the store. Only a read by a peer at least as strong ends the retry pause.
         let is_as_strong = held.class >= self.class;
         if is_as_strong
             && fresh_at > self.read_at
@@ -293,7 +293,7 @@
     }
 
     /// Whether this host reads for itself only. In a small domain a reader for all hosts, which
-    /// reads more often, would make as many calls as all hosts that read for themselves.
+    /// reads more often, would make at least as many calls as all hosts that read for themselves.
     #[must_use]
     pub fn reads_alone(&self, now: Millis) -> bool {
         let hosts = self.alive_count(now) as u64 + 1;
--- a/crates/policy/tests/bootstrap.rs
+++ b/crates/policy/tests/bootstrap.rs
@@ -203,13 +203,13 @@
 #[test]
 fn action_slow_store_is_not_called_by_all_hosts_at_once() {
     let mut domain = Domain::new(100, 5_000, 20);
-    let mut begun = Vec::new();
+    let mut started_reads = Vec::new();
     for now in 1..6_000 {
         let before = domain.reads();
         domain.tick(now);
-        begun.push(domain.reads() - before);
+        started_reads.push(domain.reads() - before);
     }
-    assert!(begun.iter().all(|count| *count <= 4), "{:?}", begun.iter().max());
+    assert!(started_reads.iter().all(|count| *count <= 4), "{:?}", started_reads.iter().max());
 }
 
 #[test]
--- a/crates/policy/tests/recovery.rs
+++ b/crates/policy/tests/recovery.rs
@@ -5,7 +5,7 @@
 use policy::revision::Revision;
 use policy::time::Millis;
 
-const BACK: Millis = Millis(1_000_000);
+const RETURNED_AT: Millis = Millis(1_000_000);
 const MISSING_MS: u64 = 2_000;
 
 /// Guards against changes that count as known because their number was given out before the store's
@@ -37,14 +37,14 @@
 #[test]
 fn phase_advances_after_each_return() {
     let mut recovery = Recovery::new(MISSING_MS);
-    assert_eq!(recovery.phase(BACK), Phase::Settled);
-    recovery.begin(BACK);
-    assert_eq!(recovery.phase(BACK + MISSING_MS - 1), Phase::AllDoubted);
-    assert_eq!(recovery.phase(BACK + MISSING_MS), Phase::ChangedDoubted);
-    assert_eq!(recovery.phase(BACK + REWRITE_TIMEOUT_MS), Phase::Settled);
+    assert_eq!(recovery.phase(RETURNED_AT), Phase::Settled);
+    recovery.begin(RETURNED_AT);
+    assert_eq!(recovery.phase(RETURNED_AT + MISSING_MS - 1), Phase::AllDoubted);
+    assert_eq!(recovery.phase(RETURNED_AT + MISSING_MS), Phase::ChangedDoubted);
+    assert_eq!(recovery.phase(RETURNED_AT + REWRITE_TIMEOUT_MS), Phase::Settled);
     // The next return starts the recovery again.
-    recovery.begin(BACK + 60_000);
-    assert_eq!(recovery.phase(BACK + 60_001), Phase::AllDoubted);
+    recovery.begin(RETURNED_AT + 60_000);
+    assert_eq!(recovery.phase(RETURNED_AT + 60_001), Phase::AllDoubted);
 }
 
 /// Guards against a server's leave that the copy undoes, and against an operator's change after the
--- a/crates/policy/tests/tree.rs
+++ b/crates/policy/tests/tree.rs
@@ -27,7 +27,7 @@
 
 /// Guards against hosts that all ask the one that has the changes.
 #[test]
-fn sources_name_no_host_first_too_often_however_large_the_domain() {
+fn sources_no_host_is_asked_first_by_many() {
     for count in [1, 2, 5, 30, 195, 400, 1_000] {
         let (most, longest) = shape(&hosts(count));
         println!("{count} hosts: one is asked first by {most}, longest path {longest}");
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -1,5 +1,5 @@
-//! Backend servers that are warming up, and stop running at a rate well above their limit until
-//! then.
+//! Backend servers that are warming up. Until they are warm, they stop running at a rate well above
+//! their limit.
 
 use fuzz::check;
 use policy::place::mix;
