--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -50,7 +50,7 @@
         let settings::Repeats { share, slack, window_ms } = inputs.repeats;
         Allowance {
             share,
-            spare: repeat::spare(slack, inputs.domain_count, inputs.host_count),
+            spare: repeat::spare_per_host(slack, inputs.domain_count, inputs.host_count),
             window_ms,
         }
     }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -5,8 +5,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+use policy::heartbeat;
 use policy::name::Name;
-use policy::pulse;
 use policy::time::Millis;
 
 /// Most peers that are remembered. The limit only bounds memory.
@@ -46,7 +46,7 @@
     /// keeping.
     pub fn evict_silent(&self, now: Millis) {
         let mut hosts = self.lock();
-        let forget_ms = pulse::forget_ms(hosts.len());
+        let forget_ms = heartbeat::forget_ms(hosts.len());
         hosts.retain(|_, peer| now.since(peer.last_seen) < forget_ms);
     }
 
@@ -60,7 +60,7 @@
     /// number.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
-        Duration::from_millis(pulse::every_ms(self.lock().len()))
+        Duration::from_millis(heartbeat::interval_ms(self.lock().len()))
     }
 
     /// Number of known peers, including those that may be gone.
@@ -79,7 +79,7 @@
     #[must_use]
     pub fn alive(&self, now: Millis) -> Vec<(Name, u8)> {
         let hosts = self.lock();
-        let gone_ms = pulse::gone_ms(hosts.len());
+        let gone_ms = heartbeat::timeout_ms(hosts.len());
         let alive = hosts.iter().filter(|(_, peer)| now.since(peer.last_seen) < gone_ms);
         alive.map(|(name, peer)| (name.clone(), peer.class)).collect()
     }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -266,7 +266,7 @@
 /// Serves peers until the process ends. A host of a higher strength class serves more of them at
 /// once.
 pub async fn serve<S: Source>(listener: TcpListener, source: Arc<S>, cache: Cache, class: u8) {
-    let slots = Arc::new(Semaphore::new(tree::children(class, 0) + SPARE_SLOTS_COUNT));
+    let slots = Arc::new(Semaphore::new(tree::children_max(class, 0) + SPARE_SLOTS_COUNT));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -100,8 +100,8 @@
 /// which they write their entries again.
 fn missing_retention_ms(list: List) -> u64 {
     match list {
-        List::Operators => recovery::REWRITTEN_MS,
-        List::Backends => roster::LAPSE_MS,
+        List::Operators => recovery::REWRITE_TIMEOUT_MS,
+        List::Backends => roster::LAPSE_GRACE_MS,
     }
 }
 
@@ -313,20 +313,20 @@
     /// itself and has no copy yet.
     #[must_use]
     pub fn accepts_any_peer(&self) -> bool {
-        self.revision().is_none() && self.relay().is_wanting()
+        self.revision().is_none() && self.relay().needs_list_from_peer()
     }
 
     /// Records that this host has read the list from the store.
     pub fn record_read(&self, now: Millis) {
         *lock(&self.read_at) = Some(now);
-        self.relay().read(now);
+        self.relay().record_read(now);
     }
 
     /// How new this host's copy is, for its peers; `None` if this host does not read the list for
     /// them.
     #[must_use]
     pub fn position(&self, now: Millis) -> Option<Position> {
-        if !self.relay().tells(now) {
+        if !self.relay().announces_reads(now) {
             return None;
         }
         let read_at = (*lock(&self.read_at))?;
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -160,7 +160,7 @@
     pub fn expired_overrides(&self, now: Millis) -> Option<Update> {
         let phase = self.recovery.phase(now);
         let is_due = |listed: &Option<Entry>| match listed {
-            None => phase > Phase::Missing,
+            None => phase > Phase::AllDoubted,
             Some(_) => phase == Phase::Settled,
         };
         let revision = self.revision?.next_step();
@@ -202,7 +202,7 @@
             let is_held = is_from_before || self.overridden.get(key) == Some(&None);
             is_held && !known.is_removed() && !listed.contains(key) && !inherited.contains_key(key)
         };
-        let lost = self.entries.values().filter(|_| phase == Phase::Missing).filter(is_lost);
+        let lost = self.entries.values().filter(|_| phase == Phase::AllDoubted).filter(is_lost);
         let missing: Vec<Entry> = lost.map(|known| known.entry.clone()).collect();
         let counts = (missing.len(), doubted.len());
         overridden.extend(missing.iter().map(|entry| (entry.key.clone(), None)));
--- a/crates/node/src/peers/find.rs
+++ b/crates/node/src/peers/find.rs
@@ -91,7 +91,7 @@
                     tokio::time::sleep(pause).await;
                     continue;
                 }
-                Step::Write => self.write_own_row().await.map(|()| listing.wrote()),
+                Step::Write => self.write_own_row().await.map(|()| listing.record_write()),
                 Step::Read => self.read_peers().await.and_then(|(hosts, is_listed)| {
                     found = hosts;
                     if listing.is_outdated(is_listed) {
@@ -99,14 +99,14 @@
                             "the store's answer is older than this host's row".into(),
                         ));
                     }
-                    listing.read(is_listed);
+                    listing.record_read(is_listed);
                     Ok(())
                 }),
             };
             if let Err(error) = result {
                 log::warn!(target: "peers", error:% = error;
                     "peers not found in the store, retrying");
-                listing.failed(rand::random(), clock::steady());
+                listing.record_failure(rand::random(), clock::steady());
             }
         }
     }
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -419,7 +419,7 @@
         if hosts == execution.written_counts {
             return;
         }
-        let is_alone = self.watch.follower(List::Operators).relay().is_alone(clock::steady());
+        let is_alone = self.watch.follower(List::Operators).relay().reads_alone(clock::steady());
         let writer = if is_alone { &self.host } else { &self.failure_domain };
         let counted = CountsRow { order: rollout.order_id(), hosts };
         let value = match record::serialize(&counted) {
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -130,10 +130,14 @@
             table_age_ms: catalog.table_accepted_at().map(|at| now.since(at)),
             backends_revision: snapshot.revision,
             store_age_ms: catalog.list_ages_ms(now),
-            peers: followers.iter().map(|follower| follower.relay().others(now)).max().unwrap_or(0),
+            peers: followers
+                .iter()
+                .map(|follower| follower.relay().alive_count(now))
+                .max()
+                .unwrap_or(0),
             reads: followers
                 .iter()
-                .map(|f| (Name::from(f.list.name()), f.relay().reads()))
+                .map(|f| (Name::from(f.list.name()), f.relay().is_reader()))
                 .collect(),
             behind_ms: followers
                 .iter()
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -203,7 +203,7 @@
                     // Until the store has answered again, calls ask for no hold time. A call sent
                     // while the store is silent is never answered, and its return must be noticed
                     // at once.
-                    follower.relay().failed(delay_ms, rand::random(), clock::steady());
+                    follower.relay().record_failure(delay_ms, rand::random(), clock::steady());
                     delay_ms = (delay_ms * 2).min(RETRY_DELAY_MAX_MS);
                     0
                 }
@@ -227,10 +227,10 @@
         }
         let follower = self.follower(list);
         let is_table = list == List::Operators;
-        let is_waited_for = follower.relay().is_waited_for(bytes, self.link_mbps);
+        let is_waited_for = follower.relay().can_relay_in_time(bytes, self.link_mbps);
         let is_long_change = is_table && !is_waited_for && follower.is_long_change(bytes);
         follower.set_incoming(is_long_change);
-        if is_long_change && follower.relay().reads_first(clock::steady()) {
+        if is_long_change && follower.relay().is_first_reader(clock::steady()) {
             log::info!(target: "watch", list:? = list, bytes, link_mbps = self.link_mbps;
                 "long answer is arriving, peers notified");
             self.notify(Notice::Incoming(list));
@@ -270,7 +270,7 @@
         let is_stale = update.is_whole && update.revision < own.stored();
         if !self.accept(list, &update) || is_stale {
             // The store has answered from an old state; the list is read again in a moment.
-            follower.relay().failed(RETRY_DELAY_MIN_MS, rand::random(), clock::steady());
+            follower.relay().record_failure(RETRY_DELAY_MIN_MS, rand::random(), clock::steady());
             return Ok(0);
         }
         follower.record_read(clock::steady());
@@ -290,7 +290,7 @@
         self.catalog.set_answered_at(list.name(), clock::steady());
         let before = Millis(self.fresh_at.fetch_max(fresh_at.0, Ordering::Relaxed));
         let relay = self.follower(list).relay();
-        let (is_alone, away_ms) = (relay.is_alone(clock::steady()), relay.away_ms());
+        let (is_alone, away_ms) = (relay.reads_alone(clock::steady()), relay.outage_threshold_ms());
         drop(relay);
         let was_away = !is_alone && before > Millis(0) && fresh_at.since(before) > away_ms;
         if was_away {
@@ -299,9 +299,9 @@
         }
         self.catalog.with_roster(|roster| {
             if was_away {
-                roster.away(before);
+                roster.record_unreachable(before);
             }
-            roster.reached(clock::steady());
+            roster.record_reached(clock::steady());
         });
     }
 
@@ -333,7 +333,7 @@
     pub fn is_delegate(&self) -> bool {
         let relay = self.follower(List::Operators).relay();
         let now = clock::steady();
-        relay.is_alone(now) || relay.reads_for_others(now)
+        relay.reads_alone(now) || relay.reads_for_others(now)
     }
 
     /// Whether the store was restored from a copy within the last `ms` milliseconds. What was
@@ -356,8 +356,8 @@
     /// Records that a host that reads for itself alone got no answer, or a late one: servers whose
     /// entries lapse meanwhile have not crashed.
     fn record_absence(&self, list: List) {
-        if self.follower(list).relay().is_alone(clock::steady()) {
-            self.catalog.with_roster(|roster| roster.away(clock::steady()));
+        if self.follower(list).relay().reads_alone(clock::steady()) {
+            self.catalog.with_roster(|roster| roster.record_unreachable(clock::steady()));
         }
     }
 
--- a/crates/node/src/watch/accept.rs
+++ b/crates/node/src/watch/accept.rs
@@ -75,7 +75,7 @@
                     let service = order.service.clone();
                     let target = order.target.clone();
                     let is_rewritten =
-                        self.was_restored_within(recovery::REWRITTEN_MS, clock::steady());
+                        self.was_restored_within(recovery::REWRITE_TIMEOUT_MS, clock::steady());
                     let taken = self.catalog.accept_order(order.clone(), revision, is_rewritten);
                     changed |= taken;
                     log::info!(target: "watch", service:% = service, version:% = target, revision:%,
--- a/crates/node/src/watch/peers.rs
+++ b/crates/node/src/watch/peers.rs
@@ -18,7 +18,7 @@
     pub fn accept_incoming(&self, peer: &Name, list: List) {
         let follower = self.follower(list);
         if !follower.is_incoming() {
-            follower.relay().incoming(peer, clock::steady());
+            follower.relay().record_long_change(peer, clock::steady());
             follower.wake();
         }
     }
@@ -53,7 +53,7 @@
     /// Records that a peer is alive.
     pub fn record_peer(&self, peer: &Name, class: u8) {
         for follower in self.followers.iter() {
-            follower.relay().met_class(peer, class, clock::steady());
+            follower.relay().record_peer_class(peer, class, clock::steady());
         }
     }
 
@@ -62,7 +62,7 @@
     pub fn accept_position(self: &Arc<Self>, peer: &Name, position: Position) {
         let follower = self.follower(position.list);
         let now = clock::steady();
-        follower.relay().heard(peer, now - position.age_ms, now);
+        follower.relay().record_peer_read(peer, now - position.age_ms, now);
         follower.record_bytes(position.bytes, false);
         self.record_contact(position.list, now - position.age_ms);
         if follower.revision().is_some_and(|own| own < position.changed) {
@@ -76,7 +76,7 @@
                     revision:% = update.revision, count = update.entries.len();
                     "changes received from a peer");
                 if !self.accept(position.list, update) {
-                    follower.relay().force();
+                    follower.relay().force_read();
                 }
                 follower.wake();
             }
@@ -93,7 +93,7 @@
                 follower.record_accepted(&nothing, now);
                 follower.wake();
             }
-            (None, _) if follower.relay().may_take(now - position.age_ms, now) => {
+            (None, _) if follower.relay().may_start_from_peer(now - position.age_ms, now) => {
                 if follower.begin_fetch() {
                     let (list, changed) = (position.list, position.changed);
                     let fresh_at = now - position.age_ms;
--- a/crates/node/src/watch/share.rs
+++ b/crates/node/src/watch/share.rs
@@ -61,13 +61,13 @@
     ) {
         let relay = || self.follower(list).relay();
         let has_time = || {
-            relay().taking(clock::steady());
-            relay().may_take(fresh_at, clock::steady())
+            relay().defer_first_read(clock::steady());
+            relay().may_start_from_peer(fresh_at, clock::steady())
         };
         let is_accepted =
             self.fetch_from_peers(&root, list, Revision::NONE, changed, has_time).await;
         if is_accepted {
-            relay().took(fresh_at);
+            relay().record_start_from_peer(fresh_at);
         }
         self.end_fetch(list, is_accepted);
     }
@@ -79,7 +79,7 @@
         if !is_accepted {
             log::info!(target: "watch", list:? = list;
                 "no peer gave the update, reading the store");
-            follower.relay().force();
+            follower.relay().force_read();
         }
         follower.wake();
     }
--- a/crates/node/src/watch/start.rs
+++ b/crates/node/src/watch/start.rs
@@ -32,7 +32,7 @@
     pub fn set_listed_peers(&self, listed: &[ListedHost]) {
         for follower in self.followers.iter() {
             let listed = listed.iter().map(|host| (&host.name, host.class));
-            follower.relay().found(listed, clock::steady());
+            follower.relay().record_listed(listed, clock::steady());
             follower.wake();
         }
     }
@@ -46,6 +46,6 @@
 
     /// Records that a peer is reading a whole list.
     pub fn record_peer_reading(&self, peer: &Name, list: List) {
-        self.follower(list).relay().reading(peer, clock::steady());
+        self.follower(list).relay().record_peer_reading(peer, clock::steady());
     }
 }
--- a/crates/node/tests/restored.rs
+++ b/crates/node/tests/restored.rs
@@ -6,7 +6,7 @@
 use node::history::History;
 use node::store::{Entry, Fact, Update};
 use policy::name::Name;
-use policy::recovery::REWRITTEN_MS;
+use policy::recovery::REWRITE_TIMEOUT_MS;
 use policy::revision::Revision;
 use policy::time::Millis;
 use wire::routing::{Backend, Order, Table};
@@ -108,8 +108,8 @@
     accept(&mut late_host, &host.update_since(own, RESTORED_AT + 10).unwrap(), RESTORED_AT + 10);
     assert_eq!(content(&late_host, "a"), None);
     // The override is given up if the server turns out to be there.
-    assert_eq!(expire_overrides(&mut late_host, RESTORED_AT + REWRITTEN_MS - 1), 0);
-    assert_eq!(expire_overrides(&mut late_host, RESTORED_AT + 10 + REWRITTEN_MS), 1);
+    assert_eq!(expire_overrides(&mut late_host, RESTORED_AT + REWRITE_TIMEOUT_MS - 1), 0);
+    assert_eq!(expire_overrides(&mut late_host, RESTORED_AT + 10 + REWRITE_TIMEOUT_MS), 1);
     assert_eq!(content(&late_host, "a"), Some(server("a", false)));
 }
 
@@ -135,16 +135,16 @@
 /// Guards against an older table coming back, at once or when all overrides have been given up.
 #[test]
 fn reconcile_table_never_goes_back() {
-    let mut host = History::new(REWRITTEN_MS);
+    let mut host = History::new(REWRITE_TIMEOUT_MS);
     host.apply(&update(1, 300, true, vec![entry("config", 1, 250, table(7))]));
     host.apply(&update(1, 500, false, vec![entry("config", 1, 490, table(9))]));
     let restored_list = update(2, 310, true, vec![entry("config", 2, 250, table(7))]);
     accept(&mut host, &restored_list, RESTORED_AT);
-    expire_overrides(&mut host, RESTORED_AT + 2 * REWRITTEN_MS);
-    accept(&mut host, &restored_list, RESTORED_AT + 3 * REWRITTEN_MS);
+    expire_overrides(&mut host, RESTORED_AT + 2 * REWRITE_TIMEOUT_MS);
+    accept(&mut host, &restored_list, RESTORED_AT + 3 * REWRITE_TIMEOUT_MS);
     assert_eq!(content(&host, "config"), Some(table(9)));
     let later = update(2, 320, false, vec![entry("config", 2, 320, table(11))]);
-    accept(&mut host, &later, RESTORED_AT + 4 * REWRITTEN_MS);
+    accept(&mut host, &later, RESTORED_AT + 4 * REWRITE_TIMEOUT_MS);
     assert_eq!(content(&host, "config"), Some(table(11)));
 }
 
@@ -153,7 +153,7 @@
 #[test]
 fn reconcile_evacuation_holds_until_written_again() {
     let evacuation = Fact::Evacuation(Name::from("a"));
-    let mut host = History::new(REWRITTEN_MS);
+    let mut host = History::new(REWRITE_TIMEOUT_MS);
     host.apply(&update(1, 300, true, Vec::new()));
     host.apply(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, evacuation.clone())]));
     accept(&mut host, &update(2, 310, true, Vec::new()), RESTORED_AT);
@@ -166,7 +166,7 @@
     assert_eq!(content(&host, "evacuate/a"), None);
     // An evacuation that had ended is ordered anew, under a number that was used before the
     // restore.
-    let mut other = History::new(REWRITTEN_MS);
+    let mut other = History::new(REWRITE_TIMEOUT_MS);
     other.apply(&update(1, 300, true, vec![entry("evacuate/a", 1, 200, evacuation.clone())]));
     other.apply(&update(1, 500, false, vec![entry("evacuate/a", 1, 480, Fact::Removed)]));
     let reordered = entry("evacuate/a", 2, 400, evacuation.clone());
@@ -177,14 +177,14 @@
 /// Guards against an older order being carried out in place of the latest one.
 #[test]
 fn reconcile_older_order_is_not_accepted() {
-    let mut host = History::new(REWRITTEN_MS);
+    let mut host = History::new(REWRITE_TIMEOUT_MS);
     host.apply(&update(1, 300, true, vec![entry("rollout/desk", 1, 200, order("v2", 200))]));
     host.apply(&update(1, 500, false, vec![entry("rollout/desk", 1, 480, order("v3", 480))]));
     let restored_list = update(2, 310, true, vec![entry("rollout/desk", 2, 200, order("v2", 200))]);
     accept(&mut host, &restored_list, RESTORED_AT);
     assert_eq!(content(&host, "rollout/desk"), Some(order("v3", 480)));
     // The override is given up if the order is never written again.
-    assert_eq!(expire_overrides(&mut host, RESTORED_AT + REWRITTEN_MS), 1);
+    assert_eq!(expire_overrides(&mut host, RESTORED_AT + REWRITE_TIMEOUT_MS), 1);
     assert_eq!(content(&host, "rollout/desk"), Some(order("v2", 200)));
 }
 
@@ -196,6 +196,6 @@
     accept(&mut host, &restored_list(), RESTORED_AT);
     let second = update(3, 290, true, vec![entry("a", 3, 250, server("a", false))]);
     accept(&mut host, &second, RESTORED_AT + 9_000);
-    expire_overrides(&mut host, RESTORED_AT + REWRITTEN_MS + 1);
+    expire_overrides(&mut host, RESTORED_AT + REWRITE_TIMEOUT_MS + 1);
     assert_eq!(content(&host, "a"), Some(server("a", true)));
 }
