--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -1,89 +1,93 @@
-//! One pool's queue on one entry host: who goes now, who waits, who is refused at once.
+//! Admission control: the queue that one entry host keeps for one pool of backend servers.
 //!
-//! A request that can't be answered before its deadline is refused while the caller still has
-//! time to go elsewhere. Accounts take turns, by weight and priority, and a full queue makes room at the cost of the account that fills it most: one large account can't starve the rest.
+//! Each request is admitted at once, waits, or is rejected. A request that can't be answered before
+//! its deadline is rejected immediately, while its caller still has time to use another service.
+//! Accounts are scheduled in turn by weight and priority, and a full queue evicts a request of the
+//! account with the most waiting requests, so that one large account can't starve the others.
 
-pub mod line;
+pub mod fair_queue;
 
 use crate::domain;
 use crate::name::Name;
 use crate::time::Millis;
 
-use line::Line;
+use fair_queue::FairQueue;
 
-/// How much one answer's time moves the mean.
-const SERVICE_GAIN: f64 = 0.1;
+/// Weight of a new service time in the exponential moving average.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
 domain! {
-    /// Names a waiting request.
+    /// Identifies a waiting request within its [`Queue`].
     #[derive(Copy, Eq, Hash, Ord, PartialOrd)]
     #[serde(transparent)]
     pub struct Ticket(pub u64);
 
-    /// A request that wants a place in the pool.
+    /// A request that arrives at a pool's queue.
     pub struct Ask {
-        /// The client account.
+        /// The client account that sent the request.
         pub account: Name,
-        /// 0 is served first.
+        /// Urgency of the request; 0 is the most urgent.
         pub priority: u8,
-        /// When its caller gives up.
+        /// Time at which the caller gives up.
         pub deadline: Millis,
-        /// The account's weight among those of the same priority; 1 is usual.
+        /// Weight of the account against other accounts; 1 by default.
         pub weight: f64,
-        /// Time that it is expected to take once sent, in milliseconds; the pool's mean if 0.
+        /// Expected time from sending the request to its end, in milliseconds; 0 means that the
+        /// pool's mean is used.
         pub service_ms: f64,
-        /// Whether work was spent on the request already, as for a cascade's second version. Such
-        /// a request goes before all others: else an overload would waste the work, and turn the
-        /// first version's answers, which were found bad, into the final ones.
+        /// Whether work was already spent on the request, as for the second version of a cascade.
+        /// Such requests are served before all others: otherwise an overload would waste that work
+        /// and make the first version's answers, which were rated bad, the final ones.
         pub continued: bool,
     }
 
-    /// The pool as this entry host knows it.
+    /// Load of the pool as this entry host knows it.
     #[derive(Copy, Default)]
     pub struct Load {
-        /// Requests that its backend servers can work on.
+        /// Requests that the pool's backend servers can work on at once.
         pub slots: u32,
-        /// Requests believed to be worked on, of all entry hosts.
+        /// Estimated requests in flight, sent by all entry hosts together.
         pub in_flight: u32,
-        /// Of these, requests of this entry host.
+        /// Requests in flight that this entry host sent.
         pub own: u32,
-        /// Entry hosts that share it.
+        /// Number of entry hosts that share the pool.
         pub entries: u32,
-        /// While no backend server takes work: how long until one may again, in milliseconds.
+        /// Time until a backend server may accept work again, in milliseconds; 0 while at least
+        /// one accepts work.
         pub closed_ms: u64,
     }
 
-    /// What becomes of a request.
+    /// Outcome of [`Queue::offer`].
     #[derive(Copy)]
     pub enum Verdict {
-        /// It goes now.
+        /// The request is sent now.
         Admit,
-        /// It waits.
+        /// The request waits in the queue.
         Wait {
-            /// What [`Queue::pop`] will name it by.
+            /// Identifies the request when [`Queue::pop`] returns it.
             ticket: Ticket,
-            /// A waiting request that must be refused at once, to make room.
+            /// Another waiting request that lost its place and must be rejected at once.
             evicted: Option<Evicted>,
         },
-        /// It is refused.
+        /// The request is rejected.
         Refuse {
-            /// When a later try can succeed, in milliseconds.
+            /// Time after which the caller can retry with success, in milliseconds.
             retry_after_ms: u64,
         },
     }
 
-    /// A waiting request that gave its place to another.
+    /// A waiting request that was removed from the queue and must be rejected.
     #[derive(Copy, Eq)]
     pub struct Evicted {
-        /// Which.
+        /// The ticket that the request got when it began to wait.
         pub ticket: Ticket,
-        /// When a later try can succeed, in milliseconds.
+        /// Time after which the caller can retry with success, in milliseconds.
         pub retry_after_ms: u64,
     }
 }
 
 impl Ask {
-    /// One of usual weight.
+    /// Creates an arrival with weight 1, the pool's mean service time and no work spent on it yet.
     #[must_use]
     pub fn new(account: impl Into<Name>, priority: u8, deadline: Millis) -> Self {
         Self {
@@ -96,21 +100,21 @@
         }
     }
 
-    /// Sets the time that it is expected to take once sent, in milliseconds.
+    /// Sets the expected time from sending the request to its end, in milliseconds.
     #[must_use]
     pub fn with_service(mut self, ms: f64) -> Self {
         self.service_ms = ms;
         self
     }
 
-    /// Says that work was spent on the request already.
+    /// Marks the request as one on which work was already spent.
     #[must_use]
     pub fn continued(mut self) -> Self {
         self.continued = true;
         self
     }
 
-    /// Where it stands in the line: lower goes first, before all turns.
+    /// Class in which the request is scheduled: all requests of a lower rank are served first.
     #[must_use]
     pub fn rank(&self) -> u8 {
         u8::from(!self.continued)
@@ -118,131 +122,136 @@
 }
 
 impl Load {
-    /// Places believed to be free. Up to its part of all slots an entry host need not ask what the
-    /// others do: a lagging report of a full pool must not keep it from using what is its own.
+    /// Estimated free slots for this entry host.
+    ///
+    /// Up to its equal share of the slots, an entry host ignores what the others use: a stale report
+    /// of a full pool must not keep it from using its own share.
     #[must_use]
     pub fn free(&self) -> u32 {
-        let unused_part = (self.part() as u32).saturating_sub(self.own);
+        let unused_share = (self.part() as u32).saturating_sub(self.own);
         match self.slots {
             0 => 0,
-            slots => slots.saturating_sub(self.in_flight).max(unused_part),
+            slots => slots.saturating_sub(self.in_flight).max(unused_share),
         }
     }
 
-    /// The slots that this entry host can count on: its part of all of them.
+    /// Slots per entry host when all share the pool equally; at least 1.
     #[must_use]
     pub fn part(&self) -> f64 {
         (f64::from(self.slots) / f64::from(self.entries.max(1))).max(1.0)
     }
 }
 
-/// The queue.
+/// Requests of one pool that wait on this entry host, with the pool's mean service time.
 #[derive(Clone, Debug)]
 pub struct Queue {
-    /// Requests that may wait at most.
+    /// Maximum number of waiting requests.
     pub limit: usize,
     /// Mean time from sending a request to its end, in milliseconds.
     pub service_ms: f64,
-    line: Line,
+    waiting: FairQueue,
     next_ticket: u64,
 }
 
 impl Queue {
-    /// An empty one; `service_ms` is a first guess of the time that a request takes.
+    /// Creates an empty queue; `service_ms` is the initial estimate of the mean service time.
     #[must_use]
     pub fn new(limit: usize, service_ms: f64) -> Self {
-        Self { limit, service_ms, line: Line::default(), next_ticket: 0 }
+        Self { limit, service_ms, waiting: FairQueue::default(), next_ticket: 0 }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.line.len()
+        self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.line.len() == 0
+        self.waiting.len() == 0
     }
 
-    /// A request comes; `jitter` is a uniform draw from 0 to 1 that spreads the later tries.
-    pub fn offer(&mut self, ask: &Ask, load: Load, jitter: f64, now: Millis) -> Verdict {
-        let ahead = self.line.ahead_of(ask);
-        let latest = self.latest(ask);
+    /// Decides on a new request. `jitter` is a uniform draw from 0 to 1 that spreads the retries of
+    /// rejected callers.
+    pub fn offer(&mut self, arrival: &Ask, load: Load, jitter: f64, now: Millis) -> Verdict {
+        let ahead = self.waiting.ahead_of(arrival);
+        let latest = self.latest_start(arrival);
         match load.free() {
             free if free > 0 && ahead == 0 => Verdict::Admit,
-            _ if now + self.wait_ms(ahead, load) as u64 > latest => self.refuse(load, jitter),
-            _ if self.line.len() < self.limit => self.wait(ask, None),
-            _ => self.make_room(ask, load, jitter),
+            _ if now + self.wait_ms(ahead, load) as u64 > latest => self.reject(load, jitter),
+            _ if self.waiting.len() < self.limit => self.enqueue(arrival, None),
+            _ => self.evict_or_reject(arrival, load, jitter),
         }
     }
 
-    /// The next request that goes, now that the pool has a place; `None` if none waits.
+    /// Removes the request to send next, when the pool has a free slot; `None` if none waits.
     pub fn pop(&mut self) -> Option<Ticket> {
-        self.line.pop()
+        self.waiting.pop()
     }
 
-    /// Removes a waiting request whose caller left; false if it does not wait.
+    /// Removes a waiting request whose caller disconnected; false if it isn't waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        self.line.remove(ticket)
+        self.waiting.remove(ticket)
     }
 
-    /// Removes every waiting request that can't be answered in time any more, to be refused now.
+    /// Removes every waiting request that can no longer be answered before its deadline. The caller
+    /// must reject them.
     pub fn hopeless(&mut self, load: Load, jitter: f64, now: Millis) -> Vec<Evicted> {
         let retry_after_ms = self.retry_after_ms(load, jitter);
-        let tickets = self.line.remove_due(now + load.closed_ms);
+        let tickets = self.waiting.remove_overdue(now + load.closed_ms);
         tickets.into_iter().map(|ticket| Evicted { ticket, retry_after_ms }).collect()
     }
 
-    /// A request of the pool ended this long after it was sent to its backend server.
+    /// Records the time from sending a request to its end, in milliseconds.
     pub fn served(&mut self, ms: f64) {
-        self.service_ms += SERVICE_GAIN * (ms - self.service_ms);
+        self.service_ms += SERVICE_TIME_WEIGHT * (ms - self.service_ms);
     }
 
-    /// Milliseconds until a request behind `ahead` others gets its place: by Little's law, requests
-    /// leave at the rate of those under way over the time that each takes.
+    /// Expected wait of a request that has `ahead` requests before it, in milliseconds. By Little's
+    /// law, requests leave the pool at a rate of requests in flight divided by the service time.
     #[must_use]
     pub fn wait_ms(&self, ahead: usize, load: Load) -> f64 {
         match load.free() {
             free if free as usize > ahead => 0.0,
             _ => {
-                let leaving = f64::from(load.own).max(load.part());
-                load.closed_ms as f64 + (ahead + 1) as f64 * self.service_ms / leaving
+                let in_flight = f64::from(load.own).max(load.part());
+                load.closed_ms as f64 + (ahead + 1) as f64 * self.service_ms / in_flight
             }
         }
     }
 
-    /// When a request must be sent at the latest.
-    fn latest(&self, ask: &Ask) -> Millis {
-        let service_ms = if ask.service_ms > 0.0 { ask.service_ms } else { self.service_ms };
-        ask.deadline - service_ms as u64
+    /// Latest time at which the request can be sent and still be answered before its deadline.
+    fn latest_start(&self, arrival: &Ask) -> Millis {
+        let service_ms =
+            if arrival.service_ms > 0.0 { arrival.service_ms } else { self.service_ms };
+        arrival.deadline - service_ms as u64
     }
 
-    fn wait(&mut self, ask: &Ask, evicted: Option<Evicted>) -> Verdict {
+    fn enqueue(&mut self, arrival: &Ask, evicted: Option<Evicted>) -> Verdict {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        let latest = self.latest(ask);
-        self.line.push(ticket, ask, latest);
+        let latest = self.latest_start(arrival);
+        self.waiting.push(ticket, arrival, latest);
         Verdict::Wait { ticket, evicted }
     }
 
-    fn make_room(&mut self, ask: &Ask, load: Load, jitter: f64) -> Verdict {
+    fn evict_or_reject(&mut self, arrival: &Ask, load: Load, jitter: f64) -> Verdict {
         let retry_after_ms = self.retry_after_ms(load, jitter);
-        match self.line.evict_for(ask) {
-            Some(ticket) => self.wait(ask, Some(Evicted { ticket, retry_after_ms })),
+        match self.waiting.evict_for(arrival) {
+            Some(ticket) => self.enqueue(arrival, Some(Evicted { ticket, retry_after_ms })),
             None => Verdict::Refuse { retry_after_ms },
         }
     }
 
-    fn refuse(&self, load: Load, jitter: f64) -> Verdict {
+    fn reject(&self, load: Load, jitter: f64) -> Verdict {
         Verdict::Refuse { retry_after_ms: self.retry_after_ms(load, jitter) }
     }
 
-    /// Time in which all that wait now are served, and up to as much again, so that callers who
-    /// were refused together don't come back together.
+    /// Time in which all waiting requests are served, plus up to the same time again at random, so
+    /// that callers who were rejected together don't retry together.
     fn retry_after_ms(&self, load: Load, jitter: f64) -> u64 {
-        let drain_ms = self.wait_ms(self.line.len(), load).max(self.service_ms);
+        let drain_ms = self.wait_ms(self.waiting.len(), load).max(self.service_ms);
         (drain_ms * (1.0 + jitter)).ceil().max(1.0) as u64
     }
 }
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -1,69 +1,76 @@
-//! What an engine has still to read, and when it would begin to read one more prompt.
+//! Simulates which prompts one model engine still has to read, to predict when the engine would
+//! begin to read one more.
 //!
-//! An engine reads prompts one after another, whoever sent them: the most urgent first, of equal
-//! ones the one that came first, and it never breaks off one that it has begun. Each host works
-//! out from what it sent, from what others announced and from the time since which prompt the
-//! engine should be at. Its own answers set that right: a prompt whose answer has begun is read, and so is
-//! all that had to be read before; one whose answer should have begun and has not waits for a prompt
-//! that nobody announced.
+//! An engine reads prompts one at a time, whichever host sent them: lowest rank first, equal ranks
+//! in order of arrival, and without interrupting a prompt once begun. Each host simulates this from
+//! the prompts that it sent, those that other hosts announced, and the time passed. The answers to
+//! its own prompts correct the simulation. When an answer begins, the engine has read that prompt
+//! and everything ahead of it. An answer that should have begun and hasn't shows that the engine is
+//! reading a prompt that nobody announced.
 //!
-//! The load this answers: prompts of a second and more among others of some milliseconds, while
-//! engines are missing. A request that waits behind such a prompt is late whatever its urgency, and
-//! one that is urgent passes all others. Adding up what was sent foresees neither.
+//! This matters while engines are short and prompts that take a second or more are mixed with
+//! prompts of a few milliseconds. A request behind a long prompt is late whatever its urgency,
+//! while an urgent request overtakes all that wait. A sum of the reading times sent predicts
+//! neither.
 
 use std::cmp::Ordering;
 
 use crate::domain;
 use crate::time::Millis;
 
-/// Lateness that says nothing, in milliseconds: an engine's step, the way there and back, and the
-/// beginning of an answer take as long together.
+/// Lateness of an answer that is ignored, in milliseconds: one step of the engine, the network
+/// round trip and the start of an answer take this long together.
 const GRACE_MS: f64 = 30.0;
-/// Longest time that is believed, in milliseconds: estimates add up, and so do their errors.
-const MOST_MS: f64 = 10_000.0;
-/// Prompts kept of one engine at most. More would be late whatever is believed.
+/// Maximum predicted wait, in milliseconds: the errors of summed estimates add up as well.
+const WAIT_MAX_MS: f64 = 10_000.0;
+/// Maximum number of waiting prompts kept for one engine. With more, any further request would be
+/// late whatever is predicted.
 const PROMPTS_MAX: usize = 256;
 
 domain! {
-    /// A prompt as an engine sees it.
+    /// Scheduling data of one prompt.
     #[derive(Copy, Default)]
     pub struct Prompt {
-        /// Its place among those that wait: 0 is read first.
+        /// Position in the engine's reading order; 0 is read first.
         pub rank: u8,
-        /// How long it takes to read, in milliseconds.
+        /// Time that the engine takes to read the prompt, in milliseconds.
         pub read_ms: f64,
     }
 
-    /// A prompt that was sent and that the engine has not come to.
+    /// A prompt that the engine has not begun to read.
     #[derive(Copy)]
     struct Waiting {
-        /// Names one of this host's own; 0 for one announced by another host.
+        /// Number that [`Backlog::sent`] returned; 0 for a prompt announced by another host.
         number: u64,
         prompt: Prompt,
+        /// Time of sending, in milliseconds.
         sent: f64,
     }
 
-    /// The prompt that the engine should be reading.
+    /// The prompt that the engine reads now, according to the simulation.
     #[derive(Copy)]
     struct Current {
         waiting: Waiting,
+        /// Expected end of reading, in milliseconds.
         until: f64,
     }
 
-    /// A prompt of this host's that should have been read and whose answer has not begun.
+    /// A prompt of this host that the engine should have read, but whose answer has not begun.
     #[derive(Copy)]
     struct Due {
         number: u64,
         prompt: Prompt,
         sent: f64,
+        /// Expected end of reading, in milliseconds.
         due: f64,
     }
 
-    /// Prompts at one engine.
+    /// Simulated state of one engine's prompts.
     #[derive(Default)]
     pub struct Backlog {
+        /// Number given to this host's latest prompt.
         next: u64,
-        /// When the engine was, or will be, done with all that it has begun.
+        /// Time at which the engine has read, or will have read, every prompt that it began.
         free_at: f64,
         current: Option<Current>,
         waiting: Vec<Waiting>,
@@ -72,14 +79,15 @@
 }
 
 impl Backlog {
-    /// A prompt of this host's was sent. The number names it until its answer begins.
+    /// Adds a prompt that this host sent. The returned number identifies it until its answer begins
+    /// or it is removed.
     pub fn sent(&mut self, prompt: Prompt, now: Millis) -> u64 {
         self.next += 1;
         self.push(self.next, prompt, now);
         self.next
     }
 
-    /// Another host has sent a prompt.
+    /// Adds a prompt that another host sent and announced.
     pub fn announced(&mut self, prompt: Prompt, now: Millis) {
         self.push(0, prompt, now);
     }
@@ -87,72 +95,73 @@
     fn push(&mut self, number: u64, prompt: Prompt, now: Millis) {
         self.advance(now);
         if self.waiting.len() < PROMPTS_MAX {
-            self.waiting.push(Waiting { number, prompt, sent: ms(now) });
+            self.waiting.push(Waiting { number, prompt, sent: as_ms(now) });
         }
         self.advance(now);
     }
 
-    /// The answer to one of this host's prompts has begun.
+    /// Records that the answer to one of this host's prompts has begun.
     pub fn began(&mut self, number: u64, now: Millis) {
         self.advance(now);
-        let now = ms(now);
+        let now = as_ms(now);
         let due = self.due.iter().position(|due| due.number == number);
         if let Some(due) = due.map(|at| self.due.remove(at)) {
-            self.overtook(due.prompt.rank, due.sent);
+            self.discard_overtaken(due.prompt.rank, due.sent);
             if now > due.due + GRACE_MS {
-                // The engine came to it late, so it is not as far as was worked out.
+                // The engine read this prompt late, so it is behind the simulation.
                 self.resume_at(now);
             }
             return;
         }
-        // The engine is further than was worked out: it has read this one, and with it all that
-        // goes before.
+        // The engine is ahead of the simulation: it has read this prompt, and with it every prompt
+        // that comes before it in the reading order.
         if let Some(current) = self.current.filter(|current| current.waiting.number == number) {
             self.current = None;
             self.free_at = now;
-            self.overtook(current.waiting.prompt.rank, current.waiting.sent);
-        } else if let Some(at) = self.waiting.iter().position(|one| one.number == number) {
+            self.discard_overtaken(current.waiting.prompt.rank, current.waiting.sent);
+        } else if let Some(at) = self.waiting.iter().position(|waiting| waiting.number == number) {
             let read = self.waiting.remove(at);
             self.current = None;
             self.free_at = now;
-            self.waiting.retain(|one| compare(one, &read).is_gt());
-            self.overtook(read.prompt.rank, read.sent);
+            self.waiting.retain(|waiting| compare_reading_order(waiting, &read).is_gt());
+            self.discard_overtaken(read.prompt.rank, read.sent);
         }
     }
 
-    /// One of this host's prompts is no longer waited for.
+    /// Removes one of this host's prompts whose answer is no longer awaited.
     pub fn dropped(&mut self, number: u64) {
         self.due.retain(|due| due.number != number);
-        self.waiting.retain(|one| one.number != number);
+        self.waiting.retain(|waiting| waiting.number != number);
         if let Some(current) = &mut self.current {
-            // The engine may go on reading it; its answer is awaited no more.
+            // The engine may continue to read the prompt, but its answer is no longer awaited.
             current.waiting.number *= u64::from(current.waiting.number != number);
         }
     }
 
-    /// How long until the engine would begin to read one more prompt of a rank, in milliseconds.
+    /// Predicted time until the engine would begin to read a new prompt of this rank, in
+    /// milliseconds.
     #[must_use]
     pub fn wait_ms(&mut self, rank: u8, now: Millis) -> f64 {
         self.advance(now);
         let late_ms = self.late_ms(now);
-        let current_ms = self.current.map_or(0.0, |current| (current.until - ms(now)).max(0.0));
-        let before = self.waiting.iter().filter(|one| one.prompt.rank <= rank);
-        let waiting_ms: f64 = before.map(|one| one.prompt.read_ms).sum();
-        (late_ms + current_ms + waiting_ms).min(MOST_MS)
+        let current_ms = self.current.map_or(0.0, |current| (current.until - as_ms(now)).max(0.0));
+        let before = self.waiting.iter().filter(|waiting| waiting.prompt.rank <= rank);
+        let waiting_ms: f64 = before.map(|waiting| waiting.prompt.read_ms).sum();
+        (late_ms + current_ms + waiting_ms).min(WAIT_MAX_MS)
     }
 
-    /// By how much this host's answers are late, in milliseconds. Whatever they wait for, it has
-    /// been going on for so long and may go on for as long again.
+    /// Lateness of this host's most overdue answer, in milliseconds; 0 if none is late. Whatever
+    /// delays the answer has lasted this long and may last as long again.
     #[must_use]
     pub fn late_ms(&mut self, now: Millis) -> f64 {
         self.advance(now);
         let first = self.due.iter().map(|due| due.due).fold(f64::INFINITY, f64::min);
-        (ms(now) - first - GRACE_MS).max(0.0)
+        (as_ms(now) - first - GRACE_MS).max(0.0)
     }
 
-    /// Works out how far the engine is.
+    /// Advances the simulation to the present.
     fn advance(&mut self, now: Millis) {
-        let now = ms(now);
+        let now = as_ms(now);
         loop {
             match self.current {
                 Some(Current { until, .. }) if until > now => return,
@@ -166,25 +175,28 @@
                 }
                 None => {}
             }
-            if !self.begin() {
+            if !self.start_next() {
                 return;
             }
         }
     }
 
-    /// Begins the next prompt; false if none waits.
-    fn begin(&mut self) -> bool {
-        // What had not been sent when the engine became free could not be chosen then.
-        let earliest = self.waiting.iter().map(|one| one.sent).fold(f64::INFINITY, f64::min);
+    /// Starts reading the next prompt; false if none waits.
+    fn start_next(&mut self) -> bool {
+        // A prompt sent after the engine became free can't have been chosen at that time.
+        let earliest =
+            self.waiting.iter().map(|waiting| waiting.sent).fold(f64::INFINITY, f64::min);
         let free_at = self.free_at.max(earliest);
-        let there = self.waiting.iter().enumerate().filter(|(_, one)| one.sent <= free_at);
-        let next = there.min_by(|(_, a), (_, b)| compare(a, b)).map(|(index, _)| index);
+        let arrived =
+            self.waiting.iter().enumerate().filter(|(_, waiting)| waiting.sent <= free_at);
+        let next =
+            arrived.min_by(|(_, a), (_, b)| compare_reading_order(a, b)).map(|(index, _)| index);
         let Some(next) = next.map(|index| self.waiting.remove(index)) else { return false };
         self.current = Some(Current { waiting: next, until: free_at + next.prompt.read_ms });
         true
     }
 
-    /// The engine has just become free, later than was worked out.
+    /// Corrects the simulation for an engine that became free only now, later than simulated.
     fn resume_at(&mut self, now: f64) {
         self.free_at = now;
         if let Some(current) = &mut self.current {
@@ -192,18 +204,19 @@
         }
     }
 
-    /// A prompt was read that goes behind others: those are read as well. If their answers have
-    /// not begun, they are lost on the way, and say nothing of the engine any more.
-    fn overtook(&mut self, rank: u8, sent: f64) {
+    /// Discards overdue prompts that come before a prompt which the engine has read: the engine has
+    /// read them too. If their answers have not begun, they were lost on the way, and their lateness
+    /// says nothing about the engine.
+    fn discard_overtaken(&mut self, rank: u8, sent: f64) {
         self.due.retain(|due| due.prompt.rank > rank || due.sent >= sent);
     }
 }
 
-/// The order in which an engine reads.
-fn compare(a: &Waiting, b: &Waiting) -> Ordering {
+/// Order in which an engine reads prompts: by rank, then by time of sending.
+fn compare_reading_order(a: &Waiting, b: &Waiting) -> Ordering {
     a.prompt.rank.cmp(&b.prompt.rank).then(a.sent.total_cmp(&b.sent))
 }
 
-fn ms(at: Millis) -> f64 {
+fn as_ms(at: Millis) -> f64 {
     at.0 as f64
 }
--- a/crates/policy/src/derive.rs
+++ b/crates/policy/src/derive.rs
@@ -1,8 +1,8 @@
-//! The one macro that gives our plain types their common derives.
+//! The macro that gives the crate's plain data types their common derives.
 
-/// Derives the set that every plain domain type has: cloning, comparing, printing and serde.
+/// Derives `Clone`, `Debug`, `PartialEq`, `Serialize` and `Deserialize` for each type inside.
 ///
-/// Attributes that a type needs beyond that stay on the type itself.
+/// A type that needs further derives or attributes carries them itself.
 #[macro_export]
 macro_rules! domain {
     ($($item:item)*) => {
--- a/crates/policy/src/name.rs
+++ b/crates/policy/src/name.rs
@@ -1,4 +1,4 @@
-//! Names as shared immutable strings: cloning one is a counter, not a copy.
+//! Names as shared immutable strings: cloning a name increments a reference count and copies no text.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -13,7 +13,7 @@
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// The text itself.
+    /// The name as a string slice.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as a plain number that every deciding function is given.
+//! Time as a plain number, which the caller passes to every function that decides.
 
 use std::ops::{Add, Sub};
 
@@ -12,7 +12,7 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// How long ago `earlier` was, in milliseconds; 0 if it lies ahead.
+    /// Milliseconds from `earlier` to this time; 0 if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
--- a/crates/policy/tests/backlog.rs
+++ b/crates/policy/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! What an engine has still to read.
+//! Simulation of the prompts that an engine still has to read.
 
 use policy::backlog::{Backlog, Prompt};
 use policy::time::Millis;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn wait_ms_prompts_add_up_and_pass() {
+fn wait_ms_sums_prompts_and_falls_with_time() {
     let mut backlog = Backlog::default();
     assert_eq!(backlog.wait_ms(5, START), 0.0);
     backlog.announced(prompt(5, 300.0), START);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn wait_ms_urgent_prompt_passes_all_but_the_one_being_read() {
+fn wait_ms_urgent_prompt_overtakes_all_but_the_one_being_read() {
     let mut backlog = Backlog::default();
     backlog.announced(prompt(7, 1_000.0), START);
     backlog.announced(prompt(7, 2_000.0), START + 10);
@@ -37,25 +37,25 @@
     assert_eq!(backlog.wait_ms(3, START + 100), 900.0);
     assert_eq!(backlog.wait_ms(4, START + 100), 930.0);
     assert_eq!(backlog.wait_ms(7, START + 100), 2_930.0);
-    // The urgent one was read next, and then the other long one.
+    // The engine read the urgent prompt next, and then began the second long one.
     assert_eq!(backlog.wait_ms(3, START + 1_130), 1_900.0);
 }
 
 #[test]
-fn wait_ms_answer_that_is_late_shows_an_unknown_prompt() {
+fn wait_ms_late_answer_reveals_an_unannounced_prompt() {
     let mut backlog = Backlog::default();
     let number = backlog.sent(prompt(5, 100.0), START);
     assert_eq!(backlog.wait_ms(5, START + 100), 0.0);
-    // An engine's step and the way there and back are no lateness.
+    // One step of the engine and the network round trip don't count as lateness.
     assert_eq!(backlog.wait_ms(5, START + 125), 0.0);
-    // It has been kept for half a second by something, and may be for as long again.
+    // Something has delayed the engine for half a second, and may do so for as long again.
     assert_eq!(backlog.wait_ms(5, START + 630), 500.0);
     backlog.began(number, START + 630);
     assert_eq!(backlog.wait_ms(5, START + 630), 0.0);
 }
 
 #[test]
-fn wait_ms_waiting_behind_urgent_ones_is_not_late() {
+fn late_ms_is_zero_while_waiting_behind_urgent_prompts() {
     let mut backlog = Backlog::default();
     backlog.sent(prompt(3, 400.0), START);
     backlog.sent(prompt(6, 10.0), START);
@@ -64,9 +64,9 @@
 }
 
 #[test]
-fn began_late_answer_sets_the_engine_back() {
-    // The engine was kept for a second by a prompt that nobody announced. When the first answer
-    // comes, what was sent behind it is still to be read.
+fn record_answer_start_late_answer_delays_the_simulation() {
+    // A prompt that nobody announced kept the engine busy for a second. When the first answer
+    // begins, the engine still has to read the prompt sent after it.
     let mut backlog = Backlog::default();
     let first = backlog.sent(prompt(5, 50.0), START);
     backlog.announced(prompt(5, 300.0), START + 1_000);
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn began_early_answer_ends_all_before_it() {
-    // The prompt that another host told of was in the cache: it took no time.
+fn record_answer_start_early_answer_completes_earlier_prompts() {
+    // The prompt that another host announced was cached by the engine and took no time to read.
     let mut backlog = Backlog::default();
     backlog.announced(prompt(5, 2_000.0), START);
     let own = backlog.sent(prompt(5, 20.0), START + 10);
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn began_answer_that_was_overtaken_says_nothing() {
-    // The engine's answer to the first prompt is lost on the way. One that it read after it
-    // answers, so the engine is not kept by anything.
+fn record_answer_start_discards_overtaken_prompts() {
+    // The answer to the first prompt is lost on the way. The answer to the second prompt, which
+    // the engine read later, shows that nothing delays the engine.
     let mut backlog = Backlog::default();
     backlog.sent(prompt(5, 20.0), START);
     let second = backlog.sent(prompt(5, 20.0), START + 500);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn dropped_prompt_is_not_waited_for() {
+fn remove_ends_waiting_for_the_answer() {
     let mut backlog = Backlog::default();
     let due = backlog.sent(prompt(5, 20.0), START);
     backlog.dropped(due);
