--- a/crates/entry/src/chat.rs
+++ b/crates/entry/src/chat.rs
@@ -203,7 +203,7 @@
     async fn place(&self, version: &Name, continued: bool) -> Result<Place, Refusal> {
         let From { state, snapshot, account_name, .. } = *self.from;
         let left = self.deadline.saturating_duration_since(Instant::now());
-        let ask = policy::admit::Ask::new(
+        let ask = policy::admit::Arrival::new(
             account_name.clone(),
             self.task.priority,
             clock::now() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
--- a/crates/entry/src/filter/admit.rs
+++ b/crates/entry/src/filter/admit.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 use std::time::{Duration, Instant};
 
-use policy::admit::{Ask, Evicted, Load, Queue, Ticket, Verdict};
+use policy::admit::{Arrival, Evicted, Load, Queue, Ticket, Verdict};
 use policy::limit::{Limit, Usage, Verdict as LimitVerdict};
 use policy::name::Name;
 use policy::time::Millis;
@@ -57,7 +57,7 @@
         {
             let mut inner = self.gate.lock();
             inner.admitted -= 1;
-            inner.queue.served(ms);
+            inner.queue.record_service_ms(ms);
         }
         Gate::let_in(&self.gate, &self.state);
     }
@@ -182,7 +182,7 @@
     state: &Arc<State>,
     snapshot: &Snapshot,
     pool: &Name,
-    ask: &Ask,
+    ask: &Arrival,
 ) -> Result<Place, Refusal> {
     let gate = state.gates.gate(snapshot, pool);
     let (ticket, waits, evicted) = {
@@ -235,7 +235,7 @@
                 let mut inner = gate.lock();
                 let now = clock::now();
                 let load = load(&state.snapshot.load(), &gate.pool, inner.admitted, now);
-                inner.queue.hopeless(load, rand::random(), now)
+                inner.queue.evict_overdue(load, rand::random(), now)
             };
             gate.refuse(&evicted);
             Gate::let_in(&gate, &state);
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -43,7 +43,7 @@
     let granted = admit::grant(state, snapshot, account_name, account)?;
     let left = deadline.saturating_duration_since(Instant::now());
     let until = clock::now() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    let ask = policy::admit::Ask::new(account_name.clone(), PRIORITY, until);
+    let ask = policy::admit::Arrival::new(account_name.clone(), PRIORITY, until);
     let place = admit::enter(state, snapshot, &held.pool, &ask).await?;
     let may_repeat = held.repeatable.iter().any(|method| method.as_str() == call.method.as_str());
     let key = call.named(wire::backend::IDEMPOTENCY_KEY)?.filter(|_| !may_repeat);
--- a/crates/experiment/src/host/view.rs
+++ b/crates/experiment/src/host/view.rs
@@ -100,12 +100,12 @@
     /// A prompt was sent there; its number.
     pub fn sent(&mut self, prompt: Prompt, now: Millis) -> u64 {
         self.own += 1;
-        self.backlog.sent(prompt, now)
+        self.backlog.add_own(prompt, now)
     }
 
     /// Another host has sent a long prompt.
     pub fn announced(&mut self, prompt: Prompt, now: Millis) {
-        self.backlog.announced(prompt, now);
+        self.backlog.add_announced(prompt, now);
     }
 
     /// It said how many requests it has.
@@ -119,13 +119,13 @@
 
     /// An answer began.
     pub fn began(&mut self, number: u64, now: Millis) {
-        self.backlog.began(number, now);
+        self.backlog.record_answer_start(number, now);
     }
 
     /// A try has ended, well or not.
     pub fn left(&mut self, number: u64) {
         self.own = self.own.saturating_sub(1);
-        self.backlog.dropped(number);
+        self.backlog.remove(number);
     }
 
     /// A request that it worked on ended well, or did not.
--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -83,13 +83,13 @@
 impl Awaited {
     /// It has begun.
     pub fn began(self, now: Millis) {
-        self.backend.lock().backlog.began(self.number, now);
+        self.backend.lock().backlog.record_answer_start(self.number, now);
     }
 }
 
 impl Drop for Awaited {
     fn drop(&mut self) {
-        self.backend.lock().backlog.dropped(self.number);
+        self.backend.lock().backlog.remove(self.number);
     }
 }
 
@@ -242,7 +242,7 @@
         now: Millis,
     ) -> Awaited {
         let mut belief = self.lock();
-        let number = belief.backlog.sent(prompt, now);
+        let number = belief.backlog.add_own(prompt, now);
         if belief.parts.len() > PARTS_MAX {
             belief.parts.retain(|_, used| now.since(*used) < CACHED_MS);
         }
@@ -255,7 +255,7 @@
 
     /// A prompt sent by another host will keep it for a time.
     pub fn announced(&self, prompt: Prompt, now: Millis) {
-        self.lock().backlog.announced(prompt, now);
+        self.lock().backlog.add_announced(prompt, now);
     }
 
     /// Streams of it were seen, by this host or by another one.
--- a/crates/policy/benches/decide.rs
+++ b/crates/policy/benches/decide.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 
 use criterion::Criterion;
-use policy::admit::{Ask, Load, Queue};
+use policy::admit::{Arrival, Load, Queue};
 use policy::estimate::Estimate;
 use policy::exposure::cusum::Cusum;
 use policy::exposure::{Hypotheses, Test};
@@ -65,7 +65,7 @@
     c.bench_function("offer and pop", |b| {
         let mut queue = Queue::new(64, 100.0);
         let load = Load { slots: 100, in_flight: 100, own: 100, entries: 1, closed_ms: 0 };
-        let ask = Ask::new("account", 1, NOW + 60_000);
+        let ask = Arrival::new("account", 1, NOW + 60_000);
         b.iter(|| black_box((queue.offer(&ask, load, 0.5, NOW), queue.pop())));
     });
     c.bench_function("one rated answer, cusum", |b| {
--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -23,7 +23,7 @@
     pub struct Ticket(pub u64);
 
     /// A request that arrives at a pool's queue.
-    pub struct Ask {
+    pub struct Arrival {
         /// The client account that sent the request.
         pub account: Name,
         /// Urgency of the request; 0 is the most urgent.
@@ -86,7 +86,7 @@
     }
 }
 
-impl Ask {
+impl Arrival {
     /// Creates an arrival with weight 1, the pool's mean service time and no work spent on it yet.
     #[must_use]
     pub fn new(account: impl Into<Name>, priority: u8, deadline: Millis) -> Self {
@@ -128,7 +128,7 @@
     /// of a full pool must not keep it from using its own share.
     #[must_use]
     pub fn free(&self) -> u32 {
-        let unused_share = (self.part() as u32).saturating_sub(self.own);
+        let unused_share = (self.equal_share() as u32).saturating_sub(self.own);
         match self.slots {
             0 => 0,
             slots => slots.saturating_sub(self.in_flight).max(unused_share),
@@ -137,7 +137,7 @@
 
     /// Slots per entry host when all share the pool equally; at least 1.
     #[must_use]
-    pub fn part(&self) -> f64 {
+    pub fn equal_share(&self) -> f64 {
         (f64::from(self.slots) / f64::from(self.entries.max(1))).max(1.0)
     }
 }
@@ -174,7 +174,7 @@
 
     /// Decides on a new request. `jitter` is a uniform draw from 0 to 1 that spreads the retries of
     /// rejected callers.
-    pub fn offer(&mut self, arrival: &Ask, load: Load, jitter: f64, now: Millis) -> Verdict {
+    pub fn offer(&mut self, arrival: &Arrival, load: Load, jitter: f64, now: Millis) -> Verdict {
         let ahead = self.waiting.ahead_of(arrival);
         let latest = self.latest_start(arrival);
         match load.free() {
@@ -197,14 +197,14 @@
 
     /// Removes every waiting request that can no longer be answered before its deadline. The caller
     /// must reject them.
-    pub fn hopeless(&mut self, load: Load, jitter: f64, now: Millis) -> Vec<Evicted> {
+    pub fn evict_overdue(&mut self, load: Load, jitter: f64, now: Millis) -> Vec<Evicted> {
         let retry_after_ms = self.retry_after_ms(load, jitter);
         let tickets = self.waiting.remove_overdue(now + load.closed_ms);
         tickets.into_iter().map(|ticket| Evicted { ticket, retry_after_ms }).collect()
     }
 
     /// Records the time from sending a request to its end, in milliseconds.
-    pub fn served(&mut self, ms: f64) {
+    pub fn record_service_ms(&mut self, ms: f64) {
         self.service_ms += SERVICE_TIME_WEIGHT * (ms - self.service_ms);
     }
 
@@ -215,20 +215,20 @@
         match load.free() {
             free if free as usize > ahead => 0.0,
             _ => {
-                let in_flight = f64::from(load.own).max(load.part());
+                let in_flight = f64::from(load.own).max(load.equal_share());
                 load.closed_ms as f64 + (ahead + 1) as f64 * self.service_ms / in_flight
             }
         }
     }
 
     /// Latest time at which the request can be sent and still be answered before its deadline.
-    fn latest_start(&self, arrival: &Ask) -> Millis {
+    fn latest_start(&self, arrival: &Arrival) -> Millis {
         let service_ms =
             if arrival.service_ms > 0.0 { arrival.service_ms } else { self.service_ms };
         arrival.deadline - service_ms as u64
     }
 
-    fn enqueue(&mut self, arrival: &Ask, evicted: Option<Evicted>) -> Verdict {
+    fn enqueue(&mut self, arrival: &Arrival, evicted: Option<Evicted>) -> Verdict {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
         let latest = self.latest_start(arrival);
@@ -236,7 +236,7 @@
         Verdict::Wait { ticket, evicted }
     }
 
-    fn evict_or_reject(&mut self, arrival: &Ask, load: Load, jitter: f64) -> Verdict {
+    fn evict_or_reject(&mut self, arrival: &Arrival, load: Load, jitter: f64) -> Verdict {
         let retry_after_ms = self.retry_after_ms(load, jitter);
         match self.waiting.evict_for(arrival) {
             Some(ticket) => self.enqueue(arrival, Some(Evicted { ticket, retry_after_ms })),
--- a/crates/policy/src/admit/fair_queue.rs
+++ b/crates/policy/src/admit/fair_queue.rs
@@ -11,7 +11,7 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-use super::{Ask, Ticket};
+use super::{Arrival, Ticket};
 use crate::name::Name;
 use crate::time::Millis;
 
@@ -64,7 +64,7 @@
     /// priority. Each other account counts with its requests of these priorities, but at most one
     /// more than the account's own: accounts are served in turn, and less urgent requests seldom.
     #[must_use]
-    pub fn ahead_of(&self, arrival: &Ask) -> usize {
+    pub fn ahead_of(&self, arrival: &Arrival) -> usize {
         let lower_ranks: usize =
             self.classes.range(..arrival.rank()).map(|(_, class)| class.len()).sum();
         let Some(class) = self.classes.get(&arrival.rank()) else {
@@ -84,7 +84,7 @@
 
     /// Adds a request behind those of the same account and priority. `latest` is the time by which
     /// the request must be sent.
-    pub fn push(&mut self, ticket: Ticket, arrival: &Ask, latest: Millis) {
+    pub fn push(&mut self, ticket: Ticket, arrival: &Arrival, latest: Millis) {
         let class = self.classes.entry(arrival.rank()).or_default();
         let virtual_time = class.virtual_time;
         let queue = class.accounts.entry(arrival.account.clone()).or_default();
@@ -128,7 +128,7 @@
     /// Removes nothing and returns `None` unless that rank is higher than the new request's, or
     /// both ranks are equal and either the account has at least two more waiting requests than the
     /// new request's account, or it is the same account and the removed request is less urgent.
-    pub fn evict_for(&mut self, arrival: &Ask) -> Option<Ticket> {
+    pub fn evict_for(&mut self, arrival: &Arrival) -> Option<Ticket> {
         let (&rank, class) = self.classes.iter_mut().next_back()?;
         let own = class.accounts.get(&arrival.account).map_or(0, |queue| queue.requests.len());
         let (name, fullest) = class.accounts.iter_mut().max_by_key(|(_, q)| q.requests.len())?;
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -40,7 +40,7 @@
     /// A prompt that the engine has not begun to read.
     #[derive(Copy)]
     struct Waiting {
-        /// Number that [`Backlog::sent`] returned; 0 for a prompt announced by another host.
+        /// Number that [`Backlog::add_own`] returned; 0 for a prompt announced by another host.
         number: u64,
         prompt: Prompt,
         /// Time of sending, in milliseconds.
@@ -81,14 +81,14 @@
 impl Backlog {
     /// Adds a prompt that this host sent. The returned number identifies it until its answer begins
     /// or it is removed.
-    pub fn sent(&mut self, prompt: Prompt, now: Millis) -> u64 {
+    pub fn add_own(&mut self, prompt: Prompt, now: Millis) -> u64 {
         self.next += 1;
         self.push(self.next, prompt, now);
         self.next
     }
 
     /// Adds a prompt that another host sent and announced.
-    pub fn announced(&mut self, prompt: Prompt, now: Millis) {
+    pub fn add_announced(&mut self, prompt: Prompt, now: Millis) {
         self.push(0, prompt, now);
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Records that the answer to one of this host's prompts has begun.
-    pub fn began(&mut self, number: u64, now: Millis) {
+    pub fn record_answer_start(&mut self, number: u64, now: Millis) {
         self.advance(now);
         let now = as_ms(now);
         let due = self.due.iter().position(|due| due.number == number);
@@ -129,7 +129,7 @@
     }
 
     /// Removes one of this host's prompts whose answer is no longer awaited.
-    pub fn dropped(&mut self, number: u64) {
+    pub fn remove(&mut self, number: u64) {
         self.due.retain(|due| due.number != number);
         self.waiting.retain(|waiting| waiting.number != number);
         if let Some(current) = &mut self.current {
--- a/crates/policy/tests/admit.rs
+++ b/crates/policy/tests/admit.rs
@@ -3,17 +3,17 @@
 
 use std::collections::BTreeSet;
 
-use policy::admit::{Ask, Load, Queue, Ticket, Verdict};
+use policy::admit::{Arrival, Load, Queue, Ticket, Verdict};
 use policy::time::Millis;
 
 const NOW: Millis = Millis(1_000);
 const FULL: Load = Load { slots: 4, in_flight: 4, own: 4, entries: 1, closed_ms: 0 };
 
-fn arrival(account: &str) -> Ask {
-    Ask::new(account, 1, NOW + 60_000)
+fn arrival(account: &str) -> Arrival {
+    Arrival::new(account, 1, NOW + 60_000)
 }
 
-fn wait(queue: &mut Queue, arrival: &Ask) -> Ticket {
+fn wait(queue: &mut Queue, arrival: &Arrival) -> Ticket {
     match queue.offer(arrival, FULL, 0.5, NOW) {
         Verdict::Wait { ticket, evicted: None } => ticket,
         other => panic!("{other:?}"),
@@ -53,17 +53,17 @@
 /// request is answered after 1.25 s.
 #[test]
 fn offer_rejects_what_would_miss_its_deadline() {
-    let offer = |arrival: Ask| Queue::new(1000, 1_000.0).offer(&arrival, FULL, 0.0, NOW);
-    assert!(matches!(offer(Ask::new("a", 1, NOW + 1_200)), Verdict::Refuse { .. }));
-    assert!(matches!(offer(Ask::new("a", 1, NOW + 1_300)), Verdict::Wait { .. }));
-    let short = Ask::new("a", 1, NOW + 1_200).with_service(100.0);
+    let offer = |arrival: Arrival| Queue::new(1000, 1_000.0).offer(&arrival, FULL, 0.0, NOW);
+    assert!(matches!(offer(Arrival::new("a", 1, NOW + 1_200)), Verdict::Refuse { .. }));
+    assert!(matches!(offer(Arrival::new("a", 1, NOW + 1_300)), Verdict::Wait { .. }));
+    let short = Arrival::new("a", 1, NOW + 1_200).with_service(100.0);
     assert!(matches!(offer(short), Verdict::Wait { .. }));
 }
 
 #[test]
 fn offer_retry_after_grows_with_queue_and_jitter() {
     let mut queue = Queue::new(20, 1_000.0);
-    let hopeless = Ask::new("b", 1, NOW + 10);
+    let hopeless = Arrival::new("b", 1, NOW + 10);
     let retry = |queue: &mut Queue, jitter| match queue.offer(&hopeless, FULL, jitter, NOW) {
         Verdict::Refuse { retry_after_ms } => retry_after_ms,
         other => panic!("{other:?}"),
@@ -89,9 +89,9 @@
 #[test]
 fn pop_continued_first_then_by_priority() {
     let mut queue = Queue::new(64, 10.0);
-    let late = wait(&mut queue, &Ask::new("a", 5, NOW + 60_000));
-    let first = wait(&mut queue, &Ask::new("a", 0, NOW + 60_000));
-    let continued = wait(&mut queue, &Ask::new("b", 5, NOW + 60_000).continued());
+    let late = wait(&mut queue, &Arrival::new("a", 5, NOW + 60_000));
+    let first = wait(&mut queue, &Arrival::new("a", 0, NOW + 60_000));
+    let continued = wait(&mut queue, &Arrival::new("b", 5, NOW + 60_000).continued());
     let order: Vec<Ticket> = std::iter::from_fn(|| queue.pop()).collect();
     assert_eq!(order, [continued, first, late]);
 }
@@ -99,7 +99,7 @@
 #[test]
 fn pop_serves_accounts_by_weight() {
     let mut queue = Queue::new(64, 10.0);
-    let heavy = Ask { weight: 3.0, ..arrival("heavy") };
+    let heavy = Arrival { weight: 3.0, ..arrival("heavy") };
     let tickets: BTreeSet<Ticket> = (0..20).map(|_| wait(&mut queue, &heavy)).collect();
     fill(&mut queue, 20, "light");
     let heavy_count = (0..12).filter(|_| tickets.contains(&queue.pop().unwrap())).count();
@@ -121,9 +121,9 @@
 #[test]
 fn evict_overdue_keeps_requests_with_time_left() {
     let mut queue = Queue::new(10, 100.0);
-    let short = wait(&mut queue, &Ask::new("a", 1, NOW + 1_000));
+    let short = wait(&mut queue, &Arrival::new("a", 1, NOW + 1_000));
     let long = wait(&mut queue, &arrival("a"));
-    let evicted = queue.hopeless(FULL, 0.0, NOW + 950);
+    let evicted = queue.evict_overdue(FULL, 0.0, NOW + 950);
     assert_eq!(evicted.iter().map(|e| e.ticket).collect::<Vec<_>>(), [short]);
     assert!(queue.cancel(long) && !queue.cancel(long));
 }
@@ -140,7 +140,7 @@
             match step % 4 {
                 0 | 1 => {
                     let deadline = now + 1_000 + u64::from(*extra) * 50;
-                    let arrival = Ask::new(format!("a{}", account % 4), account % 3, deadline);
+                    let arrival = Arrival::new(format!("a{}", account % 4), account % 3, deadline);
                     if let Verdict::Wait { ticket, evicted } = queue.offer(&arrival, FULL, 0.5, now)
                     {
                         assert!(evicted.is_none_or(|evicted| waiting.remove(&evicted.ticket)));
@@ -149,7 +149,7 @@
                 }
                 2 => assert!(queue.pop().is_none_or(|ticket| waiting.remove(&ticket))),
                 _ => {
-                    let overdue = queue.hopeless(FULL, 0.0, now);
+                    let overdue = queue.evict_overdue(FULL, 0.0, now);
                     assert!(overdue.iter().all(|evicted| waiting.remove(&evicted.ticket)));
                 }
             }
--- a/crates/policy/tests/order.rs
+++ b/crates/policy/tests/order.rs
@@ -130,7 +130,7 @@
                     error += (at - sent - wait_ms).abs();
                     all += 1.0;
                 }
-                backlog.began(number, Millis(end as u64));
+                backlog.record_answer_start(number, Millis(end as u64));
             }
             !ended
         });
@@ -141,8 +141,8 @@
         let is_own = draw(&mut seed) < 0.5;
         let prompt = Prompt { rank: place(own), read_ms: one.request.read_ms };
         match is_own {
-            true => expected.push((now, wait_ms, backlog.sent(prompt, at), own)),
-            false if prompt.read_ms >= 60.0 => backlog.announced(prompt, at),
+            true => expected.push((now, wait_ms, backlog.add_own(prompt, at), own)),
+            false if prompt.read_ms >= 60.0 => backlog.add_announced(prompt, at),
             false => {}
         }
         engine.waiting.push((own, one));
--- a/crates/policy/tests/peak.rs
+++ b/crates/policy/tests/peak.rs
@@ -98,7 +98,7 @@
         awaited.retain(|(begins, host, engine, number)| {
             let waits = *begins > now;
             if !waits {
-                believed[*host][*engine].began(*number, at);
+                believed[*host][*engine].record_answer_start(*number, at);
             }
             waits
         });
@@ -130,16 +130,16 @@
         let prompt = Prompt { rank: RANK, read_ms: believed_ms };
         for (other, engines) in believed.iter_mut().enumerate() {
             if other != host && tells {
-                engines[engine].announced(prompt, at);
+                engines[engine].add_announced(prompt, at);
             }
         }
         free_at[engine] = free_at[engine].max(now) + read_ms;
         match knowing {
             Knowing::OwnPromptsAndLate => {
-                let number = believed[host][engine].sent(prompt, at);
+                let number = believed[host][engine].add_own(prompt, at);
                 awaited.push((free_at[engine], host, engine, number));
             }
-            _ => believed[host][engine].announced(prompt, at),
+            _ => believed[host][engine].add_announced(prompt, at),
         }
         speeds[host][model].note(free_at[engine] - now, known_ms, tokens);
         under_way.push((free_at[engine] + 1_500.0, host, engine));
--- a/crates/replay/src/run/life.rs
+++ b/crates/replay/src/run/life.rs
@@ -1,6 +1,6 @@
 //! One request's life: admitted, placed, answered, rated, or refused.
 
-use policy::admit::{Ask, Evicted, Verdict};
+use policy::admit::{Arrival, Evicted, Verdict};
 use policy::limit;
 use policy::name::Name;
 use policy::retry::{self, Attempt};
@@ -132,7 +132,7 @@
         let account = self.trace.requests[self.lives[life].request].account.clone();
         let (jitter, entries, now) = (self.draw.unit(), self.entries(), self.now);
         let service_ms = self.hosts[host].knowledge.time(&version, &task);
-        let ask = Ask::new(account, priority, deadline).with_service(service_ms);
+        let ask = Arrival::new(account, priority, deadline).with_service(service_ms);
         let ask = if escalated { ask.continued() } else { ask };
         let Some(known) = self.hosts[host].pools.get_mut(&pool) else { return };
         let load = known.load(entries, now);
@@ -222,7 +222,7 @@
         known.knowledge.took(&version, &task, took);
         if let Some(known) = known.pools.get_mut(&pool) {
             known.servers[worker].in_flight -= 1;
-            known.queue.served(took);
+            known.queue.record_service_ms(took);
         }
         self.pump(host, &pool);
         self.answered(life, version);
@@ -342,7 +342,7 @@
             return;
         }
         let load = known.load(entries, now);
-        for evicted in known.queue.hopeless(load, 0.0, now) {
+        for evicted in known.queue.evict_overdue(load, 0.0, now) {
             self.evict(host, pool, evicted);
         }
     }
