--- a/crates/policy/src/escalate.rs
+++ b/crates/policy/src/escalate.rs
@@ -1,83 +1,92 @@
-//! Which model answers when the choice is ours: a small one first, a larger one where the small
-//! one doubts its answer.
+//! Escalation from a small to a larger model, where the router chooses the model.
 //!
-//! An engine's confidence comes with the head of its answer, before the caller has got anything,
-//! so a doubtful answer costs the prompt read by the small model and little else. The load this
-//! answers: at the peak there is not room for the large model on every request. Then more doubt is
-//! accepted, since an answer that is late for everybody is worth less than a few poor ones.
+//! A small model answers first. An engine reports its confidence with the head of the answer, before
+//! the caller has received anything, so an answer of low confidence can be dropped and a larger
+//! model asked instead. That costs the small model's reading of the prompt and little else.
+//!
+//! At peak load the engines can't serve every request with the large model. The confidence required
+//! is lowered then, because late answers for all callers are worse than a few poor answers.
 
 use crate::domain;
 
-/// Confidence taken as that of an answer as likely right as wrong. An assumption that a measurement
-/// on one deployment supports: of 196 answers the large model reported less than 40 for 3, and the
-/// small model 50 or more for about half, which is near its share of right answers.
-const EVEN: f64 = 50.0;
-/// Confidence more or less that is asked for each step of urgency: the price of the large model
-/// weighs more where an answer is worth less.
-const URGENCY_STEP: f64 = 5.0;
-/// Part of the objective by which the large model's answer must begin.
-const IN_TIME: f64 = 0.9;
-/// Pressure from which more doubt is accepted.
-const BUSY: f64 = 0.25;
-/// Pressure under which a larger model is asked even if its answer will be late.
-const IDLE: f64 = 0.2;
-/// A prompt that takes this part of the objective to read is long.
-const LONG: f64 = 0.4;
-/// Pressure at which no answer is asked for again.
-const FULL: f64 = 0.6;
+/// Confidence at which an answer is assumed to be as likely right as wrong. A measurement on one
+/// deployment supports this: of 196 answers the large model reported less than 40 for 3, and the
+/// small model reported 50 or more for about half, which is near its share of right answers.
+const EVEN_ODDS_CONFIDENCE: f64 = 50.0;
+/// Confidence by which the threshold falls for each step to a less urgent priority: the large
+/// model's cost weighs more where an answer is worth less.
+const CONFIDENCE_PER_PRIORITY: f64 = 5.0;
+/// Latest begin of a larger model's answer that counts as in time, as a fraction of the objective.
+const IN_TIME_FRACTION: f64 = 0.9;
+/// Delay from which the confidence threshold is lowered, as a fraction of the objective.
+const BUSY_DELAY_FRACTION: f64 = 0.25;
+/// Delay below which a larger model is asked even if its answer will be late, as a fraction of the
+/// objective.
+const IDLE_DELAY_FRACTION: f64 = 0.2;
+/// Reading time from which a prompt counts as long, as a fraction of the objective.
+const LONG_READ_FRACTION: f64 = 0.4;
+/// Delay from which no answer is escalated, as a fraction of the objective.
+const FULL_DELAY_FRACTION: f64 = 0.6;
 
 domain! {
-    /// What is known when a small model's answer begins.
+    /// What is known about a request when a small model's answer begins.
     #[derive(Copy)]
     pub struct Doubt {
-        /// The model's opinion of its answer, 0 to 100; none if it said nothing.
+        /// The small model's confidence in its answer, 0 to 100; `None` if it reported none or has
+        /// not been asked.
         pub confidence: Option<u8>,
-        /// The request's urgency; 0 is the highest.
+        /// Urgency of the request; 0 is the most urgent.
         pub priority: u8,
-        /// Time since the request came in, in milliseconds.
+        /// Time since the request arrived, in milliseconds.
         pub waited_ms: f64,
-        /// Time until the larger model's answer would begin, in milliseconds.
+        /// Expected time until the larger model's answer would begin, in milliseconds.
         pub larger_ms: f64,
-        /// Of that, time that the engine reads the prompt, in milliseconds.
+        /// Expected time that the larger model takes to read the prompt, in milliseconds; part of
+        /// `larger_ms`.
         pub read_ms: f64,
-        /// Time within which the answer is of full use, in milliseconds.
+        /// Time from the request's arrival within which its answer should begin, in milliseconds.
         pub objective_ms: f64,
-        /// How long callers wait for their answers to begin lately, as a part of the objective.
-        /// Places taken say little: engines are short of time for prompts long before.
+        /// Recent mean time until callers' answers begin, as a fraction of the objective. Slots in use
+        /// would say little: engines run short of time for prompts long before their slots are full.
         pub delay: f64,
     }
 }
 
-/// Confidence below which a larger model is asked.
+/// Confidence below which a larger model is asked, 0 to 100.
 #[must_use]
 pub fn threshold(priority: u8, delay: f64) -> f64 {
-    let wanted = EVEN + URGENCY_STEP * (2.0 - f64::from(priority.min(4)));
-    let room = ((FULL - delay) / (FULL - BUSY)).clamp(0.0, 1.0);
-    wanted * room
+    let unloaded =
+        EVEN_ODDS_CONFIDENCE + CONFIDENCE_PER_PRIORITY * (2.0 - f64::from(priority.min(4)));
+    let headroom = ((FULL_DELAY_FRACTION - delay) / (FULL_DELAY_FRACTION - BUSY_DELAY_FRACTION))
+        .clamp(0.0, 1.0);
+    unloaded * headroom
 }
 
-/// Whether a request begins with the largest model, where its host has no repeat left for a second
-/// answer; `doubt` is of a small model that was not asked yet.
+/// Whether to ask the largest model first, for a host that has no repeat left to replace a small
+/// model's answer.
 ///
-/// The load this answers: hundreds of hosts with a few requests each. Repeats come by a host's own requests,
-/// so that now and then it has none left while engines stand idle, and would have to pass a poor answer on.
-/// The largest model costs more than it brings where requests are not urgent.
+/// A host earns repeats with its own requests. Where hundreds of hosts have a few requests each, a
+/// host sometimes has none left while engines are idle, and would have to return a poor answer. For
+/// requests that are not urgent the largest model costs more than it is worth.
 #[must_use]
 pub fn begins_with_largest(doubt: &Doubt) -> bool {
-    is_in_time(doubt) && doubt.delay < IDLE && threshold(doubt.priority, doubt.delay) > EVEN
+    is_in_time(doubt)
+        && doubt.delay < IDLE_DELAY_FRACTION
+        && threshold(doubt.priority, doubt.delay) > EVEN_ODDS_CONFIDENCE
 }
 
 fn is_in_time(doubt: &Doubt) -> bool {
-    doubt.waited_ms + doubt.larger_ms <= doubt.objective_ms * IN_TIME
+    doubt.waited_ms + doubt.larger_ms <= doubt.objective_ms * IN_TIME_FRACTION
 }
 
-/// Whether the answer is dropped and a larger model asked.
+/// Whether to drop the small model's answer and ask a larger model.
 #[must_use]
 pub fn escalate(doubt: &Doubt) -> bool {
     let Some(confidence) = doubt.confidence else { return false };
     let in_time = is_in_time(doubt);
-    // With room to spare a late right answer is still better than a poor one. But not one that is
-    // late because of its own prompt: reading it would make others late as well.
-    let has_room = doubt.delay < IDLE && doubt.read_ms < doubt.objective_ms * LONG;
-    (in_time || has_room) && f64::from(confidence) < threshold(doubt.priority, doubt.delay)
+    // While engines are idle, a right answer that comes late is still better than a poor one. This
+    // doesn't hold if its own long prompt makes it late: reading the prompt would delay others too.
+    let has_capacity = doubt.delay < IDLE_DELAY_FRACTION
+        && doubt.read_ms < doubt.objective_ms * LONG_READ_FRACTION;
+    (in_time || has_capacity) && f64::from(confidence) < threshold(doubt.priority, doubt.delay)
 }
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -1,37 +1,38 @@
-//! What is known of a version's quality on a task: the document's prior, then ratings.
+//! Estimate of a version's quality on a task, from the configuration document's prior and ratings.
 //!
-//! A Beta posterior in two numbers. Old ratings fade, so that a version that drifts is judged by
-//! what it does now; when all have faded, the prior is left.
+//! The estimate is a Beta posterior, kept as two counts of ratings. The counts decay, so that a
+//! version whose quality drifts is judged by its recent answers; once they have decayed, only the
+//! prior remains.
 
 use crate::domain;
 use crate::time::Millis;
 
-/// Ratings that the document's word is worth.
+/// Weight of the share of good answers that the document states, as a number of ratings.
 pub const PRIOR_WEIGHT: f64 = 80.0;
-/// After this time a rating counts half, in milliseconds.
+/// Time after which a rating counts half, in milliseconds.
 pub const HALF_LIFE_MS: u64 = 600_000;
-/// Expected share of good answers where the document says nothing.
+/// Expected share of good answers where the document states none, 0 to 1.
 pub const UNKNOWN_MEAN: f64 = 0.5;
-/// Ratings that "nothing said" is worth.
-const UNKNOWN_WEIGHT: f64 = 2.0;
-/// Priors are kept off 0 and 1, where no evidence could move them.
-const EDGE: f64 = 0.005;
+/// Weight of [`UNKNOWN_MEAN`], as a number of ratings.
+const UNKNOWN_PRIOR_WEIGHT: f64 = 2.0;
+/// Minimum distance of a prior mean from 0 and 1, where no evidence could change it.
+const PRIOR_MARGIN: f64 = 0.005;
 
 domain! {
-    /// A posterior of one version's share of good answers on one task.
+    /// Posterior of one version's share of good answers on one task.
     #[derive(Copy)]
     pub struct Estimate {
-        /// Share of good answers expected before any rating, 0 to 1.
+        /// Expected share of good answers before any rating, 0 to 1.
         pub prior_mean: f64,
-        /// Ratings that the prior is worth.
+        /// Weight of the prior, as a number of ratings.
         pub prior_weight: f64,
-        /// Answers rated good, as faded at `at`.
+        /// Number of answers rated good, decayed to the time `at`.
         pub good: f64,
-        /// Answers rated, as faded at `at`.
+        /// Number of rated answers, decayed to the time `at`.
         pub rated: f64,
-        /// When the counts were last brought up to date.
+        /// Time to which `good` and `rated` are decayed.
         pub at: Millis,
-        /// After this time a rating counts half, in milliseconds; 0 keeps them for ever.
+        /// Time after which a rating counts half, in milliseconds; 0 disables the decay.
         pub half_life_ms: u64,
     }
 }
@@ -43,11 +44,11 @@
 }
 
 impl Estimate {
-    /// From the share of good answers that the document expects.
+    /// Creates an estimate from the share of good answers that the document states, 0 to 1.
     #[must_use]
     pub fn prior(mean: f64) -> Self {
         Self {
-            prior_mean: mean.clamp(EDGE, 1.0 - EDGE),
+            prior_mean: mean.clamp(PRIOR_MARGIN, 1.0 - PRIOR_MARGIN),
             prior_weight: PRIOR_WEIGHT,
             good: 0.0,
             rated: 0.0,
@@ -56,13 +57,13 @@
         }
     }
 
-    /// Where the document says nothing.
+    /// Creates an estimate for a version and task without a quality in the document.
     #[must_use]
     pub fn unknown() -> Self {
-        Self { prior_weight: UNKNOWN_WEIGHT, ..Self::prior(UNKNOWN_MEAN) }
+        Self { prior_weight: UNKNOWN_PRIOR_WEIGHT, ..Self::prior(UNKNOWN_MEAN) }
     }
 
-    /// Sets how many ratings the prior is worth.
+    /// Sets the weight of the prior, as a number of ratings.
     #[must_use]
     pub fn with_prior_weight(mut self, weight: f64) -> Self {
         self.prior_weight = weight;
@@ -76,7 +77,7 @@
         self
     }
 
-    /// Puts in counts that were faded elsewhere, as of `at`.
+    /// Sets the counts of good and of all ratings, already decayed to the time `at`.
     #[must_use]
     pub fn with_counts(mut self, good: f64, rated: f64, at: Millis) -> Self {
         self.good = good;
@@ -85,45 +86,47 @@
         self
     }
 
-    /// Takes in one rating.
+    /// Adds one rating.
     pub fn observe(&mut self, good: bool, now: Millis) {
-        let kept = self.kept(now);
-        self.good = self.good * kept + f64::from(u8::from(good));
-        self.rated = self.rated * kept + 1.0;
+        let decay = self.decay(now);
+        self.good = self.good * decay + f64::from(u8::from(good));
+        self.rated = self.rated * decay + 1.0;
         self.at = self.at.max(now);
     }
 
-    /// Expected share of good answers.
+    /// Expected share of good answers, 0 to 1.
     #[must_use]
     pub fn mean(&self, now: Millis) -> f64 {
-        let kept = self.kept(now);
-        (self.prior_mean * self.prior_weight + self.good * kept) / self.weight(kept)
+        let decay = self.decay(now);
+        (self.prior_mean * self.prior_weight + self.good * decay) / self.weight(decay)
     }
 
     /// Standard deviation of the share of good answers.
     #[must_use]
     pub fn deviation(&self, now: Millis) -> f64 {
         let mean = self.mean(now);
-        (mean * (1.0 - mean) / (self.weight(self.kept(now)) + 1.0)).sqrt()
+        (mean * (1.0 - mean) / (self.weight(self.decay(now)) + 1.0)).sqrt()
     }
 
-    /// The share that is reached with confidence: `z` deviations below the mean, at least 0.
+    /// Lower confidence bound of the share: `z` standard deviations below the mean, at least 0.
     #[must_use]
     pub fn lower(&self, z: f64, now: Millis) -> f64 {
         (self.mean(now) - z * self.deviation(now)).max(0.0)
     }
 
-    /// The share that is possible: `z` deviations above the mean, at most 1.
+    /// Upper confidence bound of the share: `z` standard deviations above the mean, at most 1.
     #[must_use]
     pub fn upper(&self, z: f64, now: Millis) -> f64 {
         (self.mean(now) + z * self.deviation(now)).min(1.0)
     }
 
-    fn weight(&self, kept: f64) -> f64 {
-        self.prior_weight + self.rated * kept
+    /// Total weight of the prior and the ratings.
+    fn weight(&self, decay: f64) -> f64 {
+        self.prior_weight + self.rated * decay
     }
 
-    fn kept(&self, now: Millis) -> f64 {
+    /// Factor by which the counts decay from `at` to `now`.
+    fn decay(&self, now: Millis) -> f64 {
         match self.half_life_ms {
             0 => 1.0,
             half_life => 0.5_f64.powf(now.since(self.at) as f64 / half_life as f64),
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -1,30 +1,33 @@
-//! How soon a stream's events follow one another, whatever holds its engine up in between.
+//! Pace of a stream, measured so that short delays of its engine don't count.
 
 use crate::domain;
 
-/// Gaps between events by which a stream is judged.
-const GAPS: u32 = 5;
+/// Number of gaps between events after which a stream is judged.
+const JUDGED_GAPS: u32 = 5;
 
 domain! {
-    /// The pace of one stream, from its first events.
+    /// Pace of one stream: the shortest gap between its first events.
     ///
-    /// An engine that reads a long prompt holds all its other streams up for an event or two, and
-    /// one whose caches are empty does so often. A mean over a few events would make such a stream
-    /// slow, of a good version too. The shortest gap does not: of a slow version no event comes
-    /// soon.
+    /// An engine that reads a long prompt delays all its other streams by an event or two, and an
+    /// engine with empty caches does so often. By the mean of a few gaps, such a stream would look
+    /// slow even if its version is good. The shortest gap is not affected, while a slow version has
+    /// no short gap at all.
     #[derive(Copy, Default)]
     pub struct Pace {
+        /// Number of gaps recorded, until the stream is judged.
         gaps: u32,
+        /// Shortest gap before the stream was judged, in milliseconds.
         shortest_ms: f64,
-        /// The shortest so far, for as long as the stream lasts.
+        /// Shortest gap of the whole stream, in milliseconds.
         best_ms: f64,
     }
 }
 
 impl Pace {
-    /// Events came, so long after those before them, in milliseconds. What it returns is the pace
-    /// that the stream is judged by, in milliseconds an event: once, when enough events have come,
-    /// and as early for a good stream as for a slow one.
+    /// Records `events` that arrived together, `ms` milliseconds after the events before them.
+    ///
+    /// Returns the pace by which to judge the stream, in milliseconds per event, once: as soon as
+    /// enough events have arrived, which is equally early for a good and for a slow stream.
     pub fn note(&mut self, events: u32, ms: f64) -> Option<f64> {
         if events == 0 {
             return None;
@@ -39,16 +42,16 @@
         self.is_known().then_some(self.shortest_ms)
     }
 
-    /// The shortest gap between two events, in milliseconds, of a stream that has been judged. A
-    /// disturbance shorter than the stream does not lengthen it.
+    /// Shortest gap between two events so far, in milliseconds; `None` until the stream is judged. A
+    /// delay shorter than the stream doesn't lengthen this gap.
     #[must_use]
     pub fn best_ms(&self) -> Option<f64> {
         self.is_known().then_some(self.best_ms)
     }
 
-    /// Whether the stream has been judged.
+    /// Whether enough gaps were recorded to judge the stream.
     #[must_use]
     pub fn is_known(&self) -> bool {
-        self.gaps >= GAPS
+        self.gaps >= JUDGED_GAPS
     }
 }
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Placement among model engines: long prompts among short ones, caches, distance, failures.
+//! Placement among model engines: long prompts, cached prefixes, distance, failures and old reports.
 
 use policy::engine::{Ask, Engine, choose};
 
@@ -25,63 +25,63 @@
     failure_ms: 2_000.0,
 };
 
-fn pick(engines: &[Engine]) -> usize {
+fn choose_by_any_draw(engines: &[Engine]) -> usize {
     let first = choose(engines, &ASK, 1).unwrap();
     assert!((0..50).all(|draw| choose(engines, &ASK, draw) == Some(first)));
     first
 }
 
 #[test]
-fn choose_none() {
+fn choose_without_engines_is_none() {
     assert_eq!(choose(&[], &ASK, 1), None);
 }
 
 #[test]
-fn choose_long_prompt_ahead_is_avoided() {
+fn choose_avoids_an_engine_reading_a_long_prompt() {
     let reading = Engine { own: 1, wait_ms: 1_000.0, ..ENGINE };
     let busy = Engine { own: 12, ..ENGINE };
-    assert_eq!(pick(&[reading, busy]), 1);
+    assert_eq!(choose_by_any_draw(&[reading, busy]), 1);
 }
 
 #[test]
-fn choose_cached_prefix() {
+fn choose_prefers_a_cached_prefix() {
     let cached = Engine { cached: 5_000.0, own: 4, ..ENGINE };
-    assert_eq!(pick(&[ENGINE, cached]), 1);
+    assert_eq!(choose_by_any_draw(&[ENGINE, cached]), 1);
 }
 
 #[test]
-fn choose_preferred_when_nothing_is_known() {
+fn choose_takes_the_preferred_engine_without_other_differences() {
     let preferred = Engine { preferred: true, ..ENGINE };
-    assert_eq!(pick(&[ENGINE, preferred]), 1);
+    assert_eq!(choose_by_any_draw(&[ENGINE, preferred]), 1);
 }
 
 #[test]
-fn choose_near_until_its_queue_is_long() {
+fn choose_near_engine_until_its_queue_is_long() {
     let far = Engine { near: false, ..ENGINE };
-    assert_eq!(pick(&[far, Engine { own: 20, ..ENGINE }]), 1);
-    assert_eq!(pick(&[far, Engine { own: 80, ..ENGINE }]), 0);
+    assert_eq!(choose_by_any_draw(&[far, Engine { own: 20, ..ENGINE }]), 1);
+    assert_eq!(choose_by_any_draw(&[far, Engine { own: 80, ..ENGINE }]), 0);
 }
 
 #[test]
-fn choose_suspected_last() {
+fn choose_avoids_an_engine_likely_to_fail() {
     let suspected = Engine { suspicion: 0.5, ..ENGINE };
-    assert_eq!(pick(&[suspected, Engine { own: 30, near: false, ..ENGINE }]), 1);
+    assert_eq!(choose_by_any_draw(&[suspected, Engine { own: 30, near: false, ..ENGINE }]), 1);
 }
 
 #[test]
-fn load_old_reports_fade() {
+fn load_counts_old_reports_less() {
     let fresh = Engine { own: 2, own_then: 2, reported: 42, report_age_ms: Some(0), ..ENGINE };
     let old = Engine { report_age_ms: Some(20_000), ..fresh };
     assert_eq!(fresh.load(), 42.0);
     assert!(old.load() < 7.0);
 }
 
-/// Twenty hosts read the same report and send at the same moment; each sees only its own requests.
-/// If they all took the engine with the least report, it would get all of them.
+/// Guards against herding: hosts that read the same report and send at the same moment would all
+/// choose the engine with the least reported load, and that engine would get every request.
 #[test]
 fn choose_hosts_do_not_herd() {
     let engines = [ENGINE; 8];
-    let mut taken = [0; 8];
-    (0..200).for_each(|draw| taken[choose(&engines, &ASK, draw * 977).unwrap()] += 1);
-    assert!(taken.iter().all(|count| *count < 60), "{taken:?}");
+    let mut counts = [0; 8];
+    (0..200).for_each(|draw| counts[choose(&engines, &ASK, draw * 977).unwrap()] += 1);
+    assert!(counts.iter().all(|count| *count < 60), "{counts:?}");
 }
--- a/crates/policy/tests/estimate.rs
+++ b/crates/policy/tests/estimate.rs
@@ -1,4 +1,4 @@
-//! Estimates: from the document's word to what ratings say, and back as they fade.
+//! Estimates move from the document's prior to the ratings, and back as the ratings decay.
 
 use policy::estimate::Estimate;
 use policy::time::Millis;
@@ -12,14 +12,14 @@
 }
 
 #[test]
-fn mean_returns_as_ratings_fade() {
+fn mean_returns_to_prior_as_ratings_decay() {
     let estimate = Estimate::prior(0.9).with_counts(0.0, 50.0, Millis(0)).with_half_life(1_000);
     assert!(estimate.mean(Millis(0)) < 0.6);
     assert!(estimate.mean(Millis(20_000)) > 0.89);
 }
 
 #[test]
-fn lower_and_upper_close_in() {
+fn lower_and_upper_narrow_with_more_ratings() {
     let few = Estimate::prior(0.9);
     let many = few.with_counts(900.0, 1000.0, Millis(0));
     let now = Millis(0);
@@ -28,9 +28,9 @@
     assert!(many.lower(1.0, now) < many.mean(now) && many.mean(now) < many.upper(1.0, now));
 }
 
-/// Whatever is observed, the share stays a share.
+/// The bounds stay ordered and between 0 and 1, whatever ratings arrive.
 #[test]
-fn observe_any() {
+fn observe_random_ratings_keeps_bounds_valid() {
     fuzz::check(1000, |(prior, ratings): &(u8, Vec<(bool, u16)>)| {
         let mut estimate = Estimate::prior(f64::from(*prior) / 255.0);
         for (good, at) in ratings {
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -1,36 +1,36 @@
-//! A host that gets most new connections of a failure domain, or of all.
+//! Load shedding on a host that gets most new connections of a failure domain, or of all of them.
 
 use policy::overload::{Overload, TICK, connections_max};
 use policy::place::mix;
 
 const STANDING_MS: f64 = 40.0;
-const TICK_MS: f64 = TICK.as_millis() as f64;
+const INTERVAL_MS: f64 = TICK.as_millis() as f64;
 
-fn ticks(overload: &mut Overload, count: usize, late_ms: f64) {
+fn record_many(overload: &mut Overload, count: usize, delay_ms: f64) {
     for _ in 0..count {
-        overload.tick(late_ms);
+        overload.tick(delay_ms);
     }
 }
 
 #[test]
-fn tick_one_long_task_closes_nothing() {
+fn record_single_high_delays_close_nothing() {
     let mut overload = Overload::new(STANDING_MS);
     for _ in 0..50 {
-        ticks(&mut overload, 1, 900.0);
-        ticks(&mut overload, 3, 1.0);
+        record_many(&mut overload, 1, 900.0);
+        record_many(&mut overload, 3, 1.0);
     }
     assert_eq!(overload.closed(), 0.0);
 }
 
 #[test]
-fn tick_standing_delay_closes_more_and_more_and_ends() {
+fn record_standing_delay_raises_the_closed_share_until_it_ends() {
     let mut overload = Overload::new(STANDING_MS);
-    ticks(&mut overload, 4, 60.0);
+    record_many(&mut overload, 4, 60.0);
     let first = overload.closed();
     assert!(first > 0.0);
-    ticks(&mut overload, 100, 60.0);
+    record_many(&mut overload, 100, 60.0);
     assert!(overload.closed() > first && overload.closed() < 1.0);
-    ticks(&mut overload, 300, 1.0);
+    record_many(&mut overload, 300, 1.0);
     assert_eq!(overload.closed(), 0.0);
 }
 
@@ -42,10 +42,10 @@
     assert_eq!(connections_max(Some(10), Some(0)), 1);
 }
 
-/// A host with one core's share, in simulated time: what it reads waits in line for the processor.
+/// A simulated host: the requests that it reads wait for the processor in order of arrival.
 struct Host {
     overload: Overload,
-    /// Processor time that what it has read still needs, in milliseconds.
+    /// Processor time that the requests read so far still need, in milliseconds.
     backlog_ms: f64,
     draws: u64,
     read: usize,
@@ -64,13 +64,13 @@
         (self.draws >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// So many new connections come in each tick, each with a request that takes this much of the
-    /// processor's time.
-    fn tick(&mut self, connections: f64, work_ms: f64) {
+    /// Simulates one interval with this mean number of new connections, each with a request that
+    /// takes `work_ms` of processor time.
+    fn step(&mut self, connections: f64, work_ms: f64) {
         const CLOSE_MS: f64 = 0.05;
-        const LEAVES_MS: f64 = 900.0;
-        let whole = connections.floor() as usize + usize::from(self.draw() < connections.fract());
-        for _ in 0..whole {
+        const CALLER_TIMEOUT_MS: f64 = 900.0;
+        let count = connections.floor() as usize + usize::from(self.draw() < connections.fract());
+        for _ in 0..count {
             let draw = self.draw();
             if self.overload.closes(draw) {
                 self.closed += 1;
@@ -78,46 +78,49 @@
                 continue;
             }
             self.read += 1;
-            // Callers leave after a second; what they left is dropped.
-            let is_in_time = self.backlog_ms < LEAVES_MS;
+            // Callers disconnect after a second; the host drops their requests.
+            let is_in_time = self.backlog_ms < CALLER_TIMEOUT_MS;
             self.in_time += usize::from(is_in_time);
             self.backlog_ms += if is_in_time { work_ms } else { CLOSE_MS };
         }
-        self.backlog_ms = (self.backlog_ms - TICK_MS).max(0.0);
+        self.backlog_ms = (self.backlog_ms - INTERVAL_MS).max(0.0);
         self.overload.tick(self.backlog_ms);
     }
 }
 
-/// Guards against a host that reads far more than it can answer, while others idle.
+/// Guards against a host that reads far more requests than it can answer while others are idle.
 #[test]
-fn most_new_connections_at_one_host_are_served_or_closed_unread() {
+fn overloaded_host_answers_what_it_reads() {
     for seed in 0..20 {
-        for times in [2.0, 5.0, 12.0] {
+        for load_factor in [2.0, 5.0, 12.0] {
             let mut host = Host::new(seed);
-            let fits = TICK_MS / 4.0;
-            // It takes a moment to notice.
+            let capacity = INTERVAL_MS / 4.0;
+            // Lets the host detect the overload first.
             for _ in 0..60 {
-                host.tick(fits * times, 4.0);
+                host.step(capacity * load_factor, 4.0);
             }
             (host.read, host.in_time) = (0, 0);
             for _ in 0..200 {
-                host.tick(fits * times, 4.0);
+                host.step(capacity * load_factor, 4.0);
             }
-            let case = format!("seed {seed}, {times} times: {} of {}", host.in_time, host.read);
+            let case = format!(
+                "seed {seed}, load factor {load_factor}: {} of {}",
+                host.in_time, host.read
+            );
             assert!(host.in_time as f64 >= 0.95 * host.read as f64, "{case}");
-            // And the host is used.
-            assert!(host.read as f64 >= 0.6 * 200.0 * fits, "{case}");
+            // The host must still use most of its capacity.
+            assert!(host.read as f64 >= 0.6 * 200.0 * capacity, "{case}");
         }
     }
 }
 
-/// Guards against connections closed by a host that keeps up.
+/// Guards against closing connections on a host that keeps up with its load.
 #[test]
 fn busy_host_that_keeps_up_closes_nothing() {
     for seed in 0..20 {
         let mut host = Host::new(seed);
         for _ in 0..2_000 {
-            host.tick(TICK_MS / 4.0 * 0.8, 4.0);
+            host.step(INTERVAL_MS / 4.0 * 0.8, 4.0);
         }
         assert_eq!(host.closed, 0, "seed {seed}");
     }
--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/pace.rs
@@ -1,37 +1,39 @@
-//! A stream's pace: slow versions are told from engines that are held up.
+//! Pace of streams: slow versions are distinguished from delayed engines.
 
 use policy::canary::is_slow;
 use policy::pace::Pace;
 
-/// Notes events one by one; the pace that comes of it.
-fn judged(gaps_ms: &[f64]) -> Option<f64> {
+/// Records events one by one and returns the pace by which the stream is judge.
+fn judge(gaps_ms: &[f64]) -> Option<f64> {
     let mut pace = Pace::default();
     gaps_ms.iter().filter_map(|ms| pace.note(1, *ms)).next()
 }
 
-/// Good versions whose servers began with empty caches were rolled back as slow.
+/// Guards against rolling back a good version as slow: its servers start with empty caches, so that
+/// reading prompts delays their streams.
 #[test]
-fn note_held_up_by_prompts_is_not_slow() {
-    let pace = judged(&[207.0, 267.0, 30.0, 610.0, 250.0]).unwrap();
+fn record_stream_delayed_by_prompts_is_not_slow() {
+    let pace = judge(&[207.0, 267.0, 30.0, 610.0, 250.0]).unwrap();
     assert!(!is_slow(pace, 28.0), "{pace}");
 }
 
-/// A slow version was declared done, since few of its streams had ended.
+/// Guards against completing the roll-out of a slow version: few of its streams end in time, so they
+/// must be judge before their end.
 #[test]
-fn note_slow_before_the_end() {
-    assert!(is_slow(judged(&[800.0; 5]).unwrap(), 100.0));
-    assert!(!is_slow(judged(&[200.0; 5]).unwrap(), 100.0));
-    assert!(!is_slow(judged(&[800.0; 5]).unwrap(), f64::INFINITY), "nothing known to compare with");
+fn record_slow_stream_is_judged_before_its_end() {
+    assert!(is_slow(judge(&[800.0; 5]).unwrap(), 100.0));
+    assert!(!is_slow(judge(&[200.0; 5]).unwrap(), 100.0));
+    assert!(!is_slow(judge(&[800.0; 5]).unwrap(), f64::INFINITY), "no pace to compare with");
 }
 
 #[test]
-fn note_few_events_say_nothing() {
-    assert_eq!(judged(&[2_000.0, 2_000.0]), None);
-    assert_eq!(judged(&[]), None);
+fn record_too_few_events_give_no_pace() {
+    assert_eq!(judge(&[2_000.0, 2_000.0]), None);
+    assert_eq!(judge(&[]), None);
 }
 
 #[test]
-fn note_once() {
+fn record_returns_the_pace_once() {
     let mut pace = Pace::default();
     assert_eq!(pace.note(3, 300.0), None);
     assert_eq!(pace.note(2, 160.0), Some(80.0));
@@ -39,9 +41,9 @@
     assert_eq!(pace.note(1, 1.0), None);
 }
 
-/// Good versions that answer in a millisecond were rolled back as slow on a busy machine.
+/// Guards against rolling back a good version that answers within a millisecond, on a busy machine.
 #[test]
-fn is_slow_few_milliseconds_are_not() {
+fn is_slow_ignores_a_few_milliseconds() {
     assert!(!is_slow(6.0, 1.5));
     assert!(is_slow(60.0, 1.5));
     assert!(is_slow(60.0, 20.0));
