--- a/crates/policy/src/admit.rs
+++ b/crates/policy/src/admit.rs
@@ -124,8 +124,8 @@
 impl Load {
     /// Estimated free slots for this entry host.
     ///
-    /// Up to its equal share of the slots, an entry host ignores what the others use: a stale report
-    /// of a full pool must not keep it from using its own share.
+    /// Up to its equal share of the slots, an entry host ignores what the others use: a stale
+    /// report of a full pool must not keep it from using its own share.
     #[must_use]
     pub fn free(&self) -> u32 {
         let unused_share = (self.equal_share() as u32).saturating_sub(self.own);
--- a/crates/policy/src/backlog.rs
+++ b/crates/policy/src/backlog.rs
@@ -205,8 +205,8 @@
     }
 
     /// Discards overdue prompts that come before a prompt which the engine has read: the engine has
-    /// read them too. If their answers have not begun, they were lost on the way, and their lateness
-    /// says nothing about the engine.
+    /// read them too. If their answers have not begun, they were lost on the way, and their
+    /// lateness says nothing about the engine.
     fn discard_overtaken(&mut self, rank: u8, sent: f64) {
         self.due.retain(|due| due.prompt.rank > rank || due.sent >= sent);
     }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -108,8 +108,8 @@
     }
 }
 
-/// Returns the index of the engine with the least cost, or `None` if there are no engines. `draw` is
-/// a uniform random number that separates equal engines.
+/// Returns the index of the engine with the least cost, or `None` if there are no engines. `draw`
+/// is a uniform random number that separates equal engines.
 #[must_use]
 pub fn choose(engines: &[Engine], ask: &Ask, draw: u64) -> Option<usize> {
     let tie_break = |index: usize| {
--- a/crates/policy/src/escalate.rs
+++ b/crates/policy/src/escalate.rs
@@ -1,8 +1,8 @@
 //! Escalation from a small to a larger model, where the router chooses the model.
 //!
-//! A small model answers first. An engine reports its confidence with the head of the answer, before
-//! the caller has received anything, so an answer of low confidence can be dropped and a larger
-//! model asked instead. That costs the small model's reading of the prompt and little else.
+//! A small model answers first. An engine reports its confidence with the head of the answer,
+//! before the caller has received anything, so an answer of low confidence can be dropped and a
+//! larger model asked instead. That costs the small model's reading of the prompt and little else.
 //!
 //! At peak load the engines can't serve every request with the large model. The confidence required
 //! is lowered then, because late answers for all callers are worse than a few poor answers.
@@ -46,8 +46,9 @@
         pub read_ms: f64,
         /// Time from the request's arrival within which its answer should begin, in milliseconds.
         pub objective_ms: f64,
-        /// Recent mean time until callers' answers begin, as a fraction of the objective. Slots in use
-        /// would say little: engines run short of time for prompts long before their slots are full.
+        /// Recent mean time until callers' answers begin, as a fraction of the objective. Slots in
+        /// use would say little: engines run short of time for prompts long before their slots are
+        /// full.
         pub delay: f64,
     }
 }
--- a/crates/policy/src/gain.rs
+++ b/crates/policy/src/gain.rs
@@ -1,10 +1,10 @@
 //! Choice of the larger model to ask after an answer of low confidence: the smallest model that is
 //! likely to reach the confidence required.
 //!
-//! At a peak, four in ten requests go to a larger model while engines are short of time for prompts.
-//! The largest model reads and writes several times as slowly as the next smaller one, and costs
-//! more, so asking it every time is expensive and delays other requests. An answer just below the
-//! threshold needs only a little more confidence. How much confidence each model adds is learnt
+//! At a peak, four in ten requests go to a larger model while engines are short of time for
+//! prompts. The largest model reads and writes several times as slowly as the next smaller one, and
+//! costs more, so asking it every time is expensive and delays other requests. An answer just below
+//! the threshold needs only a little more confidence. How much confidence each model adds is learnt
 //! from requests that both models answered.
 
 use crate::domain;
@@ -13,8 +13,8 @@
 /// same request, in points: a tenth of the scale, so that a model between the smallest and the
 /// largest is asked only where little confidence is missing.
 const INITIAL_POINTS: f64 = 10.0;
-/// Minimum gain assumed, in points. A model assumed to add nothing would never be asked, so its gain
-/// could not be learnt again.
+/// Minimum gain assumed, in points. A model assumed to add nothing would never be asked, so its
+/// gain could not be learnt again.
 const POINTS_MIN: f64 = 3.0;
 /// Weight of a new sample in the moving average, which spans about the last ten.
 const SAMPLE_WEIGHT: f64 = 0.1;
--- a/crates/policy/src/name.rs
+++ b/crates/policy/src/name.rs
@@ -1,4 +1,5 @@
-//! Names as shared immutable strings: cloning a name increments a reference count and copies no text.
+//! Names as shared immutable strings: cloning a name increments a reference count and copies no
+//! text.
 
 use std::borrow::Borrow;
 use std::fmt;
--- a/crates/policy/src/overload.rs
+++ b/crates/policy/src/overload.rs
@@ -53,8 +53,8 @@
 }
 
 impl Overload {
-    /// Creates a detector that closes nothing yet. `standing_ms` is the minimum delay of a window from
-    /// which work arrives faster than it is done, in milliseconds.
+    /// Creates a detector that closes nothing yet. `standing_ms` is the minimum delay of a window
+    /// from which work arrives faster than it is done, in milliseconds.
     #[must_use]
     pub fn new(standing_ms: f64) -> Self {
         Self { standing_ms, closed: 0.0, ticks: 0, least_ms: 0.0 }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -42,8 +42,8 @@
         self.is_known().then_some(self.shortest_ms)
     }
 
-    /// Shortest gap between two events so far, in milliseconds; `None` until the stream is judged. A
-    /// delay shorter than the stream doesn't lengthen this gap.
+    /// Shortest gap between two events so far, in milliseconds; `None` until the stream is judged.
+    /// A delay shorter than the stream doesn't lengthen this gap.
     #[must_use]
     pub fn best_ms(&self) -> Option<f64> {
         self.is_known().then_some(self.best_ms)
--- a/crates/policy/src/patience.rs
+++ b/crates/policy/src/patience.rs
@@ -1,38 +1,39 @@
-//! How long to wait for an answer before another backend server is tried.
+//! Latency estimates, and the timeout after which a request is sent to another backend server.
 //!
-//! The estimate is the one that TCP uses for its retransmissions: a smoothed mean and a smoothed
-//! deviation. It follows the load, so a busy pool is not flooded with repeats of requests that
-//! are merely slow.
+//! The estimate is the one that TCP uses for its retransmission timeout: a smoothed mean and a
+//! smoothed deviation. It follows the load, so that a busy pool isn't flooded with repeats of
+//! requests that are merely slow.
 
 use crate::domain;
 use crate::time::Millis;
 
 /// Weight of a new sample in the mean (RFC 6298).
-const MEAN_GAIN: f64 = 0.125;
+const MEAN_WEIGHT: f64 = 0.125;
 /// Weight of a new sample in the deviation (RFC 6298).
-const DEVIATION_GAIN: f64 = 0.25;
-/// Deviations waited beyond the mean (RFC 6298).
-const DEVIATIONS: f64 = 4.0;
-/// A wait that was cut short says only that the answer takes longer: it counts as this many times
-/// the wait, so that the estimate grows until it is met.
-const CUT_FACTOR: f64 = 1.5;
+const DEVIATION_WEIGHT: f64 = 0.25;
+/// Number of deviations that the timeout adds to the mean (RFC 6298).
+const TIMEOUT_DEVIATIONS: f64 = 4.0;
+/// Factor on the time waited for an answer that was abandoned. The time waited is only a lower
+/// bound of the latency; with the factor the estimate grows until answers come within the timeout.
+const ABANDONED_FACTOR: f64 = 1.5;
 /// Time in which the mean halves without samples, in milliseconds. Where a high mean keeps requests
-/// away there are no samples to lower it, and one slow answer would rule for good.
+/// away, no samples arrive to lower it, and one slow answer would keep them away for good.
 const HALF_LIFE_MS: f64 = 2_000.0;
 
 domain! {
-    /// Times of one kind of request.
+    /// Latency estimate of one kind of request.
     #[derive(Copy, Default)]
     pub struct Patience {
         mean_ms: f64,
         deviation_ms: f64,
         samples: u32,
+        /// Time of the last sample.
         at: Millis,
     }
 }
 
 impl Patience {
-    /// An answer took this long, in milliseconds.
+    /// Records the latency of an answer, in milliseconds.
     pub fn note(&mut self, ms: f64, now: Millis) {
         self.at = now;
         match self.samples {
@@ -41,36 +42,38 @@
                 self.deviation_ms = ms / 2.0;
             }
             _ => {
-                let off = ms - self.mean_ms;
-                self.deviation_ms += DEVIATION_GAIN * (off.abs() - self.deviation_ms);
-                self.mean_ms += MEAN_GAIN * off;
+                let error = ms - self.mean_ms;
+                self.deviation_ms += DEVIATION_WEIGHT * (error.abs() - self.deviation_ms);
+                self.mean_ms += MEAN_WEIGHT * error;
             }
         }
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// No answer came for this long, in milliseconds, and then it was no longer waited for.
+    /// Records that an answer was abandoned after waiting this long, in milliseconds.
     pub fn note_cut(&mut self, ms: f64, now: Millis) {
-        self.note(ms * CUT_FACTOR, now);
+        self.note(ms * ABANDONED_FACTOR, now);
     }
 
-    /// The mean, in milliseconds; `first` while nothing is known.
+    /// Mean latency, in milliseconds; `initial` before the first sample.
     #[must_use]
-    pub fn mean_ms(&self, first: f64) -> f64 {
-        if self.samples == 0 { first } else { self.mean_ms }
+    pub fn mean_ms(&self, initial: f64) -> f64 {
+        if self.samples == 0 { initial } else { self.mean_ms }
     }
 
-    /// The mean as it may be believed now, in milliseconds; `first` while nothing is known.
+    /// Mean latency after its decay since the last sample, in milliseconds; before the first sample
+    /// `initial`, decayed since time 0.
     #[must_use]
-    pub fn faded_ms(&self, first: f64, now: Millis) -> f64 {
-        self.mean_ms(first) * (-(now.since(self.at) as f64) / HALF_LIFE_MS).exp2()
+    pub fn faded_ms(&self, initial: f64, now: Millis) -> f64 {
+        self.mean_ms(initial) * (-(now.since(self.at) as f64) / HALF_LIFE_MS).exp2()
     }
 
-    /// How long to wait, in milliseconds, within two bounds.
+    /// Timeout for an answer, between `min` and `max`, in milliseconds; `max` before the first
+    /// sample. `min` prevails if it exceeds `max`.
     #[must_use]
-    pub fn wait_ms(&self, least: f64, most: f64) -> f64 {
-        let wait = self.mean_ms + DEVIATIONS * self.deviation_ms;
-        let wait = if self.samples == 0 { most } else { wait };
-        wait.max(least).min(most.max(least))
+    pub fn wait_ms(&self, min: f64, max: f64) -> f64 {
+        let timeout = self.mean_ms + TIMEOUT_DEVIATIONS * self.deviation_ms;
+        let timeout = if self.samples == 0 { max } else { timeout };
+        timeout.max(min).min(max.max(min))
     }
 }
--- a/crates/policy/src/precedence.rs
+++ b/crates/policy/src/precedence.rs
@@ -1,41 +1,44 @@
-//! In which order an engine reads the prompts that wait there.
+//! Rank of a request in the order in which an engine reads the prompts that wait there.
 //!
-//! The load this answers: an engine that is behind, with prompts of three milliseconds and of two
-//! seconds waiting. It reads one after another and breaks none off, so a prompt delays all that go
-//! behind it by the time that it takes itself. Read first, a short one costs the long one next to
-//! nothing; the other way round the short one is late. An order by the urgency of routes knows
-//! nothing of that.
+//! An overloaded engine may have prompts waiting that take three milliseconds to read, and others
+//! that take two seconds. It reads one prompt at a time without interruption, so each prompt delays
+//! all later ones by its own reading time. A short prompt read first costs a long one almost
+//! nothing, while a long prompt read first makes the short one late. An order by the urgency of
+//! routes alone ignores this.
 
-/// The first place given. What goes on, having waited already, comes before it.
-const FIRST: u8 = 3;
-/// The last place that engines know.
-const LAST: u8 = 9;
-/// Reading times from which a prompt is one place further back, in milliseconds: from an engine's
-/// step to the objective of short answers, each four times the one before. A prompt then waits for
-/// equal ones at most four times as long as itself.
-const STEPS_MS: [f64; 4] = [15.0, 60.0, 250.0, 1_000.0];
-/// Least urgent requests go so many places back. More would let a long urgent prompt before a
-/// short one of another route, which it makes late.
-const URGENCY_MAX: u8 = 2;
+/// Rank of the most urgent new request with the shortest prompt. Requests that were sent before,
+/// and have waited already, rank lower and are read earlier.
+const NEW_RANK: u8 = 3;
+/// Highest rank that engines support; read last.
+const RANK_MAX: u8 = 9;
+/// Reading times, in milliseconds, each of which raises the rank by one when reached. They span
+/// from an engine's step to the objective of short answers, each four times the previous one, so
+/// that a prompt waits only for prompts of equal rank that are at most four times as long as
+/// itself.
+const READ_STEPS_MS: [f64; 4] = [15.0, 60.0, 250.0, 1_000.0];
+/// Maximum rank added for low urgency. More would read a long urgent prompt before a short prompt
+/// of another route, which would be late.
+const PRIORITY_STEPS_MAX: u8 = 2;
 
-/// A request that waits.
+/// Properties of a waiting request that determine its rank.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Time that its prompt takes to read, in milliseconds.
+    /// Time that the engine takes to read the request's prompt, in milliseconds.
     pub read_ms: f64,
-    /// Its urgency; 0 is the highest.
+    /// Urgency of the request; 0 is the most urgent.
     pub priority: u8,
-    /// It was sent before, and work was spent on it.
+    /// Whether the request was sent before, so that work was already spent on it.
     pub is_again: bool,
-    /// Its caller has a part of the answer, and a pause in it is late sooner than a beginning.
+    /// Whether the caller has received part of the answer. A pause in an answer counts as late
+    /// sooner than the begin of an answer does.
     pub is_resumed: bool,
 }
 
-/// The place of a request; 0 is read first.
+/// Rank of a request; the lowest is read first.
 #[must_use]
 pub fn place(request: &Request) -> u8 {
-    let steps = STEPS_MS.iter().filter(|step| request.read_ms >= **step).count() as u8;
-    let back = steps + request.priority.min(URGENCY_MAX);
-    let forward = u8::from(request.is_again) + u8::from(request.is_resumed);
-    (FIRST + back - forward).min(LAST)
+    let length_steps = READ_STEPS_MS.iter().filter(|step| request.read_ms >= **step).count() as u8;
+    let penalty = length_steps + request.priority.min(PRIORITY_STEPS_MAX);
+    let bonus = u8::from(request.is_again) + u8::from(request.is_resumed);
+    (NEW_RANK + penalty - bonus).min(RANK_MAX)
 }
--- a/crates/policy/src/silence.rs
+++ b/crates/policy/src/silence.rs
@@ -1,10 +1,10 @@
 //! Whether to leave a backend server that says nothing.
 //!
 //! Silence has three causes that look alike: the server is unreachable, the connection has gone
-//! silent, or the server is busy with others' prompts and will answer yet. Leaving a busy server makes it
-//! worse, since another one must read the prompt again. What tells them apart is whether the
-//! server says anything on its other connections, and, if it does not, whether it still takes new
-//! ones.
+//! silent, or the server is busy with others' prompts and will answer yet. Leaving a busy server
+//! makes it worse, since another one must read the prompt again. What tells them apart is whether
+//! the server says anything on its other connections, and, if it does not, whether it still takes
+//! new ones.
 
 use crate::domain;
 
--- a/crates/policy/src/slowdown.rs
+++ b/crates/policy/src/slowdown.rs
@@ -1,10 +1,11 @@
 //! How much longer one engine takes for its work than the others of its service.
 //!
 //! The load this answers: engines of one service that differ two- or threefold in speed, because of
-//! their machines or of what else runs there. They report their load in requests. Sent as many as the
-//! others, a slow one reads prompts behind each other and holds up its streams. Only its answers
-//! show that. One stream says little, since equal engines' streams part by half, and where there are
-//! many hosts and engines a host has few streams of each. So hosts tell each other what theirs showed.
+//! their machines or of what else runs there. They report their load in requests. Sent as many as
+//! the others, a slow one reads prompts behind each other and holds up its streams. Only its
+//! answers show that. One stream says little, since equal engines' streams part by half, and where
+//! there are many hosts and engines a host has few streams of each. So hosts tell each other what
+//! theirs showed.
 
 use crate::domain;
 use crate::time::Millis;
@@ -13,8 +14,8 @@
 const GAIN_USUAL: f64 = 0.03;
 /// Weight of one stream in what is known of its engine.
 const GAIN: f64 = 0.08;
-/// Time in which what is known of an engine fades by half, in milliseconds: one that is avoided has few
-/// streams to show that it has become faster.
+/// Time in which what is known of an engine fades by half, in milliseconds: one that is avoided has
+/// few streams to show that it has become faster.
 const HALF_LIFE_MS: f64 = 60_000.0;
 /// The most that streams may show, as a factor.
 const FACTOR_MAX: f64 = 8.0;
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -1,4 +1,5 @@
-//! Placement among model engines: long prompts, cached prefixes, distance, failures and old reports.
+//! Placement among model engines: long prompts, cached prefixes, distance, failures and old
+//! reports.
 
 use policy::engine::{Ask, Engine, choose};
 
--- a/crates/policy/tests/escalate.rs
+++ b/crates/policy/tests/escalate.rs
@@ -84,8 +84,8 @@
     poor_count / REQUESTS as f64
 }
 
-/// Guards against poor answers while engines are idle: with hundreds of hosts, each has few requests
-/// and too few repeats to replace a small model's answers.
+/// Guards against poor answers while engines are idle: with hundreds of hosts, each has few
+/// requests and too few repeats to replace a small model's answers.
 #[test]
 fn should_start_with_largest_where_hosts_have_few_requests() {
     for hosts in [100, 300, 1_000] {
--- a/crates/policy/tests/gain.rs
+++ b/crates/policy/tests/gain.rs
@@ -74,9 +74,9 @@
     (right / 4_000.0, time_ms / 4_000.0)
 }
 
-/// Two in five answers of the small model have low confidence, and the largest model keeps an engine
-/// busy ten times as long. Asking the middle model where it suffices must save engine time without
-/// poorer answers.
+/// Two in five answers of the small model have low confidence, and the largest model keeps an
+/// engine busy ten times as long. Asking the middle model where it suffices must save engine time
+/// without poorer answers.
 #[test]
 fn choose_saves_engine_time() {
     let largest = simulate(|_, _| 1);
--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/pace.rs
@@ -17,8 +17,8 @@
     assert!(!is_slow(pace, 28.0), "{pace}");
 }
 
-/// Guards against completing the roll-out of a slow version: few of its streams end in time, so they
-/// must be judge before their end.
+/// Guards against completing the roll-out of a slow version: few of its streams end in time, so
+/// they must be judge before their end.
 #[test]
 fn record_slow_stream_is_judged_before_its_end() {
     assert!(is_slow(judge(&[800.0; 5]).unwrap(), 100.0));
--- a/crates/policy/tests/patience.rs
+++ b/crates/policy/tests/patience.rs
@@ -1,4 +1,4 @@
-//! How long answers are waited for, and what one slow answer does to that.
+//! Latency estimates and timeouts, and their recovery from one slow answer.
 
 use policy::patience::Patience;
 use policy::time::Millis;
@@ -12,29 +12,29 @@
 }
 
 #[test]
-fn wait_ms_nothing_known() {
+fn timeout_ms_without_samples_is_max() {
     assert_eq!(Patience::default().wait_ms(60.0, 300.0), 300.0);
 }
 
 #[test]
-fn wait_ms_steady_answers() {
+fn timeout_ms_follows_steady_answers_down_to_min() {
     assert!(steady(20.0).wait_ms(10.0, 300.0) < 30.0);
     assert_eq!(steady(20.0).wait_ms(60.0, 300.0), 60.0);
 }
 
 #[test]
-fn wait_ms_grows_with_cuts() {
+fn timeout_ms_grows_with_abandoned_answers() {
     let mut patience = steady(20.0);
     let before = patience.wait_ms(10.0, 3_000.0);
     (0..20).for_each(|step| patience.note_cut(200.0, START + 60 + step));
     assert!(patience.wait_ms(10.0, 3_000.0) > before * 5.0);
 }
 
-/// The larger model's first answer takes 1.4 s. Doubtful answers are then kept from it, so no
-/// second answer can show that it is usually faster; the caller gets poor answers for the rest of
-/// the day. The estimate must lose its weight by itself.
+/// Guards against one slow answer deciding for good. A larger model's first answer takes 1.4 s, so
+/// no further answers are escalated to it, and no sample can show that it is usually faster;
+/// callers would get poor answers for the rest of the day. The estimate must decay without samples.
 #[test]
-fn faded_ms_slow_first_answer() {
+fn decayed_mean_ms_slow_first_answer_loses_weight() {
     let mut patience = Patience::default();
     patience.note(1_400.0, START);
     assert!(patience.faded_ms(500.0, START + 10) > 1_300.0);
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placement: only servers that take work, affinity within bounds, no herd on an old report.
+//! Placement: only available servers, affinity within bounds, and no herding on an old report.
 
 use policy::place::{Report, Server, choose, choose_except, hash, mix};
 use policy::time::Millis;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn choose_none_usable() {
+fn choose_only_available_servers() {
     let mut two = servers(2);
     two[0].draining = true;
     two[1].ill_until = NOW + 1;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn choose_affinity_keeps_to_one() {
+fn choose_affinity_is_independent_of_the_draw() {
     let many = servers(20);
     let prefix = hash(b"the same prompt");
     let first = choose(&many, Some(prefix), 1, NOW);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn choose_affinity_spills_over_bound() {
+fn choose_affinity_is_ignored_above_the_load_bound() {
     let mut many = servers(20);
     let prefix = hash(b"the same prompt");
     let first = choose(&many, Some(prefix), 1, NOW).unwrap();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn choose_affinity_survives_a_leaving_server() {
+fn choose_draining_server_moves_only_its_own_prefixes() {
     let mut many = servers(20);
     let prefixes: Vec<u64> = (0..200).map(mix).collect();
     let place = |servers: &[Server], prefix: &u64| choose(servers, Some(*prefix), 1, NOW).unwrap();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn choose_except_is_last_resort() {
+fn choose_except_uses_the_excepted_server_only_alone() {
     let one = servers(1);
     assert_eq!(choose_except(&one, Some(0), None, 1, NOW), Some(0));
     let two = servers(2);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn load_fades_with_age_of_report() {
+fn load_weighs_reports_by_age() {
     let report = |at| Some(Report { in_flight: 10, slots: 8, at });
     let fresh = Server { report: report(NOW), in_flight: 2, ..Server::new("a") };
     let old = Server { report: report(NOW - 8_000), ..fresh.clone() };
@@ -64,9 +64,9 @@
     assert!(old.load(NOW) < 4.0 && old.load(NOW) >= 2.0);
 }
 
-/// Callers see waits though servers are idle. Six entry hosts read the same report, two seconds
-/// old, in which one server is idle; each sends its next requests to that one. Drawing two and
-/// counting one's own requests spreads them, whatever the report says.
+/// Guards against herding, which makes callers wait while servers are idle: six entry hosts read
+/// the same report, two seconds old, in which one server is idle. Two random choices and the count
+/// of own requests must spread their requests.
 #[test]
 fn choose_six_hosts_do_not_herd() {
     let mut hosts = vec![servers(20); 6];
--- a/crates/policy/tests/prefill.rs
+++ b/crates/policy/tests/prefill.rs
@@ -1,25 +1,25 @@
-//! How fast engines read prompts: learnt from answers, some of which waited for other prompts.
+//! Prefill speed learnt from answers, some of which waited for other prompts.
 
 use policy::prefill::Speed;
 
 #[test]
-fn tokens_per_ms_first_answer_replaces_guess() {
+fn tokens_per_ms_first_answer_replaces_initial_speed() {
     let mut speed = Speed::default();
     speed.note(500.0, 0.0, 10_000.0);
     assert_eq!(speed.tokens_per_ms(), 20.0);
 }
 
 #[test]
-fn tokens_per_ms_short_prompts_say_nothing() {
+fn tokens_per_ms_ignores_short_prompts() {
     let mut speed = Speed::default();
-    let guess = speed.tokens_per_ms();
+    let initial = speed.tokens_per_ms();
     (0..50).for_each(|_| speed.note(40.0, 0.0, 600.0));
-    assert_eq!(speed.tokens_per_ms(), guess);
+    assert_eq!(speed.tokens_per_ms(), initial);
 }
 
 #[test]
-fn tokens_per_ms_slow_model_is_found_soon() {
-    // The first answer came from an engine's cache and showed ten times the speed.
+fn tokens_per_ms_adapts_to_a_slow_model() {
+    // The first answer used an engine's prefix cache and showed ten times the speed.
     let mut speed = Speed::default();
     speed.note(50.0, 0.0, 10_000.0);
     (0..40).for_each(|_| speed.note(500.0, 0.0, 10_000.0));
@@ -27,10 +27,10 @@
 }
 
 #[test]
-fn tokens_per_ms_waits_among_answers() {
-    // A busy hour: every third answer waited for prompts of other hosts that nobody announced, every
-    // fifth for some that were known. Neither may make the model look much slower than it is: its
-    // prompts would be believed to keep engines for longer than they do.
+fn tokens_per_ms_is_little_affected_by_waits() {
+    // Under high load, every third answer waits for unannounced prompts of other hosts, and every
+    // fifth for known prompts. Neither may make the model seem much slower than it is, or its
+    // prompts would be believed to keep engines busy for longer than they do.
     let mut speed = Speed::default();
     for answer in 0..200 {
         let (waited_ms, unknown_ms) = match answer {
--- a/crates/policy/tests/slowdown.rs
+++ b/crates/policy/tests/slowdown.rs
@@ -99,8 +99,8 @@
     heard_per_s: f64,
 }
 
-/// Hosts before as many engines, a third of which take two and a half times as long; each reads one prompt
-/// after another. A host hears an engine's load with its own answers only.
+/// Hosts before as many engines, a third of which take two and a half times as long; each reads one
+/// prompt after another. A host hears an engine's load with its own answers only.
 fn play(hosts: usize, knowing: Knowing, seed: u64) -> Outcome {
     const SECONDS: f64 = 20.0;
     const OBJECTIVE_MS: f64 = 1_500.0;
@@ -181,8 +181,8 @@
     Outcome { late: late / all, told: told / all, heard_per_s }
 }
 
-/// Streams that pause and prompts that wait at the slow third of the engines: each of many hosts learns
-/// too late which those are, unless they tell each other.
+/// Streams that pause and prompts that wait at the slow third of the engines: each of many hosts
+/// learns too late which those are, unless they tell each other.
 #[test]
 fn choose_slow_engines_get_less() {
     let late = |knowing| (1..=3).map(|seed| play(40, knowing, seed).late).sum::<f64>() / 3.0;
