--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -192,7 +192,7 @@
     /// It answered on a connection that works.
     pub fn note_success(&self, now: Millis) {
         let mut health = self.lock();
-        health.probe.proven();
+        health.probe.mark_healthy();
         health.worked_at = now;
     }
 
@@ -205,7 +205,7 @@
     /// An old connection of it went silent or broke: that speaks against the connection, so
     /// the others of its age are closed too, and the server is tried on a new one.
     pub fn note_suspicion(&self) {
-        self.lock().probe.suspected();
+        self.lock().probe.mark_suspect();
         self.retire(true);
     }
 
@@ -215,7 +215,7 @@
         // Others that were under way when it was found ill say nothing new. Were each to double the time,
         // a second of silence would keep a busy server out for half a minute.
         if health.probe.ill_until <= now {
-            health.probe.failed(now);
+            health.probe.record_failure(now);
         }
         drop(health);
         self.retire(true);
@@ -228,7 +228,7 @@
         health.others = load.in_flight.saturating_sub(self.in_flight.load(Ordering::Relaxed));
         health.load = load;
         health.load_at = now;
-        health.probe.proven();
+        health.probe.mark_healthy();
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Health> {
--- a/crates/experiment/src/host.rs
+++ b/crates/experiment/src/host.rs
@@ -8,7 +8,7 @@
 use gateway::state::Peers;
 use gateway::timing::Timing;
 use gateway::wait::STREAM_BUSY;
-use policy::engine::{self, Ask, Engine};
+use policy::engine::{self, Demand, Engine};
 use policy::place::mix;
 use policy::precedence::Request;
 use policy::prefill::Speed;
@@ -98,7 +98,7 @@
         way.order.place(&Request {
             read_ms: f64::from(kind.prompt_tokens) / self.speed.tokens_per_ms(),
             priority: kind.priority,
-            is_again: tries.sent > 0,
+            is_repeat: tries.sent > 0,
             is_resumed: received > 0,
         })
     }
@@ -111,8 +111,8 @@
 
     /// An answer began; what it says of the engines' speed and of the kind.
     pub fn began(&mut self, kind: usize, ms: f64, wait_ms: f64, tokens: f64, now: Millis) {
-        self.timings[kind].first.note(ms, now);
-        self.speed.note(ms, wait_ms, tokens);
+        self.timings[kind].first.record(ms, now);
+        self.speed.record(ms, wait_ms, tokens);
     }
 
     /// The engine that a request goes to.
@@ -163,9 +163,9 @@
         takes_work.filter_map(|view| view.per_second(now)).sum()
     }
 
-    fn ask(&self, (index, kind): (usize, &Kind), received: u32) -> Ask {
+    fn ask(&self, (index, kind): (usize, &Kind), received: u32) -> Demand {
         let objective = kind.objective_ms as f64;
-        Ask {
+        Demand {
             prompt: f64::from(kind.prompt_tokens + received),
             shared: 0.0,
             tokens_per_ms: self.speed.tokens_per_ms(),
@@ -244,7 +244,7 @@
     /// An engine was left, since it said nothing.
     pub fn was_left(&mut self, (index, kind): (usize, &Kind), now: Millis) {
         let waited = kind.objective_ms as f64 * STREAM_BUSY;
-        self.timings[index].first.note_cut(waited, now);
+        self.timings[index].first.record_abandoned(waited, now);
     }
 
     /// What to do about an engine that has said nothing for a time; none if it is waited for to the
@@ -261,18 +261,18 @@
         let first = self.timings[index].first.mean_ms(0.0);
         let objective = kind.objective_ms as f64;
         let (bounds, useful_ms): (&Bounds, f64) = match () {
-            () if current.has_begun => (&silence::BETWEEN, kind.gap_ms as f64),
+            () if current.has_begun => (&silence::BETWEEN_EVENTS, kind.gap_ms as f64),
             () if tries.sent + 1 >= self.attempts_max => return None,
-            () if first > objective * STREAM_BUSY => (&silence::FIRST_BUSY, objective),
-            () => (&silence::FIRST, objective),
+            () if first > objective * STREAM_BUSY => (&silence::FIRST_BYTE_BUSY, objective),
+            () => (&silence::FIRST_BYTE, objective),
         };
         let heard_ms = now.since(self.views[current.engine].heard_at);
-        Some(silence::act(bounds, &Silence { silent_ms, useful_ms, heard_ms }))
+        Some(silence::decide(bounds, &Silence { silent_ms, useful_ms, heard_ms }))
     }
 }
 
 /// The engine chosen, as an index into those known.
-fn pick(pick: Pick, known: &[Engine], ask: &Ask, draw: u64) -> Option<usize> {
+fn pick(pick: Pick, known: &[Engine], ask: &Demand, draw: u64) -> Option<usize> {
     let count = known.len() as u64;
     let any = |salt: u64| (mix(draw ^ salt) % count.max(1)) as usize;
     let lighter = |a: &usize, b: &usize| known[*a].load().total_cmp(&known[*b].load());
--- a/crates/experiment/src/host/view.rs
+++ b/crates/experiment/src/host/view.rs
@@ -86,7 +86,7 @@
             own: self.own,
             reported: self.reported,
             own_then: self.own_then,
-            report_age_ms: engine::age(self.reported_at, now),
+            report_age_ms: engine::age_ms(self.reported_at, now),
             slots: self.slots,
             wait_ms: self.backlog.wait_ms(rank, now),
             cached: 0.0,
@@ -114,7 +114,7 @@
         self.reported = load;
         self.own_then = self.own;
         self.reported_at = now;
-        self.health.reported(now);
+        self.health.record_report(now);
     }
 
     /// An answer began.
@@ -133,14 +133,14 @@
         self.suspicion.note(failed, now);
         if !failed {
             self.timeouts = 0;
-            self.health.proven();
+            self.health.mark_healthy();
         }
     }
 
     /// It refuses connections.
     pub fn refused(&mut self, now: Millis) {
         self.suspicion.note(true, now);
-        self.health.failed(now);
+        self.health.record_failure(now);
     }
 
     /// A connection to it timed out.
@@ -148,7 +148,7 @@
         self.suspicion.note(true, now);
         self.timeouts += 1;
         if self.timeouts >= TIMEOUTS_TO_ILL {
-            self.health.failed(now);
+            self.health.record_failure(now);
         }
     }
 }
--- a/crates/experiment/src/run/carry.rs
+++ b/crates/experiment/src/run/carry.rs
@@ -140,7 +140,7 @@
         let ms = (self.now - current.sent) as f64 / 1_000.0;
         host.views[current.engine].left(current.number);
         host.views[current.engine].note(false, now);
-        host.timings[kind.0].whole.note(ms, now);
+        host.timings[kind.0].whole.record(ms, now);
         let outcome = self.requests[request].answered(kind.1.objective_ms, kind.1.gap_ms);
         self.end(request, outcome);
     }
--- a/crates/experiment/src/way.rs
+++ b/crates/experiment/src/way.rs
@@ -79,7 +79,7 @@
     #[must_use]
     pub fn place(self, request: &Request) -> u8 {
         match self {
-            Self::Ours => precedence::place(request),
+            Self::Ours => precedence::rank(request),
             Self::Came => UNNAMED,
         }
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -121,9 +121,9 @@
     check(job, &head, &said)?;
     if job.timed(backend) {
         let (timing, now) = (job.timing(), clock::steady());
-        job.state.timings.with(timing, |timing| timing.first.note(first_ms, now));
+        job.state.timings.with(timing, |timing| timing.first.record(first_ms, now));
         job.state.speeds.with(job.speed(job.tries.model), |speed| {
-            speed.note(first_ms / seen.slowdown, seen.wait_ms, tokens);
+            speed.record(first_ms / seen.slowdown, seen.wait_ms, tokens);
         });
     }
     Ok(Reply {
--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -14,7 +14,7 @@
 use policy::name::Name;
 use policy::place;
 use policy::rejection::{self, Room};
-use policy::slowdown::{Shown, Slowdown};
+use policy::slowdown::{Observation, Slowdown};
 use policy::suspicion::Suspicion;
 use policy::throttle::Place;
 use policy::time::Millis;
@@ -259,8 +259,8 @@
     }
 
     /// Streams of it were seen, by this host or by another one.
-    pub fn note_streams(&self, shown: Shown, now: Millis) {
-        self.lock().slowdown.note(shown, now);
+    pub fn note_streams(&self, shown: Observation, now: Millis) {
+        self.lock().slowdown.record(shown, now);
     }
 
     /// Its load as reported with an answer.
--- a/crates/gateway/src/backend/look.rs
+++ b/crates/gateway/src/backend/look.rs
@@ -70,7 +70,7 @@
             useful_ms,
             heard_ms: clock::steady().since(self.heard_at()),
         };
-        match silence::act(bounds, &silence) {
+        match silence::decide(bounds, &silence) {
             Action::Wait(ms) => Some(Duration::from_secs_f64(ms / 1_000.0)),
             Action::Probe if self.takes_connections().await => Some(LOOK),
             Action::Probe | Action::Leave => None,
--- a/crates/gateway/src/blame.rs
+++ b/crates/gateway/src/blame.rs
@@ -125,7 +125,7 @@
                 if failure == Failure::Lost(Cause::Silent) && self.timed(backend) {
                     let waited = self.route().objective_ms as f64 * STREAM_BUSY;
                     self.state.timings.with(self.timing(), |timing| {
-                        timing.first.note_cut(waited, now);
+                        timing.first.record_abandoned(waited, now);
                     });
                 }
             }
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -182,10 +182,10 @@
         let request = precedence::Request {
             read_ms: f64::from(self.ask.prompt_tokens) / self.tokens_per_ms(self.tries.model),
             priority: self.priority,
-            is_again: self.tries.sent > 0,
+            is_repeat: self.tries.sent > 0,
             is_resumed: self.ask.last_event.is_some(),
         };
-        is_engine.then(|| precedence::place(&request))
+        is_engine.then(|| precedence::rank(&request))
     }
 }
 
--- a/crates/gateway/src/judge.rs
+++ b/crates/gateway/src/judge.rs
@@ -14,7 +14,7 @@
 use policy::canary::{self, Sign};
 use policy::escalate::{self, Doubt};
 use policy::gain;
-use policy::patience::Patience;
+use policy::latency::Latency;
 use policy::poison::Answer;
 use wire::routing::Kind;
 
@@ -125,7 +125,9 @@
         }
         if self.timed(&backend) {
             let ms = sent_at.elapsed().as_secs_f64() * 1_000.0;
-            self.state.timings.with(self.timing(), |timing| timing.whole.note(ms, clock::steady()));
+            self.state
+                .timings
+                .with(self.timing(), |timing| timing.whole.record(ms, clock::steady()));
         }
         if !head.status.is_server_error() {
             self.note_version(&backend, Some(sent_at.elapsed().as_secs_f64() * 1_000.0));
@@ -148,7 +150,7 @@
         let larger = self.larger(reply.said.confidence?, self.delay());
         let doubt = self.doubt(larger, reply.said.confidence);
         let has_place = pick::has_server(self) || self.has_host();
-        let may_ask = escalate::escalate(&doubt) && has_place;
+        let may_ask = escalate::should_escalate(&doubt) && has_place;
         (may_ask && self.take_spare_repeat()).then_some(larger)
     }
 
@@ -159,7 +161,7 @@
         if largest == 0 || !self.route().kind.may_repeat() || self.has_spare_repeat() {
             return;
         }
-        if escalate::begins_with_largest(&self.doubt(largest, None)) {
+        if escalate::should_start_with_largest(&self.doubt(largest, None)) {
             self.tries.model = largest;
         }
     }
@@ -168,7 +170,7 @@
     fn doubt(&self, larger: usize, confidence: Option<u8>) -> Doubt {
         let objective_ms = self.route().objective_ms as f64;
         let timing = self.state.timings.with(&self.known.timings[larger], |timing| *timing);
-        let usual_ms = timing.first.faded_ms(objective_ms / 4.0, clock::steady());
+        let usual_ms = timing.first.decayed_mean_ms(objective_ms / 4.0, clock::steady());
         // A prompt far longer than usual keeps an engine for seconds, and all that wait there.
         let read_ms = f64::from(self.ask.prompt_tokens) / self.tokens_per_ms(larger);
         Doubt {
@@ -185,7 +187,7 @@
     /// How long callers wait for streams to begin lately, as a part of their objective.
     fn delay(&self) -> f64 {
         let now = clock::steady();
-        self.state.delays.with(&self.service, |delay| delay.faded_ms(0.0, now))
+        self.state.delays.with(&self.service, |delay| delay.decayed_mean_ms(0.0, now))
     }
 
     /// The larger model that is asked after a doubtful answer.
@@ -206,7 +208,7 @@
         if let (Some(small), Some(larger), Some(model)) =
             (self.tries.doubted, reply.said.confidence, self.model())
         {
-            self.state.gains.with(model, |gain| gain.note(small, larger));
+            self.state.gains.with(model, |gain| gain.record(small, larger));
         }
     }
 
@@ -216,7 +218,7 @@
         self.tries.begun_ms = waited as u64;
         self.tries.is_passed_on = true;
         let part = waited / self.route().objective_ms.max(1) as f64;
-        self.state.delays.with(&self.service, |delay| delay.note(part, clock::steady()));
+        self.state.delays.with(&self.service, |delay| delay.record(part, clock::steady()));
     }
 
     /// Counts an answer for the roll-out under way: the time that it took, of a stream for each of
@@ -249,7 +251,7 @@
         if backend.is_host {
             return;
         }
-        let shown = self.state.timings.with(self.timing(), |timing| timing.best.note(pace_ms));
+        let shown = self.state.timings.with(self.timing(), |timing| timing.best.record(pace_ms));
         backend.note_streams(shown, clock::steady());
         if backend.near {
             self.state.paces.note(&backend.id, shown);
@@ -266,14 +268,14 @@
         &self,
         backend: &Backend,
         ms: f64,
-        of: impl FnOnce(&mut Timing) -> &mut Patience,
+        of: impl FnOnce(&mut Timing) -> &mut Latency,
     ) -> Sign {
         let is_usual = self.timed(backend);
         let usual_ms = self.state.timings.with(self.timing(), |timing| {
             let usual = of(timing);
             let before = usual.mean_ms(f64::INFINITY);
             if is_usual {
-                usual.note(ms, clock::steady());
+                usual.record(ms, clock::steady());
             }
             before
         });
--- a/crates/gateway/src/paces.rs
+++ b/crates/gateway/src/paces.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 
 use policy::name::Name;
-use policy::slowdown::Shown;
+use policy::slowdown::Observation;
 
 policy::domain! {
     /// What streams of one engine showed, as other hosts are notified of it.
@@ -12,20 +12,20 @@
         /// The backend server's start.
         pub backend: Name,
         /// What they showed.
-        pub shown: Shown,
+        pub shown: Observation,
     }
 }
 
 /// By backend server.
 #[derive(Default)]
-pub struct Paces(Mutex<HashMap<Name, Shown>>);
+pub struct Paces(Mutex<HashMap<Name, Observation>>);
 
 impl Paces {
     /// A stream of a backend server has ended.
-    pub fn note(&self, backend: &Name, shown: Shown) {
+    pub fn note(&self, backend: &Name, shown: Observation) {
         let mut paces = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let held = paces.entry(backend.clone()).or_default();
-        *held = held.and(shown);
+        *held = held.merge(shown);
     }
 
     /// What the others have not been notified of yet.
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -4,9 +4,9 @@
 
 use entry::clock;
 use policy::canary;
-use policy::engine::{self, Ask, Engine};
+use policy::engine::{self, Demand, Engine};
 use policy::name::Name;
-use policy::peak;
+use policy::packing;
 use policy::place::mix;
 use policy::sample;
 use policy::time::Millis;
@@ -102,7 +102,7 @@
         return backends;
     }
     let expected = pool.expected_on_trial(rand::random(), now);
-    match peak::next(&engines(job, backends, None, now), expected, rand::random()) {
+    match packing::next(&engines(job, backends, None, now), expected, rand::random()) {
         Some(next) => &backends[next..=next],
         None => backends,
     }
@@ -141,7 +141,7 @@
                 own: backend.server.in_flight.load(std::sync::atomic::Ordering::Relaxed),
                 reported: seen.reported,
                 own_then: seen.own_then,
-                report_age_ms: engine::age(seen.reported_at, now),
+                report_age_ms: engine::age_ms(seen.reported_at, now),
                 slots: backend.slots,
                 wait_ms: seen.wait_ms,
                 cached: seen.cached,
@@ -159,11 +159,11 @@
     !job.ask.parts.is_empty()
 }
 
-fn ask<C: Codec>(job: &Job<C>) -> Ask {
+fn ask<C: Codec>(job: &Job<C>) -> Demand {
     let timing = job.state.timings.with(job.timing(), |timing| *timing);
     let objective = job.route().objective_ms as f64;
     let shared = job.ask.parts.split_last().map_or(&[][..], |(_, shared)| shared);
-    Ask {
+    Demand {
         prompt: f64::from(job.ask.prompt_tokens),
         shared: shared.iter().map(|part| f64::from(part.tokens)).sum(),
         tokens_per_ms: job.tokens_per_ms(job.tries.model),
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -6,7 +6,7 @@
 
 use policy::canary::{self, Stage};
 use policy::name::Name;
-use policy::peak;
+use policy::packing;
 use policy::place::mix;
 use policy::sample::{self, FAR_MAX, NEAR_MAX};
 use policy::time::Millis;
@@ -220,7 +220,7 @@
         let before = &self.members(&self.base)?.all;
         let drawn = sample::draw(before.len(), NEAR_MAX, seed);
         let reported = drawn.filter_map(|index| before[index].reported());
-        peak::expected(share, before.len(), reported)
+        packing::expected(share, before.len(), reported)
     }
 
     /// Backend servers of a version that requests are sent to now.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -155,7 +155,7 @@
         let now = Instant::now();
         let Some(before) = self.came.replace(now) else { return };
         let ms = now.saturating_duration_since(before).as_secs_f64() * 1_000.0;
-        if let Some(pace_ms) = self.pace.note(events, ms) {
+        if let Some(pace_ms) = self.pace.record(events, ms) {
             self.counted = job.note_pace(&self.backend, pace_ms);
         }
     }
@@ -186,7 +186,8 @@
         let until = tokio::time::Instant::from(job.until);
         let Self { body, backend, forwarding, splitter, .. } = self;
         let mut lost = std::pin::pin!(lost(forwarding.as_ref(), splitter.last()));
-        let mut wait = backend.tolerates(&silence::BETWEEN, since.elapsed(), useful_ms).await;
+        let mut wait =
+            backend.tolerates(&silence::BETWEEN_EVENTS, since.elapsed(), useful_ms).await;
         loop {
             let limit = until.min(tokio::time::Instant::now() + wait.unwrap_or_default());
             let framed = tokio::select! {
@@ -205,7 +206,7 @@
                 Err(_) => {}
             }
             let silent = since.elapsed();
-            wait = match backend.tolerates(&silence::BETWEEN, silent, useful_ms).await {
+            wait = match backend.tolerates(&silence::BETWEEN_EVENTS, silent, useful_ms).await {
                 None if job.leave(backend) => return Err(Cause::Silent),
                 None => Some(job.left()),
                 still => still,
@@ -316,12 +317,12 @@
             false => poison::Answer::Unframed,
         });
         let ms = live.sent_at.elapsed().as_secs_f64() * 1_000.0;
-        if !live.pace.is_known() {
+        if !live.pace.is_judged() {
             job.note_version(&live.backend, Some(ms / f64::from(live.passed.events.max(1))));
         }
         if job.timed(&live.backend) {
             let now = clock::steady();
-            job.state.timings.with(job.timing(), |timing| timing.whole.note(ms, now));
+            job.state.timings.with(job.timing(), |timing| timing.whole.record(ms, now));
         }
     }
     if end == End::CallerGone {
--- a/crates/gateway/src/shed.rs
+++ b/crates/gateway/src/shed.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-use policy::overload::{Overload, TICK};
+use policy::overload::{Overload, SAMPLE_INTERVAL};
 use policy::time::Millis;
 use tokio_util::task::TaskTracker;
 
@@ -66,13 +66,13 @@
     pub async fn follow_delay(self: Arc<Self>, standing_ms: f64) {
         let mut overload = Overload::new(standing_ms);
         loop {
-            let due = Instant::now() + TICK;
+            let due = Instant::now() + SAMPLE_INTERVAL;
             tokio::time::sleep_until(due.into()).await;
             let late_ms = due.elapsed().as_secs_f64() * 1_000.0;
-            let has_turned = overload.tick(late_ms);
-            self.shed.closed.store(overload.closed().to_bits(), Ordering::Relaxed);
+            let has_turned = overload.record(late_ms);
+            self.shed.closed.store(overload.closed_share().to_bits(), Ordering::Relaxed);
             if has_turned {
-                let closed = overload.closed();
+                let closed = overload.closed_share();
                 metrics::gauge!("gateway_connections_closed_part").set(closed);
                 log::info!(target: "route", late_ms, closed, open = self.shed.connections.len();
                     "new connections closed unread or no longer");
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwap;
 use entry::sharded::Sharded;
 use policy::gain::Gain;
-use policy::patience::Patience;
+use policy::latency::Latency;
 use policy::place::mix;
 use policy::prefill::Speed;
 use policy::rejection::Tolerance;
@@ -75,7 +75,7 @@
     /// How much more confidence models have than the smallest of a route, by model.
     pub gains: Sharded<Gain>,
     /// How long callers wait for streams to begin lately, as parts of their objectives, by service.
-    pub delays: Sharded<Patience>,
+    pub delays: Sharded<Latency>,
     /// Rejected requests that servers tolerate which fall over beyond that, by service.
     pub tolerances: Sharded<Tolerance>,
     /// How versions under roll-out answer.
--- a/crates/gateway/src/wait.rs
+++ b/crates/gateway/src/wait.rs
@@ -33,12 +33,12 @@
         let silent = since.elapsed();
         if route.kind == Kind::Idempotent {
             let left_ms = (silent + self.left()).as_secs_f64() * 1_000.0;
-            let wait = first.wait_ms(PLAIN_WAIT_MS, left_ms * PLAIN_PART);
+            let wait = first.timeout_ms(PLAIN_WAIT_MS, left_ms * PLAIN_PART);
             return Duration::from_secs_f64(wait / 1_000.0).checked_sub(silent);
         }
         let bounds = match first.mean_ms(0.0) > objective * STREAM_BUSY {
-            true => silence::FIRST_BUSY,
-            false => silence::FIRST,
+            true => silence::FIRST_BYTE_BUSY,
+            false => silence::FIRST_BYTE,
         };
         backend.tolerates(&bounds, silent, objective).await
     }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -53,7 +53,7 @@
 
     /// What a request needs from an engine, and the costs to weigh.
     #[derive(Copy)]
-    pub struct Ask {
+    pub struct Demand {
         /// Length of the prompt, in tokens.
         pub prompt: f64,
         /// Length of the prompt's prefix that other requests share, in tokens.
@@ -88,41 +88,41 @@
     /// Expected cost of sending the request to this engine: the time until its answer begins, plus
     /// the costs of distance and failure, in milliseconds.
     #[must_use]
-    pub fn cost_ms(&self, ask: &Ask) -> f64 {
+    pub fn cost_ms(&self, demand: &Demand) -> f64 {
         let slots = f64::from(self.slots.max(1));
         let load = self.load();
         let slowdown_factor = 1.0 + self.slowdown;
         let waiting = (load - slots).max(0.0) / slots;
         let cached = match self.preferred {
-            true => self.cached.max(ask.shared * SHARED_CACHED_FRACTION),
+            true => self.cached.max(demand.shared * SHARED_CACHED_FRACTION),
             false => self.cached,
         };
-        let read_ms = (ask.prompt - cached).max(0.0) / ask.tokens_per_ms.max(1e-3);
+        let read_ms = (demand.prompt - cached).max(0.0) / demand.tokens_per_ms.max(1e-3);
         let work_ms = (load / slots).min(1.0) * FULL_BATCH_DELAY_MS
-            + waiting * ask.service_ms * WAITING_SERVICE_FRACTION
+            + waiting * demand.service_ms * WAITING_SERVICE_FRACTION
             + read_ms;
         work_ms * slowdown_factor
             + self.wait_ms
-            + if self.near { 0.0 } else { ask.far_ms }
-            + self.suspicion * ask.failure_ms
+            + if self.near { 0.0 } else { demand.far_ms }
+            + self.suspicion * demand.failure_ms
     }
 }
 
 /// Returns the index of the engine with the least cost, or `None` if there are no engines. `draw`
 /// is a uniform random number that separates equal engines.
 #[must_use]
-pub fn choose(engines: &[Engine], ask: &Ask, draw: u64) -> Option<usize> {
+pub fn choose(engines: &[Engine], demand: &Demand, draw: u64) -> Option<usize> {
     let tie_break = |index: usize| {
         TIE_BREAK_MAX_MS * (mix(draw.wrapping_add(index as u64)) >> 11) as f64
             / (1_u64 << 53) as f64
     };
     let costs = engines.iter().enumerate();
-    let costs = costs.map(|(index, engine)| (index, engine.cost_ms(ask) + tie_break(index)));
+    let costs = costs.map(|(index, engine)| (index, engine.cost_ms(demand) + tie_break(index)));
     costs.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(index, _)| index)
 }
 
 /// Milliseconds since `at`; `None` if `at` is 0, which stands for never.
 #[must_use]
-pub fn age(at: Millis, now: Millis) -> Option<u64> {
+pub fn age_ms(at: Millis, now: Millis) -> Option<u64> {
     (at > Millis(0)).then(|| now.since(at))
 }
--- a/crates/policy/src/escalate.rs
+++ b/crates/policy/src/escalate.rs
@@ -70,7 +70,7 @@
 /// host sometimes has none left while engines are idle, and would have to return a poor answer. For
 /// requests that are not urgent the largest model costs more than it is worth.
 #[must_use]
-pub fn begins_with_largest(doubt: &Doubt) -> bool {
+pub fn should_start_with_largest(doubt: &Doubt) -> bool {
     is_in_time(doubt)
         && doubt.delay < IDLE_DELAY_FRACTION
         && threshold(doubt.priority, doubt.delay) > EVEN_ODDS_CONFIDENCE
@@ -82,7 +82,7 @@
 
 /// Whether to drop the small model's answer and ask a larger model.
 #[must_use]
-pub fn escalate(doubt: &Doubt) -> bool {
+pub fn should_escalate(doubt: &Doubt) -> bool {
     let Some(confidence) = doubt.confidence else { return false };
     let in_time = is_in_time(doubt);
     // While engines are idle, a right answer that comes late is still better than a poor one. This
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -110,13 +110,13 @@
 
     /// Lower confidence bound of the share: `z` standard deviations below the mean, at least 0.
     #[must_use]
-    pub fn lower(&self, z: f64, now: Millis) -> f64 {
+    pub fn lower_bound(&self, z: f64, now: Millis) -> f64 {
         (self.mean(now) - z * self.deviation(now)).max(0.0)
     }
 
     /// Upper confidence bound of the share: `z` standard deviations above the mean, at most 1.
     #[must_use]
-    pub fn upper(&self, z: f64, now: Millis) -> f64 {
+    pub fn upper_bound(&self, z: f64, now: Millis) -> f64 {
         (self.mean(now) + z * self.deviation(now)).min(1.0)
     }
 
--- a/crates/policy/src/gain.rs
+++ b/crates/policy/src/gain.rs
@@ -40,7 +40,7 @@
     }
 
     /// Records the confidences of the smallest and of this larger model for the same request.
-    pub fn note(&mut self, small: u8, larger: u8) {
+    pub fn record(&mut self, small: u8, larger: u8) {
         if small == CONFIDENCE_MIN || larger == CONFIDENCE_MAX {
             return;
         }
--- a/crates/policy/src/patience.rs
+++ b/crates/policy/src/latency.rs
@@ -23,7 +23,7 @@
 domain! {
     /// Latency estimate of one kind of request.
     #[derive(Copy, Default)]
-    pub struct Patience {
+    pub struct Latency {
         mean_ms: f64,
         deviation_ms: f64,
         samples: u32,
@@ -32,9 +32,9 @@
     }
 }
 
-impl Patience {
+impl Latency {
     /// Records the latency of an answer, in milliseconds.
-    pub fn note(&mut self, ms: f64, now: Millis) {
+    pub fn record(&mut self, ms: f64, now: Millis) {
         self.at = now;
         match self.samples {
             0 => {
@@ -51,8 +51,8 @@
     }
 
     /// Records that an answer was abandoned after waiting this long, in milliseconds.
-    pub fn note_cut(&mut self, ms: f64, now: Millis) {
-        self.note(ms * ABANDONED_FACTOR, now);
+    pub fn record_abandoned(&mut self, ms: f64, now: Millis) {
+        self.record(ms * ABANDONED_FACTOR, now);
     }
 
     /// Mean latency, in milliseconds; `initial` before the first sample.
@@ -64,14 +64,14 @@
     /// Mean latency after its decay since the last sample, in milliseconds; before the first sample
     /// `initial`, decayed since time 0.
     #[must_use]
-    pub fn faded_ms(&self, initial: f64, now: Millis) -> f64 {
+    pub fn decayed_mean_ms(&self, initial: f64, now: Millis) -> f64 {
         self.mean_ms(initial) * (-(now.since(self.at) as f64) / HALF_LIFE_MS).exp2()
     }
 
     /// Timeout for an answer, between `min` and `max`, in milliseconds; `max` before the first
     /// sample. `min` prevails if it exceeds `max`.
     #[must_use]
-    pub fn wait_ms(&self, min: f64, max: f64) -> f64 {
+    pub fn timeout_ms(&self, min: f64, max: f64) -> f64 {
         let timeout = self.mean_ms + TIMEOUT_DEVIATIONS * self.deviation_ms;
         let timeout = if self.samples == 0 { max } else { timeout };
         timeout.max(min).min(max.max(min))
--- a/crates/policy/src/overload.rs
+++ b/crates/policy/src/overload.rs
@@ -15,7 +15,7 @@
 use crate::domain;
 
 /// Interval between two samples of the delay.
-pub const TICK: Duration = Duration::from_millis(50);
+pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 /// Number of samples in a window, whose minimum delay is compared.
 const WINDOW_SAMPLES: u32 = 4;
 /// Minimum increase of the closed share after a window with a standing delay.
@@ -61,7 +61,7 @@
     }
 
     /// Records the delay of one sample, in milliseconds. Returns whether closing begins or ends.
-    pub fn tick(&mut self, delay_ms: f64) -> bool {
+    pub fn record(&mut self, delay_ms: f64) -> bool {
         self.least_ms = if self.ticks == 0 { delay_ms } else { self.least_ms.min(delay_ms) };
         self.ticks += 1;
         if self.ticks < WINDOW_SAMPLES {
@@ -82,13 +82,13 @@
 
     /// Share of new connections to close unread, 0 to 1.
     #[must_use]
-    pub fn closed(&self) -> f64 {
+    pub fn closed_share(&self) -> f64 {
         self.closed
     }
 
     /// Whether to close a new connection unread; `draw` is a uniform draw from 0 to 1.
     #[must_use]
-    pub fn closes(&self, draw: f64) -> bool {
+    pub fn should_close(&self, draw: f64) -> bool {
         draw < self.closed
     }
 }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -28,30 +28,30 @@
     ///
     /// Returns the pace by which to judge the stream, in milliseconds per event, once: as soon as
     /// enough events have arrived, which is equally early for a good and for a slow stream.
-    pub fn note(&mut self, events: u32, ms: f64) -> Option<f64> {
+    pub fn record(&mut self, events: u32, ms: f64) -> Option<f64> {
         if events == 0 {
             return None;
         }
         let gap_ms = ms / f64::from(events);
         self.best_ms = if self.gaps == 0 { gap_ms } else { gap_ms.min(self.best_ms) };
-        if self.is_known() {
+        if self.is_judged() {
             return None;
         }
         self.shortest_ms = if self.gaps == 0 { gap_ms } else { gap_ms.min(self.shortest_ms) };
         self.gaps += events;
-        self.is_known().then_some(self.shortest_ms)
+        self.is_judged().then_some(self.shortest_ms)
     }
 
     /// Shortest gap between two events so far, in milliseconds; `None` until the stream is judged.
     /// A delay shorter than the stream doesn't lengthen this gap.
     #[must_use]
     pub fn best_ms(&self) -> Option<f64> {
-        self.is_known().then_some(self.best_ms)
+        self.is_judged().then_some(self.best_ms)
     }
 
     /// Whether enough gaps were recorded to judge the stream.
     #[must_use]
-    pub fn is_known(&self) -> bool {
+    pub fn is_judged(&self) -> bool {
         self.gaps >= JUDGED_GAPS
     }
 }
--- a/crates/policy/src/peak.rs
+++ b/crates/policy/src/packing.rs
@@ -33,8 +33,9 @@
 /// Returns the index of the server for a request, or `None` if all servers are believed to be
 /// filled.
 ///
-/// `servers` must be in the same order on all hosts. `expected` is the result of [`expected`]; a
-/// host without it spreads its requests over all servers. `draw` is a uniform draw from 0 to 1.
+/// `servers` must be in the same order on all hosts. `expected` is the result of
+/// [`expected`]; a host without it spreads its requests over all servers. `draw` is a
+/// uniform draw from 0 to 1.
 #[must_use]
 pub fn next(servers: &[Engine], expected: Option<f64>, draw: f64) -> Option<usize> {
     let capacity = |server: &Engine| FILLED_SLOTS_FRACTION * f64::from(server.slots.max(1));
--- a/crates/policy/src/precedence.rs
+++ b/crates/policy/src/precedence.rs
@@ -28,7 +28,7 @@
     /// Urgency of the request; 0 is the most urgent.
     pub priority: u8,
     /// Whether the request was sent before, so that work was already spent on it.
-    pub is_again: bool,
+    pub is_repeat: bool,
     /// Whether the caller has received part of the answer. A pause in an answer counts as late
     /// sooner than the begin of an answer does.
     pub is_resumed: bool,
@@ -36,9 +36,9 @@
 
 /// Rank of a request; the lowest is read first.
 #[must_use]
-pub fn place(request: &Request) -> u8 {
+pub fn rank(request: &Request) -> u8 {
     let length_steps = READ_STEPS_MS.iter().filter(|step| request.read_ms >= **step).count() as u8;
     let penalty = length_steps + request.priority.min(PRIORITY_STEPS_MAX);
-    let bonus = u8::from(request.is_again) + u8::from(request.is_resumed);
+    let bonus = u8::from(request.is_repeat) + u8::from(request.is_resumed);
     (NEW_RANK + penalty - bonus).min(RANK_MAX)
 }
--- a/crates/policy/src/prefill.rs
+++ b/crates/policy/src/prefill.rs
@@ -43,7 +43,7 @@
     /// Records an answer that began `ms` milliseconds after its request was sent. `waited_ms` is
     /// the time that was expected to pass before the engine read its prompt, and `tokens` the
     /// number of uncached tokens in the prompt.
-    pub fn note(&mut self, ms: f64, waited_ms: f64, tokens: f64) {
+    pub fn record(&mut self, ms: f64, waited_ms: f64, tokens: f64) {
         if tokens < PROMPT_TOKENS_MIN {
             return;
         }
--- a/crates/policy/src/probe.rs
+++ b/crates/policy/src/probe.rs
@@ -94,21 +94,21 @@
     }
 
     /// Records that a request was written to the connection.
-    pub fn sent(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.phase = Phase::FirstByte;
         self.used = true;
         self.since = now;
     }
 
     /// Records that part of an answer arrived.
-    pub fn received(&mut self, now: Millis) {
+    pub fn record_received(&mut self, now: Millis) {
         self.phase = Phase::NextBytes;
         self.since = now;
         self.proven = now;
     }
 
     /// Records that the answer ended, which makes the connection idle.
-    pub fn ended(&mut self, now: Millis) {
+    pub fn record_end(&mut self, now: Millis) {
         self.phase = Phase::Idle;
         self.since = now;
         self.proven = now;
@@ -148,12 +148,12 @@
 impl Health {
     /// Records that a connection to the server went silent or broke. Returns whether the caller
     /// must probe the server on a new connection; false while such a probe is pending.
-    pub fn suspected(&mut self) -> bool {
+    pub fn mark_suspect(&mut self) -> bool {
         !std::mem::replace(&mut self.suspect, true)
     }
 
     /// Records that the server answered on a connection opened after the suspicion.
-    pub fn proven(&mut self) {
+    pub fn mark_healthy(&mut self) {
         *self = Self::default();
     }
 
@@ -161,14 +161,14 @@
     ///
     /// A report made after the last failure proves that the server works, as an answer does.
     /// Without this, a server that has recovered would stay unused until `ill_until`.
-    pub fn reported(&mut self, at: Millis) {
+    pub fn record_report(&mut self, at: Millis) {
         if self.failures > 0 && at > self.failed_at {
-            self.proven();
+            self.mark_healthy();
         }
     }
 
     /// Records that a new connection failed too: the server is unhealthy, for longer each time.
-    pub fn failed(&mut self, now: Millis) {
+    pub fn record_failure(&mut self, now: Millis) {
         let ill_ms = ILL_MS.saturating_mul(1 << self.failures.min(16)).min(ILL_MAX_MS);
         self.suspect = false;
         self.failures += 1;
--- a/crates/policy/src/select.rs
+++ b/crates/policy/src/select.rs
@@ -5,7 +5,7 @@
 //! a scan over a few numbers.
 
 pub mod baseline;
-pub mod hull;
+pub mod mixture;
 pub mod outlook;
 
 use crate::domain;
@@ -16,13 +16,13 @@
 use outlook::Outlook;
 
 /// Default number of standard deviations below the mean at which a quality counts as reached.
-pub const CONFIDENCE: f64 = 0.5;
+pub const CONFIDENCE_DEVIATIONS: f64 = 0.5;
 /// Default maximum share of requests spent on exploring cheaper versions, 0 to 1.
 pub const EXPLORED_SHARE: f64 = 0.02;
 /// Factor on the quality of a cascade's second version for requests that the first version answered
 /// badly. The second version is worse on these than on average, since hard requests are hard for
 /// both.
-pub const RESCUE: f64 = 0.85;
+pub const RESCUE_FACTOR: f64 = 0.85;
 /// Number of requests over which the quality target is judged.
 const JUDGED_REQUESTS: f64 = 400.0;
 /// Standard deviations added to a version's mean quality. A version is explored only if the sum
@@ -104,7 +104,7 @@
             may_repeat: false,
             deadline_ms: f64::INFINITY,
             rater: None,
-            confidence: CONFIDENCE,
+            confidence: CONFIDENCE_DEVIATIONS,
             explored_share: EXPLORED_SHARE,
         }
     }
@@ -174,10 +174,10 @@
         for (candidate, share) in candidate_shares(candidates) {
             let share = share.min(remaining);
             let introducing = outlook::introducing(&outlooks, candidates, candidate);
-            table.add_mix(&hull::cheapest(&introducing, target), share, candidates);
+            table.add_mix(&mixture::cheapest(&introducing, target), share, candidates);
             remaining -= share;
         }
-        let main = hull::cheapest(&live, target);
+        let main = mixture::cheapest(&live, target);
         let explored = find_explored(&live, &main, candidates, goal, now);
         for index in &explored {
             let share = remaining * goal.explored_share / explored.len() as f64;
@@ -267,8 +267,8 @@
         let quality = &candidates[outlook.first].quality;
         outlook.then.is_none()
             && outlook.cost < cost
-            && quality.lower(goal.confidence, now) < goal.target
-            && quality.upper(OPTIMISM_DEVIATIONS, now) >= goal.target
+            && quality.lower_bound(goal.confidence, now) < goal.target
+            && quality.upper_bound(OPTIMISM_DEVIATIONS, now) >= goal.target
             && !main.iter().any(|(_, used)| used.first == outlook.first)
     };
     live.iter().enumerate().filter(|(_, o)| is_explored(o)).map(|(index, _)| index).collect()
--- a/crates/policy/src/select/outlook.rs
+++ b/crates/policy/src/select/outlook.rs
@@ -1,6 +1,6 @@
 //! All possible plans, with the expected cost and quality of each.
 
-use super::{Candidate, Goal, Plan, RESCUE, Status};
+use super::{Candidate, Goal, Plan, RESCUE_FACTOR, Status};
 use crate::time::Millis;
 
 /// A plan as indices of its versions, with its expected cost and quality.
@@ -83,7 +83,7 @@
         first,
         then: None,
         cost: candidate.cost,
-        quality: candidate.quality.lower(goal.confidence, now),
+        quality: candidate.quality.lower_bound(goal.confidence, now),
         live: is_live(candidate),
     }
 }
@@ -100,8 +100,8 @@
     if cheap.cost >= better.cost || latency > goal.deadline_ms {
         return None;
     }
-    let good = cheap.quality.lower(goal.confidence, now);
-    let rescued = RESCUE * better.quality.lower(goal.confidence, now);
+    let good = cheap.quality.lower_bound(goal.confidence, now);
+    let rescued = RESCUE_FACTOR * better.quality.lower_bound(goal.confidence, now);
     let escalated = 1.0 - cheap.quality.mean(now);
     Some(Outlook {
         first,
--- a/crates/policy/src/silence.rs
+++ b/crates/policy/src/silence.rs
@@ -36,7 +36,7 @@
         pub heard_ms: u64,
     }
 
-    /// Outcome of [`act`].
+    /// Outcome of [`decide`].
     #[derive(Copy)]
     pub enum Action {
         /// Keep waiting and check again after this time, in milliseconds.
@@ -49,17 +49,17 @@
 }
 
 /// Limits before the first byte of an answer, while the pool begins most answers soon.
-pub const FIRST: Bounds = Bounds { unreachable: 0.35, alive: Some(2.0) };
+pub const FIRST_BYTE: Bounds = Bounds { unreachable: 0.35, alive: Some(2.0) };
 /// Limits before the first byte of an answer, while load makes answers begin late. A server that is
 /// alive is never left then.
-pub const FIRST_BUSY: Bounds = Bounds { unreachable: 0.35, alive: None };
+pub const FIRST_BYTE_BUSY: Bounds = Bounds { unreachable: 0.35, alive: None };
 /// Limits between two events of a stream. An engine short of memory may preempt a request and read
 /// its prompt again, which takes some seconds until the stream continues.
-pub const BETWEEN: Bounds = Bounds { unreachable: 0.5, alive: Some(4.0) };
+pub const BETWEEN_EVENTS: Bounds = Bounds { unreachable: 0.5, alive: Some(4.0) };
 
 /// Decides what to do about a silent server.
 #[must_use]
-pub fn act(bounds: &Bounds, silence: &Silence) -> Action {
+pub fn decide(bounds: &Bounds, silence: &Silence) -> Action {
     let has_passed = |limit: f64| silence.silent_ms >= limit * silence.useful_ms;
     match bounds.alive {
         _ if !has_passed(bounds.unreachable) => {
--- a/crates/policy/src/slowdown.rs
+++ b/crates/policy/src/slowdown.rs
@@ -25,14 +25,14 @@
 domain! {
     /// Usual pace of streams of one kind, as a moving average.
     #[derive(Copy, Default)]
-    pub struct Usual {
+    pub struct UsualPace {
         /// Logarithm of the milliseconds per event; `None` before the first stream.
         log_ms: Option<f64>,
     }
 
     /// Observation of one or more streams of one engine.
     #[derive(Copy, Default)]
-    pub struct Shown {
+    pub struct Observation {
         /// Number of streams.
         pub streams: u32,
         /// Mean logarithm of the factors by which the streams were slower than usual.
@@ -48,23 +48,23 @@
     }
 }
 
-impl Usual {
+impl UsualPace {
     /// Records a stream's pace, in milliseconds per event, and returns the observation of its
     /// engine.
-    pub fn note(&mut self, pace_ms: f64) -> Shown {
+    pub fn record(&mut self, pace_ms: f64) -> Observation {
         let log_ms = pace_ms.max(f64::MIN_POSITIVE).ln();
         let usual = *self.log_ms.get_or_insert(log_ms);
         let max = FACTOR_MAX.ln();
         let log_factor = (log_ms - usual).clamp(-max, max);
         self.log_ms = Some(usual + USUAL_PACE_WEIGHT * log_factor);
-        Shown { streams: 1, log_factor }
+        Observation { streams: 1, log_factor }
     }
 }
 
-impl Shown {
+impl Observation {
     /// Combines two observations of the same engine, weighted by their streams.
     #[must_use]
-    pub fn and(self, other: Self) -> Self {
+    pub fn merge(self, other: Self) -> Self {
         let streams = self.streams.saturating_add(other.streams);
         let sum = |sample: Self| f64::from(sample.streams) * sample.log_factor;
         Self { streams, log_factor: (sum(self) + sum(other)) / f64::from(streams.max(1)) }
@@ -81,16 +81,16 @@
     }
 
     /// Records an observation of the engine, made by this or another host.
-    pub fn note(&mut self, shown: Shown, now: Millis) {
-        if !shown.log_factor.is_finite() {
+    pub fn record(&mut self, observation: Observation, now: Millis) {
+        if !observation.log_factor.is_finite() {
             return;
         }
         let previous = self.decayed(now);
         let max = FACTOR_MAX.ln();
         let previous_weight =
-            (1.0 - STREAM_WEIGHT).powi(i32::try_from(shown.streams).unwrap_or(i32::MAX));
+            (1.0 - STREAM_WEIGHT).powi(i32::try_from(observation.streams).unwrap_or(i32::MAX));
         self.log_factor = previous_weight * previous
-            + (1.0 - previous_weight) * shown.log_factor.clamp(-max, max);
+            + (1.0 - previous_weight) * observation.log_factor.clamp(-max, max);
         self.at = now;
     }
 
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -1,7 +1,7 @@
 //! Placement among model engines: long prompts, cached prefixes, distance, failures and old
 //! reports.
 
-use policy::engine::{Ask, Engine, choose};
+use policy::engine::{Demand, Engine, choose};
 
 const ENGINE: Engine = Engine {
     own: 0,
@@ -17,7 +17,7 @@
     slowdown: 0.0,
 };
 
-const ASK: Ask = Ask {
+const DEMAND: Demand = Demand {
     prompt: 8_000.0,
     shared: 5_000.0,
     tokens_per_ms: 50.0,
@@ -27,14 +27,14 @@
 };
 
 fn choose_by_any_draw(engines: &[Engine]) -> usize {
-    let first = choose(engines, &ASK, 1).unwrap();
-    assert!((0..50).all(|draw| choose(engines, &ASK, draw) == Some(first)));
+    let first = choose(engines, &DEMAND, 1).unwrap();
+    assert!((0..50).all(|draw| choose(engines, &DEMAND, draw) == Some(first)));
     first
 }
 
 #[test]
 fn choose_without_engines_is_none() {
-    assert_eq!(choose(&[], &ASK, 1), None);
+    assert_eq!(choose(&[], &DEMAND, 1), None);
 }
 
 #[test]
@@ -83,6 +83,6 @@
 fn choose_hosts_do_not_herd() {
     let engines = [ENGINE; 8];
     let mut counts = [0; 8];
-    (0..200).for_each(|draw| counts[choose(&engines, &ASK, draw * 977).unwrap()] += 1);
+    (0..200).for_each(|draw| counts[choose(&engines, &DEMAND, draw * 977).unwrap()] += 1);
     assert!(counts.iter().all(|count| *count < 60), "{counts:?}");
 }
--- a/crates/policy/tests/escalate.rs
+++ b/crates/policy/tests/escalate.rs
@@ -1,6 +1,6 @@
 //! Escalation to a larger model, by confidence, urgency, time left and load.
 
-use policy::escalate::{Doubt, begins_with_largest, escalate, threshold};
+use policy::escalate::{Doubt, should_escalate, should_start_with_largest, threshold};
 use policy::place::mix;
 use policy::repeat::{Allowance, Window, spare};
 use policy::time::Millis;
@@ -16,26 +16,26 @@
 };
 
 #[test]
-fn escalate_only_low_confidence() {
-    assert!(escalate(&DOUBT));
-    assert!(!escalate(&Doubt { confidence: Some(90), ..DOUBT }));
-    assert!(!escalate(&Doubt { confidence: None, ..DOUBT }));
+fn should_escalate_only_low_confidence() {
+    assert!(should_escalate(&DOUBT));
+    assert!(!should_escalate(&Doubt { confidence: Some(90), ..DOUBT }));
+    assert!(!should_escalate(&Doubt { confidence: None, ..DOUBT }));
 }
 
 #[test]
-fn escalate_to_a_late_answer_only_while_engines_are_idle() {
+fn should_escalate_to_a_late_answer_only_while_idle() {
     let late = Doubt { larger_ms: 1_400.0, ..DOUBT };
-    assert!(escalate(&late));
-    assert!(!escalate(&Doubt { delay: 0.4, ..late }));
+    assert!(should_escalate(&late));
+    assert!(!should_escalate(&Doubt { delay: 0.4, ..late }));
 }
 
 /// One prompt in a hundred is ten times as long as the rest. The large model takes two seconds to
 /// read it, which delays its own answer and those of all requests that wait at the engine.
 #[test]
-fn escalate_not_for_a_long_prompt_that_would_be_late() {
+fn should_escalate_not_for_a_long_prompt_that_would_be_late() {
     let long = Doubt { larger_ms: 2_000.0, read_ms: 2_000.0, ..DOUBT };
-    assert!(!escalate(&long));
-    assert!(escalate(&Doubt { objective_ms: 6_000.0, ..long }));
+    assert!(!should_escalate(&long));
+    assert!(should_escalate(&Doubt { objective_ms: 6_000.0, ..long }));
 }
 
 #[test]
@@ -48,10 +48,10 @@
 #[test]
 fn should_start_with_largest_only_urgent_while_engines_are_idle() {
     let unasked = Doubt { confidence: None, waited_ms: 0.0, ..DOUBT };
-    assert!(begins_with_largest(&unasked));
-    assert!(!begins_with_largest(&Doubt { priority: 2, ..unasked }), "not urgent");
-    assert!(!begins_with_largest(&Doubt { delay: 0.3, ..unasked }), "engines are busy");
-    assert!(!begins_with_largest(&Doubt { larger_ms: 1_400.0, ..unasked }), "late");
+    assert!(should_start_with_largest(&unasked));
+    assert!(!should_start_with_largest(&Doubt { priority: 2, ..unasked }), "not urgent");
+    assert!(!should_start_with_largest(&Doubt { delay: 0.3, ..unasked }), "engines are busy");
+    assert!(!should_start_with_largest(&Doubt { larger_ms: 1_400.0, ..unasked }), "late");
 }
 
 /// Simulates a minute of 600 requests a second with idle engines, where two thirds of the small
@@ -73,7 +73,7 @@
         window.request(&allowance, now);
         let unasked = Doubt { confidence: None, waited_ms: 0.0, ..DOUBT };
         let has_spare = window.has_spare_beside(1, &allowance, now);
-        if may_start_with_largest && !has_spare && begins_with_largest(&unasked) {
+        if may_start_with_largest && !has_spare && should_start_with_largest(&unasked) {
             continue;
         }
         let is_doubtful = mix(number ^ 0x5eed) % 3 < 2;
--- a/crates/policy/tests/estimate.rs
+++ b/crates/policy/tests/estimate.rs
@@ -19,13 +19,15 @@
 }
 
 #[test]
-fn lower_and_upper_narrow_with_more_ratings() {
+fn bounds_narrow_with_more_ratings() {
     let few = Estimate::prior(0.9);
     let many = few.with_counts(900.0, 1000.0, Millis(0));
     let now = Millis(0);
-    assert!(few.lower(1.0, now) < many.lower(1.0, now));
-    assert!(few.upper(1.0, now) > many.upper(1.0, now));
-    assert!(many.lower(1.0, now) < many.mean(now) && many.mean(now) < many.upper(1.0, now));
+    assert!(few.lower_bound(1.0, now) < many.lower_bound(1.0, now));
+    assert!(few.upper_bound(1.0, now) > many.upper_bound(1.0, now));
+    assert!(
+        many.lower_bound(1.0, now) < many.mean(now) && many.mean(now) < many.upper_bound(1.0, now)
+    );
 }
 
 /// The bounds stay ordered and between 0 and 1, whatever ratings arrive.
@@ -36,7 +38,7 @@
         for (good, at) in ratings {
             let now = Millis(u64::from(*at));
             estimate.observe(*good, now);
-            let (lower, upper) = (estimate.lower(3.0, now), estimate.upper(3.0, now));
+            let (lower, upper) = (estimate.lower_bound(3.0, now), estimate.upper_bound(3.0, now));
             assert!(0.0 <= lower && lower <= upper && upper <= 1.0, "{estimate:?}");
         }
     });
--- a/crates/policy/tests/gain.rs
+++ b/crates/policy/tests/gain.rs
@@ -14,7 +14,7 @@
 #[test]
 fn choose_uses_the_learnt_gain() {
     let mut gain = Gain::default();
-    (0..60).for_each(|_| gain.note(20, 60));
+    (0..60).for_each(|_| gain.record(20, 60));
     assert!((37.0..=40.0).contains(&gain.points()), "{gain:?}");
     assert_eq!(choose(20, 55.0, &[gain]), 0);
 }
@@ -22,7 +22,7 @@
 #[test]
 fn points_of_a_model_that_adds_nothing_stay_above_zero() {
     let mut gain = Gain::default();
-    (0..200).for_each(|_| gain.note(40, 30));
+    (0..200).for_each(|_| gain.record(40, 30));
     assert_eq!(gain.points(), 3.0);
 }
 
@@ -30,8 +30,8 @@
 fn points_ignore_confidence_at_a_bound() {
     let mut gain = Gain::default();
     let before = gain.points();
-    gain.note(95, 100);
-    gain.note(0, 40);
+    gain.record(95, 100);
+    gain.record(0, 40);
     assert_eq!(gain.points(), before);
 }
 
@@ -62,7 +62,7 @@
             model = 1 + choose_larger(small, gain);
             let larger = confidence(model);
             if model == 1 {
-                gain.note(small, larger);
+                gain.record(small, larger);
             }
             if model == 1 && f64::from(larger) < wanted {
                 model = 2;
--- a/crates/policy/tests/loaded.rs
+++ b/crates/policy/tests/loaded.rs
@@ -7,7 +7,7 @@
 };
 use policy::engine::Engine;
 use policy::name::Name;
-use policy::peak;
+use policy::packing;
 use policy::place::mix;
 
 fn server(in_flight: u32) -> Engine {
@@ -18,20 +18,20 @@
 #[test]
 fn next_loads_one_server_before_another() {
     for draw in [0.0, 0.5, 0.999] {
-        assert_eq!(peak::next(&[server(0), server(0)], Some(20.0), draw), Some(0));
+        assert_eq!(packing::next(&[server(0), server(0)], Some(20.0), draw), Some(0));
         let half = [server(25), server(0)];
-        assert_eq!(peak::next(&half, Some(25.0), draw), Some(0), "more than half of its places");
+        assert_eq!(packing::next(&half, Some(25.0), draw), Some(0), "more than half of its places");
         let taken = [server(40), server(3)];
-        assert_eq!(peak::next(&taken, Some(25.0), draw), Some(1), "some places are left");
-        assert_eq!(peak::next(&[server(40), server(40)], Some(25.0), draw), None);
-        assert_eq!(peak::next(&[], Some(25.0), draw), None);
+        assert_eq!(packing::next(&taken, Some(25.0), draw), Some(1), "some places are left");
+        assert_eq!(packing::next(&[server(40), server(40)], Some(25.0), draw), None);
+        assert_eq!(packing::next(&[], Some(25.0), draw), None);
     }
 }
 
 #[test]
 fn next_of_a_host_that_knows_no_load_is_any() {
     let servers = [server(0), server(0), server(0), server(0)];
-    let chosen = |draw| peak::next(&servers, peak::expected(0.06, 100, [].into_iter()), draw);
+    let chosen = |draw| packing::next(&servers, packing::expected(0.06, 100, [].into_iter()), draw);
     assert_eq!([0.1, 0.3, 0.6, 0.9].map(chosen), [0, 1, 2, 3].map(Some));
 }
 
@@ -82,7 +82,7 @@
         for (engine, heard) in seen.iter_mut().zip(heard_at[host]) {
             engine.report_age_ms = (heard > 0.0).then_some((now - heard) as u64);
         }
-        let Some(server) = peak::next(&seen, expected, draw()) else { continue };
+        let Some(server) = packing::next(&seen, expected, draw()) else { continue };
         all += 1.0;
         if at(&under_way, server) >= SLOTS as usize + WAITING_MAX {
             turned_away += 1.0;
@@ -112,7 +112,7 @@
 
 #[test]
 fn expected_follows_from_what_the_version_before_has() {
-    let expected = |reported: &[u32]| peak::expected(0.065, 160, reported.iter().copied());
+    let expected = |reported: &[u32]| packing::expected(0.065, 160, reported.iter().copied());
     assert_eq!(expected(&[]), None);
     let some = expected(&[6, 10, 8]).unwrap_or_default();
     assert!((some - 0.065 * 160.0 * 8.0).abs() < 1e-9, "{some}");
--- a/crates/policy/tests/order.rs
+++ b/crates/policy/tests/order.rs
@@ -36,17 +36,17 @@
         check if check < 0.8 => (2, 600.0 + 3_000.0 * draw(seed), 2_000.0),
         _ => (1, 4_000.0 + 26_000.0 * draw(seed).powi(2), 3_000.0),
     };
-    let is_again = draw(seed) < 0.4;
-    let tokens_per_ms = if is_again { 20.0 } else { 200.0 };
+    let is_repeat = draw(seed) < 0.4;
+    let tokens_per_ms = if is_repeat { 20.0 } else { 200.0 };
     let request =
-        Request { read_ms: tokens / tokens_per_ms, priority, is_again, is_resumed: false };
+        Request { read_ms: tokens / tokens_per_ms, priority, is_repeat, is_resumed: false };
     Job { request, objective_ms, at }
 }
 
 /// Simpler rule for comparison: the rank by the routes' urgency, plus job for long prompts.
 fn rank_by_urgency(request: &Request) -> u8 {
-    let is_long = request.read_ms > if request.is_again { 400.0 } else { 40.0 };
-    3 + 2 * request.priority.min(3) + u8::from(is_long) - u8::from(request.is_again)
+    let is_long = request.read_ms > if request.is_repeat { 400.0 } else { 40.0 };
+    3 + 2 * request.priority.min(3) + u8::from(is_long) - u8::from(request.is_repeat)
 }
 
 /// A simulated engine.
@@ -105,7 +105,7 @@
 #[test]
 fn rank_by_reading_time_has_fewer_late_answers() {
     let urgency = mean(20, |seed| late_share(rank_by_urgency, 9.0, seed));
-    let reading = mean(20, |seed| late_share(precedence::place, 9.0, seed));
+    let reading = mean(20, |seed| late_share(precedence::rank, 9.0, seed));
     println!("late: by urgency {urgency:.3}, by reading time {reading:.3}");
     assert!(reading < urgency * 0.8, "{reading} {urgency}");
 }
@@ -139,7 +139,7 @@
             }
             !ended
         });
-        let own = precedence::place(&job.request);
+        let own = precedence::rank(&job.request);
         let at = Millis(now as u64);
         let wait_ms = backlog.wait_ms(believed_rank(own), at);
         // Half of the requests are sent by another host, which announces long prompts only.
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -1,14 +1,14 @@
 //! Load shedding on a host that gets most new connections of a failure domain, or of all of them.
 
-use policy::overload::{Overload, TICK, connections_max};
+use policy::overload::{Overload, SAMPLE_INTERVAL, connections_max};
 use policy::place::mix;
 
 const STANDING_MS: f64 = 40.0;
-const INTERVAL_MS: f64 = TICK.as_millis() as f64;
+const INTERVAL_MS: f64 = SAMPLE_INTERVAL.as_millis() as f64;
 
 fn record_many(overload: &mut Overload, count: usize, delay_ms: f64) {
     for _ in 0..count {
-        overload.tick(delay_ms);
+        overload.record(delay_ms);
     }
 }
 
@@ -19,19 +19,19 @@
         record_many(&mut overload, 1, 900.0);
         record_many(&mut overload, 3, 1.0);
     }
-    assert_eq!(overload.closed(), 0.0);
+    assert_eq!(overload.closed_share(), 0.0);
 }
 
 #[test]
 fn record_standing_delay_raises_the_closed_share_until_it_ends() {
     let mut overload = Overload::new(STANDING_MS);
     record_many(&mut overload, 4, 60.0);
-    let first = overload.closed();
+    let first = overload.closed_share();
     assert!(first > 0.0);
     record_many(&mut overload, 100, 60.0);
-    assert!(overload.closed() > first && overload.closed() < 1.0);
+    assert!(overload.closed_share() > first && overload.closed_share() < 1.0);
     record_many(&mut overload, 300, 1.0);
-    assert_eq!(overload.closed(), 0.0);
+    assert_eq!(overload.closed_share(), 0.0);
 }
 
 #[test]
@@ -72,7 +72,7 @@
         let count = connections.floor() as usize + usize::from(self.draw() < connections.fract());
         for _ in 0..count {
             let draw = self.draw();
-            if self.overload.closes(draw) {
+            if self.overload.should_close(draw) {
                 self.closed += 1;
                 self.backlog_ms += CLOSE_MS;
                 continue;
@@ -84,7 +84,7 @@
             self.backlog_ms += if is_in_time { work_ms } else { CLOSE_MS };
         }
         self.backlog_ms = (self.backlog_ms - INTERVAL_MS).max(0.0);
-        self.overload.tick(self.backlog_ms);
+        self.overload.record(self.backlog_ms);
     }
 }
 
--- a/crates/policy/tests/pace.rs
+++ b/crates/policy/tests/pace.rs
@@ -6,7 +6,7 @@
 /// Records events one by one and returns the pace by which the stream is judge.
 fn judge(gaps_ms: &[f64]) -> Option<f64> {
     let mut pace = Pace::default();
-    gaps_ms.iter().filter_map(|ms| pace.note(1, *ms)).next()
+    gaps_ms.iter().filter_map(|ms| pace.record(1, *ms)).next()
 }
 
 /// Guards against rolling back a good version as slow: its servers start with empty caches, so that
@@ -35,10 +35,10 @@
 #[test]
 fn record_returns_the_pace_once() {
     let mut pace = Pace::default();
-    assert_eq!(pace.note(3, 300.0), None);
-    assert_eq!(pace.note(2, 160.0), Some(80.0));
-    assert!(pace.is_known());
-    assert_eq!(pace.note(1, 1.0), None);
+    assert_eq!(pace.record(3, 300.0), None);
+    assert_eq!(pace.record(2, 160.0), Some(80.0));
+    assert!(pace.is_judged());
+    assert_eq!(pace.record(1, 1.0), None);
 }
 
 /// Guards against rolling back a good version that answers within a millisecond, on a busy machine.
--- a/crates/policy/tests/peak.rs
+++ b/crates/policy/tests/peak.rs
@@ -4,9 +4,9 @@
 //! Each test compares a rule with simpler ones; `--nocapture` prints the results.
 
 use policy::backlog::{Backlog, Prompt};
-use policy::engine::{Ask, Engine, choose};
-use policy::escalate::{Doubt, escalate};
-use policy::patience::Patience;
+use policy::engine::{Demand, Engine, choose};
+use policy::escalate::{Doubt, should_escalate};
+use policy::latency::Latency;
 use policy::place::mix;
 use policy::prefill::Speed;
 use policy::time::Millis;
@@ -115,7 +115,7 @@
                 ..Engine::default()
             })
             .collect();
-        let demand = Ask {
+        let demand = Demand {
             prompt: tokens,
             shared: 0.0,
             tokens_per_ms: assumed_rate,
@@ -141,7 +141,7 @@
             }
             _ => backlogs[host][engine].add_announced(prompt, at),
         }
-        speeds[host][model].note(free_at[engine] - now, predicted_wait_ms, tokens);
+        speeds[host][model].record(free_at[engine] - now, predicted_wait_ms, tokens);
         in_flight.push((free_at[engine] + 1_500.0, host, engine));
         all += 1;
         late += u32::from(free_at[engine] - now - read_ms > LONG_WAIT_MS);
@@ -211,7 +211,7 @@
     const ENGINES: usize = 4;
     let mut seed = seed;
     let mut free_at = [START_MS as f64; ENGINES];
-    let (mut delay, mut larger) = (Patience::default(), Patience::default());
+    let (mut delay, mut larger) = (Latency::default(), Latency::default());
     let (mut sum, mut all, mut now) = (0.0, 0.0, START_MS as f64);
     while now < START_MS as f64 + 30_000.0 {
         now += -draw(&mut seed).max(1e-9).ln() * 1_000.0 / per_s;
@@ -230,22 +230,22 @@
             confidence: Some(confidence as u8),
             priority: 1,
             waited_ms: begun - now,
-            larger_ms: larger.faded_ms(400.0, at).max(tokens / RATES_TOKENS_PER_MS[1]),
+            larger_ms: larger.decayed_mean_ms(400.0, at).max(tokens / RATES_TOKENS_PER_MS[1]),
             read_ms: tokens / RATES_TOKENS_PER_MS[1],
             objective_ms: OBJECTIVE_MS,
-            delay: delay.faded_ms(0.0, at),
+            delay: delay.decayed_mean_ms(0.0, at),
         };
         let escalates = match escalation {
             Escalation::Always => confidence < 50.0,
-            Escalation::Policy => escalate(&doubt),
+            Escalation::Policy => should_escalate(&doubt),
             Escalation::Never => false,
         };
         if escalates {
             let small_begun = begun;
             begun = read(RATES_TOKENS_PER_MS[1], begun);
-            larger.note(begun - small_begun, at);
+            larger.record(begun - small_begun, at);
         }
-        delay.note((begun - now) / OBJECTIVE_MS, at);
+        delay.record((begun - now) / OBJECTIVE_MS, at);
         let is_right = escalates || !is_hard;
         sum += match (is_right, begun - now <= OBJECTIVE_MS) {
             (true, true) => 1.0,
--- a/crates/policy/tests/probe.rs
+++ b/crates/policy/tests/probe.rs
@@ -8,7 +8,7 @@
 #[test]
 fn check_suspects_a_late_first_byte() {
     let mut connection = Connection::open(Millis(0));
-    connection.sent(Millis(100));
+    connection.record_request(Millis(100));
     assert_eq!(connection.check(&LIMITS, Millis(500)), Action::Keep { until: Millis(1_100) });
     assert_eq!(connection.check(&LIMITS, Millis(1_100)), Action::Suspect);
 }
@@ -16,8 +16,8 @@
 #[test]
 fn check_suspects_a_stream_that_goes_silent() {
     let mut connection = Connection::open(Millis(0));
-    connection.sent(Millis(0));
-    connection.received(Millis(900));
+    connection.record_request(Millis(0));
+    connection.record_received(Millis(900));
     assert_eq!(connection.check(&LIMITS, Millis(1_099)), Action::Keep { until: Millis(1_100) });
     assert_eq!(connection.check(&LIMITS, Millis(1_100)), Action::Suspect);
 }
@@ -25,8 +25,8 @@
 #[test]
 fn check_retires_an_idle_connection() {
     let mut connection = Connection::open(Millis(0));
-    connection.sent(Millis(0));
-    connection.ended(Millis(10));
+    connection.record_request(Millis(0));
+    connection.record_end(Millis(10));
     assert_eq!(connection.check(&LIMITS, Millis(5_010)), Action::Retire);
 }
 
@@ -38,11 +38,11 @@
 fn may_carry_non_repeatable_only_on_a_new_connection() {
     let mut connection = Connection::open(Millis(0));
     assert!(connection.may_carry(false, &LIMITS, Millis(500)));
-    connection.sent(Millis(500));
-    connection.ended(Millis(600));
+    connection.record_request(Millis(500));
+    connection.record_end(Millis(600));
     assert!(!connection.may_carry(false, &LIMITS, Millis(600)));
     assert!(connection.may_carry(true, &LIMITS, Millis(1_500)));
-    connection.sent(Millis(1_500));
+    connection.record_request(Millis(1_500));
     assert!(!connection.may_carry(true, &LIMITS, Millis(1_500)));
 }
 
@@ -51,25 +51,25 @@
 #[test]
 fn health_is_ill_only_after_a_new_connection_fails() {
     let mut health = Health::default();
-    assert!(health.suspected());
-    assert!(!health.suspected(), "only one probe at a time");
+    assert!(health.mark_suspect());
+    assert!(!health.mark_suspect(), "only one probe at a time");
     assert_eq!(health.ill_until, Millis(0));
-    health.failed(Millis(100));
+    health.record_failure(Millis(100));
     assert_eq!(health.ill_until, Millis(1_100));
-    health.failed(Millis(1_100));
+    health.record_failure(Millis(1_100));
     assert_eq!(health.ill_until, Millis(3_100));
-    (0..40).for_each(|_| health.failed(Millis(0)));
+    (0..40).for_each(|_| health.record_failure(Millis(0)));
     assert_eq!(health.ill_until, Millis(30_000));
-    health.proven();
+    health.mark_healthy();
     assert_eq!(health, Health::default());
 }
 
 #[test]
 fn health_recovers_with_a_report_after_the_failure() {
     let mut health = Health::default();
-    health.failed(Millis(500));
-    health.reported(Millis(500));
+    health.record_failure(Millis(500));
+    health.record_report(Millis(500));
     assert_eq!(health.ill_until, Millis(1_500), "a report from before the failure is ignored");
-    health.reported(Millis(501));
+    health.record_report(Millis(501));
     assert_eq!(health, Health::default());
 }
--- a/crates/policy/tests/silence.rs
+++ b/crates/policy/tests/silence.rs
@@ -1,25 +1,25 @@
 //! Unreachable servers are left soon, busy servers are not.
 
-use policy::silence::{Action, BETWEEN, FIRST, FIRST_BUSY, Silence, act};
+use policy::silence::{Action, BETWEEN_EVENTS, FIRST_BYTE, FIRST_BYTE_BUSY, Silence, decide};
 
 const SILENCE: Silence = Silence { silent_ms: 0.0, useful_ms: 1_000.0, heard_ms: 0 };
 
 #[test]
 fn decide_probes_a_server_silent_on_all_connections() {
     let unreachable = Silence { silent_ms: 850.0, heard_ms: 850, ..SILENCE };
-    assert_eq!(act(&BETWEEN, &unreachable), Action::Probe);
-    assert_eq!(act(&FIRST, &unreachable), Action::Probe);
-    assert_eq!(act(&FIRST_BUSY, &unreachable), Action::Probe);
+    assert_eq!(decide(&BETWEEN_EVENTS, &unreachable), Action::Probe);
+    assert_eq!(decide(&FIRST_BYTE, &unreachable), Action::Probe);
+    assert_eq!(decide(&FIRST_BYTE_BUSY, &unreachable), Action::Probe);
 }
 
 #[test]
 fn decide_waits_longer_for_a_server_that_is_alive() {
     let alive = Silence { silent_ms: 1_900.0, heard_ms: 20, ..SILENCE };
-    assert!(matches!(act(&BETWEEN, &alive), Action::Wait(_)));
-    assert!(matches!(act(&FIRST, &alive), Action::Wait(_)));
+    assert!(matches!(decide(&BETWEEN_EVENTS, &alive), Action::Wait(_)));
+    assert!(matches!(decide(&FIRST_BYTE, &alive), Action::Wait(_)));
     let silent_too_long = Silence { silent_ms: 4_100.0, ..alive };
-    assert_eq!(act(&BETWEEN, &silent_too_long), Action::Leave);
-    assert_eq!(act(&FIRST, &silent_too_long), Action::Leave);
+    assert_eq!(decide(&BETWEEN_EVENTS, &silent_too_long), Action::Leave);
+    assert_eq!(decide(&FIRST_BYTE, &silent_too_long), Action::Leave);
 }
 
 /// Guards against adding load at a peak: requests wait long for their first event on servers that
@@ -27,10 +27,10 @@
 #[test]
 fn decide_never_leaves_a_live_server_of_a_busy_pool() {
     let alive = Silence { silent_ms: 60_000.0, heard_ms: 20, ..SILENCE };
-    assert!(matches!(act(&FIRST_BUSY, &alive), Action::Wait(_)));
+    assert!(matches!(decide(&FIRST_BYTE_BUSY, &alive), Action::Wait(_)));
 }
 
 #[test]
 fn decide_checks_first_at_the_unreachable_limit() {
-    assert_eq!(act(&BETWEEN, &SILENCE), Action::Wait(500.0));
+    assert_eq!(decide(&BETWEEN_EVENTS, &SILENCE), Action::Wait(500.0));
 }
--- a/crates/policy/tests/slowdown.rs
+++ b/crates/policy/tests/slowdown.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use policy::engine::{Ask, Engine, choose};
+use policy::engine::{Demand, Engine, choose};
 use policy::place::mix;
-use policy::slowdown::{Shown, Slowdown, Usual};
+use policy::slowdown::{Observation, Slowdown, UsualPace};
 use policy::time::Millis;
 
 const START_MS: u64 = 1_000_000;
@@ -21,27 +21,27 @@
 
 /// Records a stream that took `factor` times as long as usual.
 fn record_stream(slowdown: &mut Slowdown, factor: f64, now: Millis) {
-    slowdown.note(Shown { streams: 1, log_factor: factor.ln() }, now);
+    slowdown.record(Observation { streams: 1, log_factor: factor.ln() }, now);
 }
 
 #[test]
 fn record_separates_slow_and_fast_engines() {
-    let mut usual = Usual::default();
+    let mut usual = UsualPace::default();
     let mut seed = 1;
     for _ in 0..500 {
-        usual.note(if draw(&mut seed) < 0.33 { 85.0 } else { 35.0 });
+        usual.record(if draw(&mut seed) < 0.33 { 85.0 } else { 35.0 });
     }
-    let [slow, fast] = [85.0, 35.0].map(|pace_ms| usual.note(pace_ms).log_factor.exp());
+    let [slow, fast] = [85.0, 35.0].map(|pace_ms| usual.record(pace_ms).log_factor.exp());
     assert!((2.2..2.6).contains(&(slow / fast)), "{slow} {fast}");
     assert!(slow > 1.3 && fast < 1.0, "{slow} {fast}");
 }
 
 #[test]
 fn merge_weighs_by_streams() {
-    let one = Shown { streams: 1, log_factor: 1.0 };
-    let three = Shown { streams: 3, log_factor: 0.0 };
-    assert_eq!(one.and(three), Shown { streams: 4, log_factor: 0.25 });
-    assert_eq!(Shown::default().and(one), one);
+    let one = Observation { streams: 1, log_factor: 1.0 };
+    let three = Observation { streams: 3, log_factor: 0.0 };
+    assert_eq!(one.merge(three), Observation { streams: 4, log_factor: 0.25 });
+    assert_eq!(Observation::default().merge(one), one);
 }
 
 /// Guards against avoiding an engine without reason: the paces of equal engines' streams differ by
@@ -52,7 +52,7 @@
     let mut slowdown = Slowdown::default();
     for n in 0..2_000 {
         let spread = draw(&mut seed) + draw(&mut seed) + draw(&mut seed) - 1.5;
-        slowdown.note(Shown { streams: 1, log_factor: 0.6 * spread }, at(n * 50));
+        slowdown.record(Observation { streams: 1, log_factor: 0.6 * spread }, at(n * 50));
         assert!(slowdown.factor(at(n * 50)) < 1.3, "{slowdown:?}");
     }
 }
@@ -69,18 +69,18 @@
 #[test]
 fn record_invalid_values_are_bounded() {
     let mut slowdown = Slowdown::default();
-    slowdown.note(Shown { streams: 1, log_factor: f64::NAN }, at(0));
+    slowdown.record(Observation { streams: 1, log_factor: f64::NAN }, at(0));
     assert_eq!(slowdown, Slowdown::default());
-    slowdown.note(Shown { streams: u32::MAX, log_factor: 1e300 }, at(0));
+    slowdown.record(Observation { streams: u32::MAX, log_factor: 1e300 }, at(0));
     assert!(slowdown.factor(at(0)) < 10.0);
-    let mut usual = Usual::default();
-    assert!([0.0, -1.0, 0.0].iter().all(|pace| usual.note(*pace).log_factor.is_finite()));
+    let mut usual = UsualPace::default();
+    assert!([0.0, -1.0, 0.0].iter().all(|pace| usual.record(*pace).log_factor.is_finite()));
 }
 
 #[test]
 fn factor_decays_without_streams() {
     let mut slowdown = Slowdown::default();
-    slowdown.note(Shown { streams: 1_000, log_factor: 8_f64.ln() }, at(0));
+    slowdown.record(Observation { streams: 1_000, log_factor: 8_f64.ln() }, at(0));
     assert!(slowdown.factor(at(300_000)) < 1.1);
 }
 
@@ -115,12 +115,12 @@
     let per_s = hosts as f64 * 3.5;
     let mut seed = seed;
     let pace = |engine: usize| if engine.is_multiple_of(3) { 2.5 } else { 1.0 };
-    let mut usual = vec![Usual::default(); hosts];
+    let mut usual = vec![UsualPace::default(); hosts];
     let mut slowdowns = vec![vec![Slowdown::default(); hosts]; hosts];
     let mut reports = vec![vec![(0_u32, None::<u64>); hosts]; hosts];
     let mut free_at = vec![0.0_f64; hosts];
     let mut received = vec![0_u32; hosts];
-    let mut unsent: Vec<BTreeMap<usize, Shown>> = vec![BTreeMap::new(); hosts];
+    let mut unsent: Vec<BTreeMap<usize, Observation>> = vec![BTreeMap::new(); hosts];
     let mut send_at: Vec<f64> = (0..hosts).map(|_| MESSAGE_INTERVAL_MS * draw(&mut seed)).collect();
     let (mut now, mut all, mut late, mut messages) = (0.0, 0.0, 0.0, 0.0);
     while now < SECONDS * 1_000.0 {
@@ -147,7 +147,7 @@
                 }
             })
             .collect();
-        let demand = Ask {
+        let demand = Demand {
             prompt: READ_MS,
             shared: 0.0,
             tokens_per_ms: 1.0,
@@ -161,10 +161,10 @@
         let waiting = ((free_at[engine] - now) / read_ms) as u32;
         reports[host][engine] = (waiting, Some(now as u64));
         let spread = 0.6 * (draw(&mut seed) + draw(&mut seed) + draw(&mut seed) - 1.5);
-        let shown = usual[host].note(30.0 * pace(engine) * spread.exp());
-        slowdowns[host][engine].note(shown, time);
+        let observation = usual[host].record(30.0 * pace(engine) * spread.exp());
+        slowdowns[host][engine].record(observation, time);
         let sample = unsent[host].entry(engine).or_default();
-        *sample = sample.and(shown);
+        *sample = sample.merge(observation);
         if now > send_at[host] && knowledge == Knowledge::AllStreams {
             send_at[host] = now + MESSAGE_INTERVAL_MS;
             messages += 1.0;
@@ -172,8 +172,8 @@
             for _ in 0..RECEIVERS.min(hosts) {
                 let other = (draw(&mut seed) * hosts as f64) as usize;
                 received[other] += 1;
-                for (engine, shown) in &samples {
-                    slowdowns[other][*engine].note(*shown, time);
+                for (engine, observation) in &samples {
+                    slowdowns[other][*engine].record(*observation, time);
                 }
             }
         }
--- a/crates/replay/src/run/host.rs
+++ b/crates/replay/src/run/host.rs
@@ -98,7 +98,7 @@
         for ((server, health), load) in servers.zip(loads) {
             if let Some(in_flight) = *load {
                 server.report = Some(Report { in_flight, slots: self.slots, at });
-                health.reported(at);
+                health.record_report(at);
                 server.ill_until = health.ill_until;
             }
         }
@@ -125,7 +125,7 @@
 
     /// A server refused the connection, and would refuse a new one.
     pub fn refused(&mut self, server: usize, now: Millis) {
-        self.health[server].failed(now);
+        self.health[server].record_failure(now);
         self.servers[server].ill_until = self.health[server].ill_until;
     }
 }
