--- a/crates/experiment/src/host/view.rs
+++ b/crates/experiment/src/host/view.rs
@@ -86,7 +86,7 @@
             own: self.own,
             reported: self.reported,
             own_then: self.own_then,
-            report_age_ms: engine::age(self.reported_at, now),
+            report_age_ms: engine::age_ms(self.reported_at, now),
             slots: self.slots,
             wait_ms: self.backlog.wait_ms(rank, now),
             cached: 0.0,
@@ -100,12 +100,12 @@
     /// A prompt was sent there; its number.
     pub fn sent(&mut self, prompt: Prompt, now: Millis) -> u64 {
         self.own += 1;
-        self.backlog.sent(prompt, now)
+        self.backlog.add_own(prompt, now)
     }
 
     /// Another host has sent a long prompt.
     pub fn announced(&mut self, prompt: Prompt, now: Millis) {
-        self.backlog.announced(prompt, now);
+        self.backlog.add_announced(prompt, now);
     }
 
     /// It said how many requests it has.
@@ -114,18 +114,18 @@
         self.reported = load;
         self.own_then = self.own;
         self.reported_at = now;
-        self.health.reported(now);
+        self.health.record_report(now);
     }
 
     /// An answer began.
     pub fn began(&mut self, number: u64, now: Millis) {
-        self.backlog.began(number, now);
+        self.backlog.record_answer_start(number, now);
     }
 
     /// A try has ended, well or not.
     pub fn left(&mut self, number: u64) {
         self.own = self.own.saturating_sub(1);
-        self.backlog.dropped(number);
+        self.backlog.remove(number);
     }
 
     /// A request that it worked on ended well, or did not.
@@ -133,14 +133,14 @@
         self.suspicion.record(failed, now);
         if !failed {
             self.timeouts = 0;
-            self.health.proven();
+            self.health.mark_healthy();
         }
     }
 
     /// It refuses connections.
     pub fn refused(&mut self, now: Millis) {
         self.suspicion.record(true, now);
-        self.health.failed(now);
+        self.health.record_failure(now);
     }
 
     /// A connection to it timed out.
@@ -148,7 +148,7 @@
         self.suspicion.record(true, now);
         self.timeouts += 1;
         if self.timeouts >= TIMEOUTS_TO_ILL {
-            self.health.failed(now);
+            self.health.record_failure(now);
         }
     }
 }
