--- a/crates/control/src/burn.rs
+++ b/crates/control/src/burn.rs
@@ -78,7 +78,7 @@
     pub fn join(&self, levels: &[(Name, Series)]) {
         let mut all = self.series();
         for (name, series) in levels {
-            all.entry(name.clone()).or_default().join(series);
+            all.entry(name.clone()).or_default().merge(series);
         }
     }
 
--- a/crates/control/src/burn/plot.rs
+++ b/crates/control/src/burn/plot.rs
@@ -24,7 +24,7 @@
         (0..=POINTS)
             .map(|point| {
                 let ago = fast.long_ms * (POINTS - point) / POINTS;
-                let rate = series.window(window_ms, now - ago).rate(objective);
+                let rate = series.window(window_ms, now - ago).burn_rate(objective);
                 (-(ago as f64) / MINUTE_MS, rate)
             })
             .collect()
--- a/crates/control/src/exposure/knowledge.rs
+++ b/crates/control/src/exposure/knowledge.rs
@@ -82,7 +82,7 @@
         // going round them. Were they a verdict, a failure domain cut off would put every version
         // under quarantine. A candidate can be stopped for less: others take its place.
         if version.state == VersionState::Candidate {
-            let expecting = Hypotheses::expecting(CALLS_EXPECTED);
+            let expecting = Hypotheses::from_expected(CALLS_EXPECTED);
             let (failed, calls) = (piece.failed, piece.calls);
             for call in 0..calls {
                 // Their order is not known; failures in one run would look worse than they are.
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -10,7 +10,7 @@
 use policy::domain;
 use policy::name::Name;
 use policy::revision::Revision;
-use policy::rollout::{Course, Progress, Ratings, Step, next};
+use policy::rollout::{Action, Progress, Ratings, Schedule, next};
 use policy::time::Millis;
 use tokio::sync::watch;
 use wire::configuration::{Document, Rollout};
@@ -201,8 +201,8 @@
         }
         let progress = Progress { rated_before: known.rated_before, ..progress };
         match next(&course(rollout), &progress, ratings, now) {
-            Step::Raise(progress) | Step::Stop(progress) => Some(progress),
-            Step::Hold | Step::Done => None,
+            Action::Raise(progress) | Action::Stop(progress) => Some(progress),
+            Action::Hold | Action::Done => None,
         }
     }
 
@@ -259,8 +259,8 @@
     short_hash(&serde_json::to_vec(&(rollout, cleared)).unwrap_or_default())
 }
 
-fn course(rollout: &Rollout) -> Course {
-    Course {
+fn course(rollout: &Rollout) -> Schedule {
+    Schedule {
         steps: rollout.steps.clone(),
         step_ms: rollout.step_ms,
         min_rated: rollout.min_rated,
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -186,7 +186,7 @@
         let limit = if reused { job.reused_first_byte } else { job.first_byte };
         let (sent_at, began, sent) = (Instant::now(), clock::now(), clock::steady());
         if server.is_restricted() {
-            server.with_intake(sent, |intake| intake.sent(None, sent));
+            server.with_intake(sent, |intake| intake.record_sent(None, sent));
         }
         if let Some(claimed) = &mut tries.claimed {
             claimed.use_up();
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/loads.rs
@@ -52,7 +52,7 @@
     match tokio::time::timeout(WITHIN, load(server)).await {
         Ok(Ok(Some(load))) => {
             let now = clock::steady();
-            server.with_intake(now, |intake| intake.reported(load.draining, asked_at, now));
+            server.with_intake(now, |intake| intake.apply_report(load.draining, asked_at, now));
             server.note_load(load, clock::now());
         }
         // It answers, if not with a report.
--- a/crates/entry/src/rating.rs
+++ b/crates/entry/src/rating.rs
@@ -59,10 +59,10 @@
         let is_candidate =
             snapshot.version(version).is_some_and(|v| v.state == VersionState::Candidate);
         let verdict = self.tests.with(version, |test| test.verdict());
-        let interest = Interest::of(is_candidate, verdict);
+        let interest = Interest::new(is_candidate, verdict);
         let index = self.next.fetch_add(1, Ordering::Relaxed) % SAMPLERS;
         let mut sampler = self.samplers[index].lock().unwrap_or_else(PoisonError::into_inner);
-        !snapshot.raters.is_empty() && sampler.rates(interest, rand::random())
+        !snapshot.raters.is_empty() && sampler.should_rate(interest, rand::random())
     }
 }
 
@@ -110,7 +110,7 @@
         }
     };
     let prior = snapshot.version(version).and_then(|v| v.quality.get(task)).copied();
-    let expecting = Hypotheses::expecting(prior.unwrap_or(policy::estimate::UNKNOWN_MEAN));
+    let expecting = Hypotheses::from_expected(prior.unwrap_or(policy::estimate::UNKNOWN_MEAN));
     state.ratings.tests.with(version, |test| test.observe(good, &expecting));
     state.reports.rated(version, task, good);
     Some(good)
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -125,9 +125,9 @@
         return;
     }
     let now = clock::steady();
-    let news =
-        server.with_intake(now, |intake| intake.heard(&statement, sent, rand::random(), now));
-    if news.is_leave || news.is_pause {
+    let news = server
+        .with_intake(now, |intake| intake.record_answer(&statement, sent, rand::random(), now));
+    if news.has_begun_leaving || news.has_begun_pause {
         log::info!("entry: backend server {} says: {statement:?}", server.name);
     }
 }
@@ -146,7 +146,7 @@
 #[must_use]
 pub fn pause_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(RETRY_AFTER).filter(|_| status == StatusCode::SERVICE_UNAVAILABLE)?;
-    let ms = value.to_str().ok().and_then(pause::from_seconds);
+    let ms = value.to_str().ok().and_then(pause::parse_seconds);
     if ms.is_none() {
         log::warn!("entry: a backend server asks for a pause that can't be read: {value:?}");
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -146,7 +146,7 @@
     if job
         .state
         .tolerances
-        .with(&job.service, |tolerance| tolerance.heard(said.tolerance, sent, now))
+        .with(&job.service, |tolerance| tolerance.record_answer(said.tolerance, sent, now))
     {
         log::info!(target: "route", service:% = job.service, backend:% = backend.id,
             rejected_per_second:? = said.tolerance; "servers say how many rejected requests they tolerate");
--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -170,7 +170,8 @@
     /// It is a host and says that it takes no requests now.
     pub fn note_away(&self, now: Millis) {
         let pause = Statement { pause_ms: Some(AWAY_MS), ..Statement::default() };
-        self.server.with_intake(now, |intake| intake.heard(&pause, now, rand::random(), now));
+        self.server
+            .with_intake(now, |intake| intake.record_answer(&pause, now, rand::random(), now));
     }
 
     /// Requests under way there, as it said lately.
@@ -216,12 +217,12 @@
 
     /// A request is about to be sent there.
     pub fn chosen(&self, now: Millis) {
-        self.lock().room.sent(now);
+        self.lock().room.record_sent(now);
     }
 
     /// It turned a request away, and tolerates so many a second; `draw` is a uniform draw.
     pub fn note_rejected(&self, per_second: f64, draw: f64, now: Millis) {
-        self.lock().room.rejected(per_second, self.slots, draw, now);
+        self.lock().room.record_rejection(per_second, self.slots, draw, now);
     }
 
     /// Requests that it had by its last report; none if it gave none.
--- a/crates/gateway/src/backend/restriction.rs
+++ b/crates/gateway/src/backend/restriction.rs
@@ -51,19 +51,19 @@
         now: Millis,
     ) -> Vec<Restricted> {
         let draw = rand::random();
-        let news = self.with_intake(|intake| intake.heard(statement, sent, draw, now));
-        if news.is_pause {
+        let news = self.with_intake(|intake| intake.record_answer(statement, sent, draw, now));
+        if news.has_begun_pause {
             metrics::counter!("gateway_pauses_total").increment(1);
             log::info!(target: "route", backend:% = self.id, pause_ms:? = statement.pause_ms;
                 "backend server asks for a pause");
         }
-        let limit = news.is_limit.then(|| {
+        let limit = news.has_new_limit.then(|| {
             let per_second = statement.per_second;
             log::info!(target: "route", backend:% = self.id, per_second:? = per_second;
                 "backend server names another limit");
             Restriction::Limit(Limit { per_second, at: now, until: None })
         });
-        let leaving = news.is_leave.then(|| {
+        let leaving = news.has_begun_leaving.then(|| {
             log::info!(target: "route", backend:% = self.id; "backend server says that it leaves");
             Restriction::Leaving
         });
@@ -78,7 +78,7 @@
                 false
             }
             Restriction::Leaving => {
-                let is_news = self.with_intake(|intake| intake.leave(now));
+                let is_news = self.with_intake(|intake| intake.mark_leaving(now));
                 if is_news {
                     log::info!(target: "route", backend:% = self.id;
                         "leave of a backend server heard of");
@@ -90,7 +90,7 @@
 
     /// How much it takes, as another host or its entry says.
     pub fn learn_limit(&self, limit: Limit, now: Millis) {
-        if self.with_intake(|intake| intake.learn(limit, now)) {
+        if self.with_intake(|intake| intake.learn_limit(limit, now)) {
             log::info!(target: "route", backend:% = self.id, per_second:? = limit.per_second,
                 until_ms = limit.until.map(|until| until.since(now));
                 "limit of a backend server heard of");
@@ -104,7 +104,7 @@
     /// end it once more before it is warm.
     pub fn may_start_again(&self, warmup: Warmup, now: Millis) -> Option<Restricted> {
         let limit = Limit::warmup(warmup.per_second, now + warmup.ms, now);
-        let is_news = self.with_intake(|intake| intake.learn(limit, now));
+        let is_news = self.with_intake(|intake| intake.learn_limit(limit, now));
         is_news.then(|| {
             log::info!(target: "route", backend:% = self.id, per_second = warmup.per_second,
                 until_ms = warmup.ms; "backend server may start again");
--- a/crates/gateway/src/evidence.rs
+++ b/crates/gateway/src/evidence.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 
-use policy::canary::{Evidence, Sign};
+use policy::canary::{Evidence, Outcome};
 use policy::name::Name;
 
 /// Which version gave an answer.
@@ -25,7 +25,7 @@
     /// Which version gave it.
     pub origin: Origin,
     /// What it said of the version.
-    pub sign: Sign,
+    pub sign: Outcome,
 }
 
 /// Counts by service and route, for roll-outs under way.
@@ -34,22 +34,22 @@
 
 impl Tally {
     /// Counts an answer.
-    pub fn note(&self, service: &Name, route: &Name, origin: Origin, sign: Sign) {
+    pub fn note(&self, service: &Name, route: &Name, origin: Origin, sign: Outcome) {
         let mut tally = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let of_service = tally.entry(service.clone()).or_default();
         let evidence = of_service
             .entry(route.clone())
             .or_insert_with(|| Evidence { route: route.clone(), ..Evidence::default() });
         match origin {
-            Origin::Old => evidence.old.note(sign),
-            Origin::New => evidence.new.note(sign),
+            Origin::Old => evidence.old.record(sign),
+            Origin::New => evidence.new.record(sign),
             Origin::NewAtPeak => {
-                evidence.new.note(sign);
-                evidence.peak.note(sign);
+                evidence.new.record(sign);
+                evidence.peak.record(sign);
             }
             Origin::NewAtFull => {
-                evidence.new.note(sign);
-                evidence.full.note(sign);
+                evidence.new.record(sign);
+                evidence.full.record(sign);
             }
         }
     }
@@ -62,15 +62,15 @@
             return;
         };
         match counted.origin {
-            Origin::Old => evidence.old.forget(counted.sign),
-            Origin::New => evidence.new.forget(counted.sign),
+            Origin::Old => evidence.old.retract(counted.sign),
+            Origin::New => evidence.new.retract(counted.sign),
             Origin::NewAtPeak => {
-                evidence.new.forget(counted.sign);
-                evidence.peak.forget(counted.sign);
+                evidence.new.retract(counted.sign);
+                evidence.peak.retract(counted.sign);
             }
             Origin::NewAtFull => {
-                evidence.new.forget(counted.sign);
-                evidence.full.forget(counted.sign);
+                evidence.new.retract(counted.sign);
+                evidence.full.retract(counted.sign);
             }
         }
     }
--- a/crates/gateway/src/judge.rs
+++ b/crates/gateway/src/judge.rs
@@ -11,7 +11,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::TRANSFER_ENCODING;
 use hyper::http::response::Parts;
-use policy::canary::{self, Sign};
+use policy::canary::{self, Outcome};
 use policy::escalate::{self, Doubt};
 use policy::gain;
 use policy::patience::Patience;
@@ -226,7 +226,7 @@
             return;
         }
         let sign = match took_ms {
-            None => Sign::Failed,
+            None => Outcome::Failed,
             Some(ms) => self.compare(backend, ms, |timing| &mut timing.short),
         };
         self.note_sign(backend, sign);
@@ -267,7 +267,7 @@
         backend: &Backend,
         ms: f64,
         of: impl FnOnce(&mut Timing) -> &mut Patience,
-    ) -> Sign {
+    ) -> Outcome {
         let is_usual = self.timed(backend);
         let usual_ms = self.state.timings.with(self.timing(), |timing| {
             let usual = of(timing);
@@ -277,10 +277,10 @@
             }
             before
         });
-        if canary::is_slow(ms, usual_ms) { Sign::Slow } else { Sign::Good }
+        if canary::is_slow(ms, usual_ms) { Outcome::Slow } else { Outcome::Good }
     }
 
-    fn note_sign(&self, backend: &Backend, sign: Sign) -> Option<Counted> {
+    fn note_sign(&self, backend: &Backend, sign: Outcome) -> Option<Counted> {
         let world = self.state.world.load();
         let pool: Option<&Arc<Pool>> = world.pools.get(&self.service);
         let trial = pool.and_then(|pool| pool.rollout.as_ref()).filter(|trial| trial.is_open());
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -52,7 +52,7 @@
     pub fn sent(&self, backend: &Backend, now: Millis) {
         if backend.server.is_restricted() {
             let place = self.place(backend);
-            backend.with_intake(|intake| intake.sent(place.as_ref(), now));
+            backend.with_intake(|intake| intake.record_sent(place.as_ref(), now));
         }
         if self.tolerance.is_some() {
             backend.chosen(now);
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -8,8 +8,8 @@
 use entry::clock;
 use entry::connection::Cause;
 use policy::name::Name;
-use policy::poison::book::Source;
-use policy::poison::{Answer, Book, Digest, Kind, Polls, Run, Suspect, Verdict};
+use policy::poison::registry::Source;
+use policy::poison::{Answer, Attempt, Digest, Kind, Polls, Registry, Suspect, Verdict};
 use tokio::sync::{Notify, mpsc, oneshot};
 use wire::refusal::{Code, Refusal};
 
@@ -50,7 +50,7 @@
 
 /// What is known of requests lost with their servers, for all requests of this host.
 pub struct Guard {
-    book: Mutex<Book>,
+    book: Mutex<Registry>,
     polls: Mutex<Polls>,
     /// Nothing speaks against any request, so none needs to be looked up.
     is_calm: AtomicBool,
@@ -76,14 +76,14 @@
     }
 
     /// Uses what is known.
-    pub fn with<T>(&self, use_it: impl FnOnce(&mut Book) -> T) -> T {
+    pub fn with<T>(&self, use_it: impl FnOnce(&mut Registry) -> T) -> T {
         let mut book = self.lock();
         let used = use_it(&mut book);
         self.is_calm.store(book.is_empty(), Ordering::Relaxed);
         used
     }
 
-    fn lock(&self) -> MutexGuard<'_, Book> {
+    fn lock(&self) -> MutexGuard<'_, Registry> {
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -94,13 +94,13 @@
 
     /// A server ended, here or elsewhere: others may know more.
     pub fn alarm(&self) {
-        self.polls(|polls| polls.alarm(clock::steady()));
+        self.polls(|polls| polls.schedule(clock::steady()));
         self.changed.notify_one();
     }
 
     /// Whether something is to be sent or read, now or soon.
     pub fn is_awake(&self) -> bool {
-        self.polls(|polls| polls.is_awake()) || self.lock().has_unsent()
+        self.polls(|polls| polls.is_scheduled()) || self.lock().has_unsent()
     }
 
     /// Something was learnt of a request, with times of this host's clock; whether it is news.
@@ -111,7 +111,7 @@
             (is_news, book.verdict(heard.digest, now))
         });
         if is_news {
-            self.polls(|polls| polls.hurry(now));
+            self.polls(|polls| polls.restart(now));
             self.changed.notify_one();
         }
         // Of victims every host hears; what is decided by is sent to them.
@@ -130,8 +130,9 @@
     pub fn ended(&self, server: &Name) {
         let now = clock::steady();
         let lost = self.with(|book| {
-            let requests = book.ended(server, now).into_iter();
-            let count = |digest| book.suspect(digest).map_or(0, |suspect| suspect.servers(now));
+            let requests = book.record_server_end(server, now).into_iter();
+            let count =
+                |digest| book.suspect(digest).map_or(0, |suspect| suspect.server_count(now));
             let counted = requests.map(|request| {
                 let parts = request.parts.iter().map(|part| (*part, count(*part)));
                 let worst = parts.max_by_key(|(_, servers)| *servers);
@@ -148,7 +149,7 @@
                 "request lost with its server");
         }
         if !lost.is_empty() {
-            self.polls(|polls| polls.hurry(now));
+            self.polls(|polls| polls.restart(now));
             self.changed.notify_one();
         }
     }
@@ -238,7 +239,7 @@
             return;
         }
         let run = self.run_at(backend);
-        self.state.poison.with(|book| book.lost(run, clock::steady()));
+        self.state.poison.with(|book| book.record_loss(run, clock::steady()));
         if cause != Cause::Silent {
             self.tries.broke_at = Some(Arc::clone(backend));
             self.state.look_soon(backend);
@@ -248,7 +249,7 @@
     /// A server ended under it that another host had sent it to.
     pub fn note_ended_under(&self, backend: &Backend) {
         let run = self.run_at(backend);
-        self.state.poison.with(|book| book.lost(run, clock::steady()));
+        self.state.poison.with(|book| book.record_loss(run, clock::steady()));
         self.state.poison.ended(&backend.id);
     }
 
@@ -258,13 +259,13 @@
             return;
         }
         let run = self.run_at(backend);
-        self.state.poison.with(|book| book.given_up(run, clock::steady()));
+        self.state.poison.with(|book| book.record_abandoned(run, clock::steady()));
     }
 
     /// A server has answered the request.
     pub fn note_answered(&self, answer: Answer) {
         let now = clock::steady();
-        self.state.poison.with(|book| book.answered(self.fingerprint(), answer, now));
+        self.state.poison.with(|book| book.record_answer(self.fingerprint(), answer, now));
         let acquitted = self.tries.trial.filter(|_| answer == Answer::Whole);
         if let Some((digest, _)) = acquitted {
             // When too many wait the others find out by tries of their own.
@@ -272,9 +273,9 @@
         }
     }
 
-    fn run_at(&self, backend: &Backend) -> Run {
+    fn run_at(&self, backend: &Backend) -> Attempt {
         let is_settled = |begun: Instant| begun.elapsed() >= SETTLED;
-        Run {
+        Attempt {
             request: self.fingerprint().clone(),
             server: backend.id.clone(),
             born: backend.born,
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -234,7 +234,7 @@
         let trial = self.rollout.as_ref();
         let trial = trial.filter(|trial| trial.target == *version && trial.is_open());
         let share = trial.map(|trial| trial.share(now)).filter(|share| *share > 0.0);
-        let count = share.map_or(all.len(), |share| canary::servers(share, all.len(), load));
+        let count = share.map_or(all.len(), |share| canary::server_count(share, all.len(), load));
         all.iter().take(count).collect()
     }
 
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -32,7 +32,7 @@
         stage,
         began: Millis(0),
         within_ms: WITHIN_MS,
-        allowed: canary::ALLOWED_MIN,
+        allowed: canary::EXPOSURE_SHARE_MIN,
         halted: Arc::new(AtomicBool::new(halted)),
     };
     let backends = vec![backend("old", "v1"), backend("new", "v2")];
--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -80,7 +80,7 @@
     /// Nothing known yet.
     #[must_use]
     pub fn new(failure_domain: Name) -> Self {
-        let exposure_share = canary::ALLOWED_MIN;
+        let exposure_share = canary::EXPOSURE_SHARE_MIN;
         Self { failure_domain, exposure_share, inner: Mutex::default() }
     }
 
@@ -195,7 +195,7 @@
         now: Millis,
     ) -> evacuation::Change {
         let mut inner = self.lock();
-        let change = inner.evacuations.take(entries, revision, is_whole);
+        let change = inner.evacuations.apply(entries, revision, is_whole);
         inner.cool(&change.ended, now);
         change
     }
@@ -349,7 +349,7 @@
             let pool = pools.entry(row.service.clone()).or_default();
             match row.draining || backend.server.is_leaving() {
                 true => pool.leaving += 1,
-                false if self.evacuations.covers(&row.failure_domain) => pool.evacuated += 1,
+                false if self.evacuations.is_evacuated(&row.failure_domain) => pool.evacuated += 1,
                 false => pool.backends.push(backend),
             }
         }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -20,7 +20,7 @@
 use policy::backlog::Prompt;
 use policy::listing::Listing;
 use policy::name::Name;
-use policy::poison::book::Source;
+use policy::poison::registry::Source;
 use policy::time::Millis;
 use rand::seq::SliceRandom;
 use tokio::net::UdpSocket;
@@ -192,7 +192,7 @@
             Notice::Records => (self.all(), self.records()),
             Notice::Counts => (delegate.into_iter().collect(), self.counts()),
             Notice::Suspects => {
-                let new = self.state.poison.with(|book| book.for_peers(clock::steady()));
+                let new = self.state.poison.with(|book| book.take_for_peers(clock::steady()));
                 (self.all(), new.into_iter().map(Entry::Suspect).collect())
             }
             Notice::Incoming(list) => (self.all(), vec![Entry::Incoming(list)]),
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -13,7 +13,7 @@
 use gateway::{Codec, State};
 use policy::domain;
 use policy::name::Name;
-use policy::poison::book::Source;
+use policy::poison::registry::Source;
 use policy::poison::{Digest, Fingerprint, Suspect, TRIAL_MS, Verdict};
 use policy::revision::Revision;
 use policy::time::Millis;
@@ -83,7 +83,7 @@
         loop {
             tokio::select! {
                 () = self.guard().changed.notified() => {}
-                Ok(()) = era.changed() => self.guard().with(|book| book.rewrite()),
+                Ok(()) = era.changed() => self.guard().with(|book| book.mark_own_unsent()),
                 () = tokio::time::sleep(LOOK), if self.guard().is_awake() => {}
                 Some(trial) = trials.recv() => {
                     let this = Arc::clone(&self);
@@ -110,12 +110,12 @@
         if self.guard().polls(|polls| polls.is_due(clock::steady())) && self.watch.is_delegate() {
             self.read(moment).await?;
         }
-        let Some(row) = self.guard().with(|book| book.for_store(clock::steady())) else {
+        let Some(row) = self.guard().with(|book| book.take_store_row(clock::steady())) else {
             return Ok(());
         };
         let written = self.write(&row, moment).await;
         if written.is_err() {
-            self.guard().with(|book| book.untaken(&row));
+            self.guard().with(|book| book.mark_unsent(&row));
         }
         written
     }
@@ -125,7 +125,7 @@
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, SEEN).await;
         let now = clock::steady();
         let learnt = rows.as_ref().map_or(0, |rows| self.learn(rows, now));
-        self.guard().polls(|polls| polls.read(learnt > 0, now));
+        self.guard().polls(|polls| polls.record_read(learnt > 0, now));
         let rows = rows?;
         *moment = Some(Moment { here: now, store: Millis(rows.now_ms) });
         if learnt > 0 {
@@ -214,7 +214,7 @@
                 ..Suspect::new(ask.digest).with_kind(ask.kind)
             };
             self.guard().learn(&answered.on_clock(Millis(rows.now_ms), now), Source::Store);
-            let fingerprint = Fingerprint::of_request(ask.digest);
+            let fingerprint = Fingerprint::from_request(ask.digest);
             if self.guard().with(|book| book.judge(&fingerprint, now)).verdict == Verdict::Run {
                 return Ok(true);
             }
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -61,7 +61,7 @@
     /// Whether it stands as it did before another state of the same roll-out: no roll-out goes back.
     #[must_use]
     pub fn is_behind(&self, other: &Self) -> bool {
-        self.stage.is_behind(other.stage)
+        self.stage.is_before(other.stage)
     }
 }
 
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -195,9 +195,9 @@
                 return;
             }
             let elapsed = elapsed(&known, clock::steady());
-            if canary::is_watched(record.stage, elapsed) {
+            if canary::needs_evidence(record.stage, elapsed) {
                 self.look(&course.service, &known);
-                self.advance(&mut course, &known, canary::is_due(record.stage, elapsed)).await;
+                self.advance(&mut course, &known, canary::is_urgent(record.stage, elapsed)).await;
             }
             tokio::time::sleep(LOOK).await;
         }
--- a/crates/policy/benches/decide.rs
+++ b/crates/policy/benches/decide.rs
@@ -70,7 +70,7 @@
     });
     c.bench_function("one rated answer, cusum", |b| {
         let mut test = Cusum::default();
-        let expecting = Hypotheses::expecting(0.95);
+        let expecting = Hypotheses::from_expected(0.95);
         b.iter(|| black_box(test.observe(true, &expecting)));
     });
 }
--- a/crates/policy/src/burn.rs
+++ b/crates/policy/src/burn.rs
@@ -70,7 +70,7 @@
 impl Counts {
     /// Share of good ones; 1 if there are none at all.
     #[must_use]
-    pub fn share(&self) -> f64 {
+    pub fn good_share(&self) -> f64 {
         match self.total {
             0 => 1.0,
             total => self.good as f64 / total as f64,
@@ -79,9 +79,9 @@
 
     /// Times the allowed rate of errors.
     #[must_use]
-    pub fn rate(&self, objective: f64) -> f64 {
+    pub fn burn_rate(&self, objective: f64) -> f64 {
         let allowed = (1.0 - objective).max(f64::EPSILON);
-        (1.0 - self.share()) / allowed
+        (1.0 - self.good_share()) / allowed
     }
 
     fn add(&mut self, other: Self) {
@@ -111,7 +111,7 @@
     }
 
     /// Joins another copy of the same host's counts: the fuller of each bucket.
-    pub fn join(&mut self, other: &Self) {
+    pub fn merge(&mut self, other: &Self) {
         for (bucket, counts) in &other.buckets {
             let known = self.buckets.entry(*bucket).or_default();
             if counts.total > known.total {
@@ -135,7 +135,7 @@
     pub fn burn(&self, objective: f64, window: Window, now: Millis) -> Burn {
         let short = self.window(window.short_ms, now);
         let long = self.window(window.long_ms, now);
-        let (short_rate, long_rate) = (short.rate(objective), long.rate(objective));
+        let (short_rate, long_rate) = (short.burn_rate(objective), long.burn_rate(objective));
         let alert = short_rate >= window.threshold && long_rate >= window.threshold;
         Burn { window, short, long, short_rate, long_rate, alert }
     }
--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -44,7 +44,7 @@
 /// Part of the time in which a version has all requests before it is declared done, at least.
 const FULL_MIN: f64 = 0.01;
 /// Part of all requests that a bad version may get at least, wherever it is named.
-pub const ALLOWED_MIN: f64 = 0.0975;
+pub const EXPOSURE_SHARE_MIN: f64 = 0.0975;
 /// Shares of requests at these times. With the last part at full share the sum stays under what a
 /// bad version may get at least.
 const FIRST_SHARE: f64 = 0.05;
@@ -124,7 +124,7 @@
 
     /// What an answer says of its version.
     #[derive(Copy, Eq)]
-    pub enum Sign {
+    pub enum Outcome {
         /// Nothing bad.
         Good,
         /// It took many times the usual time.
@@ -174,7 +174,7 @@
 
     /// Whether a roll-out passes through it before another one.
     #[must_use]
-    pub fn is_behind(self, other: Self) -> bool {
+    pub fn is_before(self, other: Self) -> bool {
         match self {
             Self::Trial => other != Self::Trial,
             Self::Moving => other.is_decided(),
@@ -185,22 +185,22 @@
 
 impl Count {
     /// Counts an answer.
-    pub fn note(&mut self, sign: Sign) {
+    pub fn record(&mut self, outcome: Outcome) {
         self.answers += 1;
-        self.bad += u32::from(sign == Sign::Failed);
-        self.slow += u32::from(sign == Sign::Slow);
+        self.bad += u32::from(outcome == Outcome::Failed);
+        self.slow += u32::from(outcome == Outcome::Slow);
     }
 
     /// Takes an answer back that was counted.
-    pub fn forget(&mut self, sign: Sign) {
+    pub fn retract(&mut self, outcome: Outcome) {
         let mut one = Self::default();
-        one.note(sign);
-        *self = self.less(one);
+        one.record(outcome);
+        *self = self.minus(one);
     }
 
     /// Those that are not among others of its own.
     #[must_use]
-    pub fn less(self, others: Self) -> Self {
+    pub fn minus(self, others: Self) -> Self {
         Self {
             answers: self.answers.saturating_sub(others.answers),
             bad: self.bad.saturating_sub(others.bad),
@@ -278,7 +278,7 @@
 
 /// The share of the longest part of a trial.
 fn second_share(allowed: f64) -> f64 {
-    let more = (allowed - ALLOWED_MIN).clamp(0.0, ALLOWED_MIN);
+    let more = (allowed - EXPOSURE_SHARE_MIN).clamp(0.0, EXPOSURE_SHARE_MIN);
     SECOND_SHARE + more * ALLOWED_USED / (MOVE_ALL - GROW)
 }
 
@@ -309,7 +309,7 @@
 /// A version that fails under load only must show it while the version before is still there: once
 /// it is not, nothing can be taken back when the load rises.
 #[must_use]
-pub fn servers(share: f64, all: usize, load: f64) -> usize {
+pub fn server_count(share: f64, all: usize, load: f64) -> usize {
     ((share * all as f64 / load).ceil() as usize).clamp(1, all.max(1))
 }
 
@@ -354,7 +354,7 @@
 pub fn slow_weight(evidence: &Evidence) -> f64 {
     let Evidence { old, new, peak, .. } = evidence;
     // Quick ones under the load of a peak speak for it, slow ones not against it.
-    timed_weight(*old, *new).min(timed_weight(*old, new.less(*peak)))
+    timed_weight(*old, *new).min(timed_weight(*old, new.minus(*peak)))
 }
 
 fn timed_weight(old: Count, new: Count) -> f64 {
@@ -378,7 +378,7 @@
     // Slow answers under the load of a peak say nothing, so they don't count as answers either: a version that turns
     // slow during its trial would be taken for quick by the few that came before.
     let telling: u32 = evidence.iter().map(|one| one.new.answers - one.peak.slow).sum();
-    let is_clean = evidence.iter().all(|one| one.new.bad + one.new.less(one.peak).slow == 0)
+    let is_clean = evidence.iter().all(|one| one.new.bad + one.new.minus(one.peak).slow == 0)
         && telling >= ANSWERS_MIN;
     let (failures, slowness) =
         (worst_route(evidence, failure_weight), worst_route(evidence, slow_weight));
@@ -421,7 +421,7 @@
         };
         evidence.iter().map(|one| slow_weight(&new(one))).sum::<f64>()
     };
-    let on_trial = part(|one| (one.new.less(one.full), one.peak));
+    let on_trial = part(|one| (one.new.minus(one.full), one.peak));
     let at_full = part(|one| (one.full, Count::default()));
     on_trial + at_full <= GO || (on_trial <= GO && at_full < SUSPECT_SLOW)
 }
@@ -453,7 +453,7 @@
 
 /// Whether each answer may decide: the version has all requests, or the time is nearly over.
 #[must_use]
-pub fn is_due(stage: Stage, elapsed: f64) -> bool {
+pub fn is_urgent(stage: Stage, elapsed: f64) -> bool {
     match stage {
         Stage::Moving => (MOVE_ALL..MISSED).contains(&elapsed),
         Stage::Trial => (GIVE_UP..MISSED).contains(&elapsed),
@@ -463,6 +463,6 @@
 
 /// Whether the hosts' evidence is needed now.
 #[must_use]
-pub fn is_watched(stage: Stage, elapsed: f64) -> bool {
+pub fn needs_evidence(stage: Stage, elapsed: f64) -> bool {
     matches!(stage, Stage::Trial | Stage::Moving) && elapsed >= BEGIN
 }
--- a/crates/policy/src/evacuation.rs
+++ b/crates/policy/src/evacuation.rs
@@ -46,7 +46,7 @@
 
 impl Evacuations {
     /// Takes changes of a list that were read at a revision, or all orders that it had then.
-    pub fn take(&mut self, entries: &[Entry], revision: Revision, is_whole: bool) -> Change {
+    pub fn apply(&mut self, entries: &[Entry], revision: Revision, is_whole: bool) -> Change {
         if is_whole {
             self.end_missing(entries, revision);
         }
@@ -76,7 +76,7 @@
 
     /// Whether a failure domain is evacuated.
     #[must_use]
-    pub fn covers(&self, failure_domain: &Name) -> bool {
+    pub fn is_evacuated(&self, failure_domain: &Name) -> bool {
         self.evacuated.contains(failure_domain)
     }
 
--- a/crates/policy/src/exposure.rs
+++ b/crates/policy/src/exposure.rs
@@ -59,7 +59,7 @@
 impl Hypotheses {
     /// From the share of good answers that is expected, 0 to 1.
     #[must_use]
-    pub fn expecting(share: f64) -> Self {
+    pub fn from_expected(share: f64) -> Self {
         let expected = share.clamp(EXPECTED_MIN, EXPECTED_MAX);
         let odds = expected / (1.0 - expected) * BAD_ODDS;
         Self { expected, bad: odds / (1.0 + odds) }
@@ -67,7 +67,7 @@
 
     /// The logarithm of how much likelier an answer is from a bad version than from a good one.
     #[must_use]
-    pub fn weight(&self, good: bool) -> f64 {
+    pub fn log_ratio(&self, good: bool) -> f64 {
         match good {
             true => (self.bad / self.expected).ln(),
             false => ((1.0 - self.bad) / (1.0 - self.expected)).ln(),
@@ -82,7 +82,7 @@
         if verdict == Verdict::Good {
             self.believed = Some(mean.min(prior));
         }
-        Hypotheses::expecting(self.believed.unwrap_or(prior))
+        Hypotheses::from_expected(self.believed.unwrap_or(prior))
     }
 }
 
--- a/crates/policy/src/exposure/cusum.rs
+++ b/crates/policy/src/exposure/cusum.rs
@@ -24,7 +24,7 @@
 impl Test for Cusum {
     fn observe(&mut self, good: bool, expecting: &Hypotheses) -> Verdict {
         self.threshold = threshold(expecting, FALSE_ALARM_EVERY);
-        self.sum = (self.sum + expecting.weight(good)).max(0.0);
+        self.sum = (self.sum + expecting.log_ratio(good)).max(0.0);
         self.bad |= self.sum >= self.threshold;
         self.verdict()
     }
@@ -58,8 +58,8 @@
 /// Answers between two false alarms at a threshold.
 fn run_length(expecting: &Hypotheses, threshold: f64) -> f64 {
     let bad_share = 1.0 - expecting.expected;
-    let step = expecting.weight(false) - expecting.weight(true);
-    let drift = (bad_share * step + expecting.weight(true)).abs();
+    let step = expecting.log_ratio(false) - expecting.log_ratio(true);
+    let drift = (bad_share * step + expecting.log_ratio(true)).abs();
     let corrected =
         threshold + step * overshoot(bad_share) * (bad_share * (1.0 - bad_share)).sqrt();
     (corrected.exp() - corrected - 1.0) / drift
--- a/crates/policy/src/exposure/likelihood.rs
+++ b/crates/policy/src/exposure/likelihood.rs
@@ -20,7 +20,7 @@
 
 impl Test for Likelihood {
     fn observe(&mut self, good: bool, expecting: &Hypotheses) -> Verdict {
-        self.ratio += expecting.weight(good);
+        self.ratio += expecting.log_ratio(good);
         if self.ratio <= ACCEPT {
             self.ratio = 0.0;
         }
@@ -40,7 +40,7 @@
 /// Log ratio at which a version counts as bad: Wald's bound, with one test's false alarms spread
 /// over the answers it takes to accept a good version.
 fn reject(expecting: &Hypotheses) -> f64 {
-    let (good, bad) = (expecting.weight(true), expecting.weight(false));
+    let (good, bad) = (expecting.log_ratio(true), expecting.log_ratio(false));
     let drift = expecting.expected * good + (1.0 - expecting.expected) * bad;
     let answers = (ACCEPT / drift).max(1.0);
     (FALSE_ALARM_EVERY / answers).ln()
--- a/crates/policy/src/exposure/rating.rs
+++ b/crates/policy/src/exposure/rating.rs
@@ -36,7 +36,7 @@
 impl Interest {
     /// From a version's standing and what the test says.
     #[must_use]
-    pub fn of(is_candidate: bool, verdict: Verdict) -> Self {
+    pub fn new(is_candidate: bool, verdict: Verdict) -> Self {
         match verdict {
             Verdict::Suspect | Verdict::Bad => Self::Suspect,
             Verdict::Good if is_candidate => Self::Candidate,
@@ -53,7 +53,7 @@
     }
 
     /// Whether to rate an answer; `unit` is a uniform draw from 0 to 1.
-    pub fn rates(&mut self, interest: Interest, unit: f64) -> bool {
+    pub fn should_rate(&mut self, interest: Interest, unit: f64) -> bool {
         self.saved = (self.saved + self.share).min(SAVED_MAX);
         let wish = match interest {
             Interest::Steady => self.share * STEADY_PART,
--- a/crates/policy/src/intake.rs
+++ b/crates/policy/src/intake.rs
@@ -21,13 +21,13 @@
 
 /// What was news in an answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct News {
+pub struct Changes {
     /// It takes another number of requests a second.
-    pub is_limit: bool,
+    pub has_new_limit: bool,
     /// It leaves.
-    pub is_leave: bool,
+    pub has_begun_leaving: bool,
     /// It wants a pause.
-    pub is_pause: bool,
+    pub has_begun_pause: bool,
 }
 
 /// Whether a request may go to a server now.
@@ -55,25 +55,31 @@
 
 impl Intake {
     /// An answer came to a request that was sent then; `draw` is a uniform draw.
-    pub fn heard(&mut self, statement: &Statement, sent: Millis, draw: f64, now: Millis) -> News {
+    pub fn record_answer(
+        &mut self,
+        statement: &Statement,
+        sent: Millis,
+        draw: f64,
+        now: Millis,
+    ) -> Changes {
         if statement.pause_ms.is_none() {
-            self.pause.answered(sent);
+            self.pause.record_answer(sent);
         }
-        News {
-            is_pause: statement.pause_ms.is_some_and(|ms| self.pause.ask(ms, draw, now)),
-            is_limit: self.throttle.heard(statement.per_second, sent, now),
-            is_leave: statement.is_leaving && self.leave(now),
+        Changes {
+            has_begun_pause: statement.pause_ms.is_some_and(|ms| self.pause.extend(ms, draw, now)),
+            has_new_limit: self.throttle.heard(statement.per_second, sent, now),
+            has_begun_leaving: statement.is_leaving && self.mark_leaving(now),
         }
     }
 
     /// Another host says how much it takes, or its entry does; whether that is news.
-    pub fn learn(&mut self, limit: Limit, now: Millis) -> bool {
+    pub fn learn_limit(&mut self, limit: Limit, now: Millis) -> bool {
         self.throttle.learn(limit, now)
     }
 
     /// The server leaves, as it said itself or another host says; whether that is news. It is not
     /// taken back: an answer that does not say so may be older than one that did.
-    pub fn leave(&mut self, now: Millis) -> bool {
+    pub fn mark_leaving(&mut self, now: Millis) -> bool {
         let is_news = self.leaving_at.is_none();
         self.leaving_at.get_or_insert(now);
         is_news
@@ -81,9 +87,9 @@
 
     /// The server reports whether it leaves, asked for just that at a time. A report that was asked for
     /// later than it last said so is newer: one that has started again under its name takes work.
-    pub fn reported(&mut self, is_leaving: bool, asked: Millis, now: Millis) {
+    pub fn apply_report(&mut self, is_leaving: bool, asked: Millis, now: Millis) {
         match is_leaving {
-            true => drop(self.leave(now)),
+            true => drop(self.mark_leaving(now)),
             false if self.leaving_at.is_some_and(|at| at < asked) => self.leaving_at = None,
             false => {}
         }
@@ -128,8 +134,8 @@
     }
 
     /// The host sends it a request.
-    pub fn sent(&mut self, place: Option<&Place>, now: Millis) {
-        self.pause.sent(now);
+    pub fn record_sent(&mut self, place: Option<&Place>, now: Millis) {
+        self.pause.record_sent(now);
         if let Some(place) = place {
             self.throttle.sent(place, now);
         }
--- a/crates/policy/src/pause.rs
+++ b/crates/policy/src/pause.rs
@@ -28,7 +28,7 @@
 
 /// How long a pause of so many seconds is, in milliseconds; none if the text is no such number.
 #[must_use]
-pub fn from_seconds(text: &str) -> Option<u64> {
+pub fn parse_seconds(text: &str) -> Option<u64> {
     let seconds: f64 = text.trim().parse().ok()?;
     let is_time = seconds.is_finite() && seconds >= 0.0;
     is_time.then(|| (seconds * 1_000.0).min(MAX_MS as f64) as u64)
@@ -36,7 +36,7 @@
 
 impl Pause {
     /// The server asks for a pause; `draw` is a uniform draw. Whether it wanted none until now.
-    pub fn ask(&mut self, ms: u64, draw: f64, now: Millis) -> bool {
+    pub fn extend(&mut self, ms: u64, draw: f64, now: Millis) -> bool {
         let ms = ms.min(MAX_MS);
         if ms == 0 {
             return false;
@@ -49,14 +49,14 @@
     }
 
     /// The server took a request that was sent then. Answers to those sent before the end say nothing.
-    pub fn answered(&mut self, sent: Millis) {
+    pub fn record_answer(&mut self, sent: Millis) {
         if self.until.is_some_and(|until| sent >= until) {
             *self = Self::default();
         }
     }
 
     /// This host sends the server a request.
-    pub fn sent(&mut self, now: Millis) {
+    pub fn record_sent(&mut self, now: Millis) {
         if self.until.is_some_and(|until| until <= now) {
             self.trial_at = Some(now);
         }
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -6,18 +6,18 @@
 //! server: an answer clears a request and the parts of its prompt, and victims are answered elsewhere.
 //! What is lost with server after server, and never answered, is held back.
 
-pub mod book;
 mod judge;
 pub mod polls;
 pub mod recent;
+pub mod registry;
 
 use std::fmt;
 use std::sync::Arc;
 
-pub use book::{Answer, Book, Run};
-pub use judge::Judged;
+pub use judge::Judgement;
 pub use polls::Polls;
-pub use recent::Recent;
+pub use recent::RecentAnswers;
+pub use registry::{Answer, Attempt, Registry};
 
 use crate::domain;
 use crate::name::Name;
@@ -128,7 +128,7 @@
 impl Fingerprint {
     /// Of a request without a prompt.
     #[must_use]
-    pub fn of_request(request: Digest) -> Self {
+    pub fn from_request(request: Digest) -> Self {
         Self { request, parts: Arc::default(), service: Name::default() }
     }
 
@@ -140,7 +140,7 @@
 
     /// Whether it has something of this name.
     #[must_use]
-    pub fn has(&self, digest: Digest) -> bool {
+    pub fn contains(&self, digest: Digest) -> bool {
         self.request == digest || self.parts.contains(&digest)
     }
 
@@ -194,13 +194,13 @@
 
     /// Servers that speak against it.
     #[must_use]
-    pub fn servers(&self, now: Millis) -> u32 {
+    pub fn server_count(&self, now: Millis) -> u32 {
         self.weight(now) / SERVER
     }
 
     /// When it was last lost with a server, if that speaks against it.
     #[must_use]
-    pub fn last(&self) -> Option<Millis> {
+    pub fn last_crash_at(&self) -> Option<Millis> {
         self.crashes.iter().map(|crash| crash.at).max()
     }
 
@@ -229,9 +229,9 @@
     /// at once.
     #[must_use]
     pub fn is_notable(&self, now: Millis, unanswered_ms: u64) -> bool {
-        let waited = self.last().is_some_and(|last| now.since(last) >= unanswered_ms);
+        let waited = self.last_crash_at().is_some_and(|last| now.since(last) >= unanswered_ms);
         let has_early = self.crashes.iter().any(|crash| crash.is_early);
-        match self.servers(now) {
+        match self.server_count(now) {
             0 => false,
             servers if servers < SUSPECT => waited && has_early,
             _ => true,
@@ -271,7 +271,7 @@
     }
 
     fn is_forgotten(&self, now: Millis) -> bool {
-        let heard = self.last().max(self.answered_at);
+        let heard = self.last_crash_at().max(self.answered_at);
         let keep_ms = if self.crashes.is_empty() { CLEARED_MS } else { FORGET_MS };
         heard.is_none_or(|heard| now.since(heard) >= keep_ms)
     }
--- a/crates/policy/src/poison/judge.rs
+++ b/crates/policy/src/poison/judge.rs
@@ -10,14 +10,14 @@
 
 /// What is to be done with a request, and what speaks against it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Judged {
+pub struct Judgement {
     /// What is to be done.
     pub verdict: Verdict,
     /// What decided, if anything speaks against the request.
     pub cause: Option<(Digest, Kind)>,
 }
 
-impl Judged {
+impl Judgement {
     const INNOCENT: Self = Self { verdict: Verdict::Run, cause: None };
 
     /// The one that lets less through.
@@ -40,10 +40,10 @@
     known: impl Fn(Digest) -> Option<&'a Suspect>,
     all: impl Iterator<Item = &'a Suspect> + Clone,
     now: Millis,
-) -> Judged {
+) -> Judgement {
     let own = request.causes().filter_map(|(digest, _)| known(digest));
     let judged = own.map(|suspect| judge_one(request, suspect, all.clone(), now));
-    judged.fold(Judged::INNOCENT, Judged::stricter)
+    judged.fold(Judgement::INNOCENT, Judgement::stricter)
 }
 
 fn judge_one<'a>(
@@ -51,18 +51,19 @@
     suspect: &Suspect,
     all: impl Iterator<Item = &'a Suspect> + Clone,
     now: Millis,
-) -> Judged {
-    let servers = suspect.servers(now);
+) -> Judgement {
+    let servers = suspect.server_count(now);
     if servers < SUSPECT {
-        return Judged::INNOCENT;
+        return Judgement::INNOCENT;
     }
-    let heavy = all.filter(|other| other.digest != suspect.digest && other.servers(now) >= HELD);
-    let stronger = heavy.clone().filter(|other| other.servers(now) > servers);
+    let heavy =
+        all.filter(|other| other.digest != suspect.digest && other.server_count(now) >= HELD);
+    let stronger = heavy.clone().filter(|other| other.server_count(now) > servers);
     let is_unexplained = |crash: &Crash| !stronger.clone().any(|other| other.was_lost_with(crash));
     let verdict = suspect.verdict_by(is_unexplained, now);
     let is_twin = |other: &Suspect| {
-        other.servers(now) == servers
-            && !request.has(other.digest)
+        other.server_count(now) == servers
+            && !request.contains(other.digest)
             && suspect.crashes.iter().all(|crash| other.was_lost_with(crash))
     };
     let verdict = match verdict {
@@ -71,7 +72,7 @@
         }
         verdict => verdict,
     };
-    Judged { verdict, cause: Some((suspect.digest, suspect.kind)) }
+    Judgement { verdict, cause: Some((suspect.digest, suspect.kind)) }
 }
 
 impl Suspect {
--- a/crates/policy/src/poison/polls.rs
+++ b/crates/policy/src/poison/polls.rs
@@ -27,12 +27,12 @@
 
 impl Polls {
     /// A server ended, or this host has started.
-    pub fn alarm(&mut self, now: Millis) {
+    pub fn schedule(&mut self, now: Millis) {
         self.next = self.next.or(Some(now + GATHER_MS));
     }
 
     /// Something was learnt of a request: hosts elsewhere may know more by now.
-    pub fn hurry(&mut self, now: Millis) {
+    pub fn restart(&mut self, now: Millis) {
         self.until = now + FOR_MS;
         self.pause_ms = FIRST_MS;
         let soon = now + FIRST_MS;
@@ -47,12 +47,12 @@
 
     /// Whether they are read, now or soon.
     #[must_use]
-    pub fn is_awake(&self) -> bool {
+    pub fn is_scheduled(&self) -> bool {
         self.next.is_some()
     }
 
     /// They were read, or could not be.
-    pub fn read(&mut self, is_news: bool, now: Millis) {
+    pub fn record_read(&mut self, is_news: bool, now: Millis) {
         self.pause_ms = if is_news { FIRST_MS } else { (self.pause_ms * 2).min(LONGEST_MS) };
         self.next = Some(now + self.pause_ms).filter(|next| *next <= self.until);
     }
--- a/crates/policy/src/poison/recent.rs
+++ b/crates/policy/src/poison/recent.rs
@@ -14,14 +14,14 @@
 
 /// The newest answers, in two halves: the older one is dropped when the newer one is full.
 #[derive(Clone, Debug, Default)]
-pub struct Recent {
+pub struct RecentAnswers {
     newer: HashMap<Digest, Millis>,
     older: HashMap<Digest, Millis>,
 }
 
-impl Recent {
+impl RecentAnswers {
     /// A server has answered a request.
-    pub fn answered(&mut self, digest: Digest, now: Millis) {
+    pub fn record_answer(&mut self, digest: Digest, now: Millis) {
         if self.newer.len() >= HALF_MAX && !self.newer.contains_key(&digest) {
             self.older = std::mem::take(&mut self.newer);
         }
--- a/crates/policy/src/poison/book.rs
+++ b/crates/policy/src/poison/registry.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use super::judge::{self, Judged};
+use super::judge::{self, Judgement};
 use super::{
-    CLEARED_MS, Crash, Digest, Fingerprint, Kind, Recent, SAME_MS, SUSPECT, Suspect, Verdict,
+    CLEARED_MS, Crash, Digest, Fingerprint, Kind, RecentAnswers, SAME_MS, SUSPECT, Suspect, Verdict,
 };
 use crate::name::Name;
 use crate::time::Millis;
@@ -33,7 +33,7 @@
 
 /// A run of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Run {
+pub struct Attempt {
     /// The request.
     pub request: Fingerprint,
     /// The server.
@@ -44,7 +44,7 @@
     pub is_early: bool,
 }
 
-impl Run {
+impl Attempt {
     fn crash(&self, at: Millis) -> Crash {
         Crash { server: self.server.clone(), born: self.born, at, is_early: self.is_early }
     }
@@ -70,7 +70,7 @@
 
 #[derive(Debug)]
 struct Lost {
-    run: Run,
+    run: Attempt,
     at: Millis,
     /// It is its server's doing if the server ends by then.
     until: Millis,
@@ -90,9 +90,9 @@
     /// What the others need most comes first: what is held or may soon be, then what was cleared, then
     /// the rest.
     fn urgency(&self, now: Millis) -> (u32, bool, Option<Millis>) {
-        let servers = self.suspect.servers(now);
+        let servers = self.suspect.server_count(now);
         let is_cleared = self.is_shared && self.suspect.crashes.is_empty();
-        let heard = self.suspect.last().max(self.suspect.answered_at);
+        let heard = self.suspect.last_crash_at().max(self.suspect.answered_at);
         (if servers < SUSPECT { 0 } else { servers }, is_cleared, heard)
     }
 }
@@ -108,12 +108,12 @@
 
 /// What one host knows.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Registry {
     known: BTreeMap<Digest, Known>,
     lost: VecDeque<Lost>,
     ended: VecDeque<(Name, Millis)>,
-    recent: Recent,
-    recent_parts: Recent,
+    recent: RecentAnswers,
+    recent_parts: RecentAnswers,
     /// By service, since a server of it last answered.
     ends_in_a_row: HashMap<Name, Ends>,
 }
@@ -134,7 +134,7 @@
     }
 }
 
-impl Book {
+impl Registry {
     /// Whether nothing speaks against any request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -142,7 +142,7 @@
     }
 
     /// A run was lost.
-    pub fn lost(&mut self, run: Run, now: Millis) {
+    pub fn record_loss(&mut self, run: Attempt, now: Millis) {
         self.ended.retain(|(_, at)| now.since(*at) < ENDED_MS);
         match self.ended.iter().any(|(server, _)| *server == run.server) {
             true => self.crashed(&run, now, now),
@@ -151,7 +151,7 @@
     }
 
     /// A run was given up while its server worked on it. The server may end of it all the same.
-    pub fn given_up(&mut self, run: Run, now: Millis) {
+    pub fn record_abandoned(&mut self, run: Attempt, now: Millis) {
         self.await_end(Lost { run, at: now, until: now + GIVEN_UP_MS }, now);
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// A server has ended; the requests that were lost with it.
-    pub fn ended(&mut self, server: &Name, now: Millis) -> Vec<Fingerprint> {
+    pub fn record_server_end(&mut self, server: &Name, now: Millis) -> Vec<Fingerprint> {
         self.ended.retain(|(ended, _)| ended != server);
         if self.ended.len() >= ENDED_MAX {
             self.ended.pop_front();
@@ -182,7 +182,7 @@
         requests
     }
 
-    fn crashed(&mut self, run: &Run, at: Millis, now: Millis) {
+    fn crashed(&mut self, run: &Attempt, at: Millis, now: Millis) {
         self.note_crash(run.request.request, Kind::Request, run.crash(at), now);
         let ends = self.ends_in_a_row.entry(run.request.service.clone()).or_default();
         ends.note(&run.server);
@@ -206,7 +206,7 @@
     }
 
     /// A server has answered it.
-    pub fn answered(&mut self, request: &Fingerprint, answer: Answer, now: Millis) {
+    pub fn record_answer(&mut self, request: &Fingerprint, answer: Answer, now: Millis) {
         if answer == Answer::Unframed {
             return;
         }
@@ -219,7 +219,7 @@
     }
 
     fn clear(&mut self, digest: Digest, kind: Kind, now: Millis) {
-        self.recent_mut(kind).answered(digest, now);
+        self.recent_mut(kind).record_answer(digest, now);
         if let Some(known) = self.known.get_mut(&digest) {
             // Once in a while is enough: a request that comes often is answered often.
             let is_cleared = known.suspect.crashes.is_empty();
@@ -230,7 +230,7 @@
         }
     }
 
-    fn recent_mut(&mut self, kind: Kind) -> &mut Recent {
+    fn recent_mut(&mut self, kind: Kind) -> &mut RecentAnswers {
         match kind {
             Kind::Request => &mut self.recent,
             Kind::Part => &mut self.recent_parts,
@@ -268,7 +268,7 @@
 
     /// What is to be done with a request, and why.
     #[must_use]
-    pub fn judge(&self, request: &Fingerprint, now: Millis) -> Judged {
+    pub fn judge(&self, request: &Fingerprint, now: Millis) -> Judgement {
         let all = self.known.values().map(|known| &known.suspect);
         judge::judge(request, |digest| self.suspect(digest), all, now)
     }
@@ -292,7 +292,7 @@
     }
 
     /// What the other hosts of the failure domain are to be notified of now.
-    pub fn for_peers(&mut self, now: Millis) -> Vec<Suspect> {
+    pub fn take_for_peers(&mut self, now: Millis) -> Vec<Suspect> {
         self.settle(now);
         let due = self.known.values_mut().filter(|known| known.unsent.peers && is_due(known, now));
         let mut due: Vec<&mut Known> = due.collect();
@@ -307,7 +307,7 @@
 
     /// What this host's row in the store is to say now; none if it stays as it is. The newest come
     /// first where there are too many.
-    pub fn for_store(&mut self, now: Millis) -> Option<Vec<Suspect>> {
+    pub fn take_store_row(&mut self, now: Millis) -> Option<Vec<Suspect>> {
         self.settle(now);
         let mut due = self.known.values().filter(|known| known.unsent.store);
         if !due.any(|known| is_due(known, now)) {
@@ -327,7 +327,7 @@
     }
 
     /// The store did not take this host's row.
-    pub fn untaken(&mut self, row: &[Suspect]) {
+    pub fn mark_unsent(&mut self, row: &[Suspect]) {
         for suspect in row {
             if let Some(known) = self.known.get_mut(&suspect.digest) {
                 known.unsent.store = true;
@@ -336,7 +336,7 @@
     }
 
     /// The store may have lost this host's row.
-    pub fn rewrite(&mut self) {
+    pub fn mark_own_unsent(&mut self) {
         for known in self.known.values_mut().filter(|known| known.is_own && known.is_shared) {
             known.unsent.store = true;
         }
@@ -349,7 +349,9 @@
         let all = self.known.values().map(|known| &known.suspect);
         let mut suspects: Vec<&Suspect> =
             all.filter(|suspect| suspect.verdict(now) != Verdict::Run).collect();
-        suspects.sort_by_key(|suspect| std::cmp::Reverse((suspect.servers(now), suspect.last())));
+        suspects.sort_by_key(|suspect| {
+            std::cmp::Reverse((suspect.server_count(now), suspect.last_crash_at()))
+        });
         suspects.into_iter().take(SHARED_MAX).cloned().collect()
     }
 
@@ -358,7 +360,8 @@
         self.known.retain(|_, known| !known.suspect.is_forgotten(now));
         for known in self.known.values_mut() {
             let is_cleared = known.suspect.crashes.is_empty() && !known.is_shared;
-            let waited = known.suspect.last().is_some_and(|last| now.since(last) > UNANSWERED_MS);
+            let waited =
+                known.suspect.last_crash_at().is_some_and(|last| now.since(last) > UNANSWERED_MS);
             let is_minor = waited && !known.suspect.is_notable(now, UNANSWERED_MS);
             if is_cleared || is_minor && !known.is_shared {
                 known.unsent = Unsent::default();
@@ -382,7 +385,7 @@
     /// Gives up the one that least speaks against. Many victims must not push out the one that ends
     /// servers.
     fn make_room(&mut self, now: Millis) {
-        let rank = |known: &Known| (known.suspect.servers(now), known.suspect.last());
+        let rank = |known: &Known| (known.suspect.server_count(now), known.suspect.last_crash_at());
         let least = self.known.iter().min_by_key(|(_, known)| rank(known));
         if let Some(digest) = least.map(|(digest, _)| *digest) {
             self.known.remove(&digest);
--- a/crates/policy/src/rejection.rs
+++ b/crates/policy/src/rejection.rs
@@ -53,7 +53,7 @@
 impl Tolerance {
     /// An answer came to a request that was sent then; whether it says something new. One that does not
     /// say it says nothing if it was named since: answers overtake each other.
-    pub fn heard(&mut self, per_second: Option<f64>, sent: Millis, now: Millis) -> bool {
+    pub fn record_answer(&mut self, per_second: Option<f64>, sent: Millis, now: Millis) -> bool {
         let is_outdated = per_second.is_none() && sent <= self.at;
         let is_news = !is_outdated && self.per_second != per_second;
         if is_news || per_second.is_some() {
@@ -76,18 +76,18 @@
         let chosen = self.chosen.iter().filter(|at| now.since(**at) < CHOSEN_MS).count();
         let load = Load { own: load.own + chosen as u32, ..*load };
         let risked = u32::from(may_risk(per_second, place) && has_free(&load));
-        now >= self.paused_until && load.own < part(load.slots, place) + risked
+        now >= self.paused_until && load.own < quota(load.slots, place) + risked
     }
 
     /// A request goes there.
-    pub fn sent(&mut self, now: Millis) {
+    pub fn record_sent(&mut self, now: Millis) {
         self.chosen.retain(|at| now.since(*at) < CHOSEN_MS);
         self.chosen.push(now);
     }
 
     /// It has turned a request away: this host stays away for so long that all hosts with a part of it,
     /// turned away in turn, don't add up to more than it tolerates; `draw` is a uniform draw.
-    pub fn rejected(&mut self, per_second: f64, slots: u32, draw: f64, now: Millis) {
+    pub fn record_rejection(&mut self, per_second: f64, slots: u32, draw: f64, now: Millis) {
         let ms = f64::from(slots) * 1_000.0 / per_second.max(f64::MIN_POSITIVE);
         let ms = ms.clamp(PAUSE_MS, PAUSE_MAX_MS) * (1.0 + draw);
         self.paused_until = self.paused_until.max(now + ms as u64);
@@ -102,7 +102,7 @@
 
 /// Requests of one host that may be under way at a server at once, whatever the others do.
 #[must_use]
-pub fn part(slots: u32, place: &Place) -> u32 {
+pub fn quota(slots: u32, place: &Place) -> u32 {
     let others = place.domains.saturating_sub(1) as u32;
     // One host of each other domain has a place, where that leaves most of them.
     let far = if others <= slots / 2 { others } else { 0 };
--- a/crates/policy/src/rollout.rs
+++ b/crates/policy/src/rollout.rs
@@ -13,7 +13,7 @@
 
 domain! {
     /// What the document asks for.
-    pub struct Course {
+    pub struct Schedule {
         /// Shares of new sessions one after another, 0 to 1.
         pub steps: Vec<f64>,
         /// Shortest stay on a step, in milliseconds.
@@ -50,7 +50,7 @@
 
     /// What to do.
     #[derive(Copy)]
-    pub enum Step {
+    pub enum Action {
         /// Stay.
         Hold,
         /// Go on: write this as the row, if it is still the one that was read.
@@ -65,8 +65,8 @@
 impl Progress {
     /// The share in force.
     #[must_use]
-    pub fn share(&self, course: &Course) -> f64 {
-        match course.steps.get(self.step) {
+    pub fn share(&self, schedule: &Schedule) -> f64 {
+        match schedule.steps.get(self.step) {
             Some(share) if !self.stopped => *share,
             _ => 0.0,
         }
@@ -75,10 +75,10 @@
 
 /// What to do with a roll-out now.
 #[must_use]
-pub fn next(course: &Course, progress: &Progress, ratings: &Ratings, now: Millis) -> Step {
-    let proven = ratings.rated.saturating_sub(progress.rated_before) >= course.min_rated;
-    let stayed = now.since(progress.since) >= course.step_ms;
-    let last = progress.step + 1 >= course.steps.len();
+pub fn next(schedule: &Schedule, progress: &Progress, ratings: &Ratings, now: Millis) -> Action {
+    let proven = ratings.rated.saturating_sub(progress.rated_before) >= schedule.min_rated;
+    let stayed = now.since(progress.since) >= schedule.step_ms;
+    let last = progress.step + 1 >= schedule.steps.len();
     let raised = Progress {
         step: progress.step + 1,
         since: now,
@@ -86,25 +86,25 @@
         stopped: false,
     };
     match ratings {
-        _ if progress.stopped => Step::Hold,
-        _ if ratings.quarantined || below_guard(course, ratings) => {
-            Step::Stop(Progress { stopped: true, since: now, ..*progress })
+        _ if progress.stopped => Action::Hold,
+        _ if ratings.quarantined || below_guard(schedule, ratings) => {
+            Action::Stop(Progress { stopped: true, since: now, ..*progress })
         }
-        _ if !proven || !stayed || !above_guard(course, ratings) => Step::Hold,
-        _ if last => Step::Done,
-        _ => Step::Raise(raised),
+        _ if !proven || !stayed || !above_guard(schedule, ratings) => Action::Hold,
+        _ if last => Action::Done,
+        _ => Action::Raise(raised),
     }
 }
 
-fn below_guard(course: &Course, ratings: &Ratings) -> bool {
+fn below_guard(schedule: &Schedule, ratings: &Ratings) -> bool {
     let rated = ratings.rated as f64;
-    let deviation = (course.guard * (1.0 - course.guard) * rated).sqrt();
-    let expected = course.guard * rated;
+    let deviation = (schedule.guard * (1.0 - schedule.guard) * rated).sqrt();
+    let expected = schedule.guard * rated;
     let least = expected - STOP_DEVIATIONS * deviation;
     ratings.rated >= STOP_RATED_MIN && (ratings.good as f64) < least
 }
 
 /// A candidate on the guard's wrong side is not raised, though it may be too early to stop it.
-fn above_guard(course: &Course, ratings: &Ratings) -> bool {
-    ratings.good as f64 >= course.guard * ratings.rated as f64
+fn above_guard(schedule: &Schedule, ratings: &Ratings) -> bool {
+    ratings.good as f64 >= schedule.guard * ratings.rated as f64
 }
--- a/crates/policy/tests/burn.rs
+++ b/crates/policy/tests/burn.rs
@@ -35,7 +35,7 @@
     two.add(&one);
     assert_eq!(two.window(HOUR, Millis(60_000)).total, 120);
     let mut copy = one.clone();
-    copy.join(&one);
+    copy.merge(&one);
     assert_eq!(copy, one);
 }
 
@@ -61,8 +61,8 @@
             }
         }
         let (mut one, mut two) = (whole.clone(), part.clone());
-        one.join(&part);
-        two.join(&whole);
+        one.merge(&part);
+        two.merge(&whole);
         assert_eq!(one, whole);
         assert_eq!(two, whole);
     });
--- a/crates/policy/tests/canary.rs
+++ b/crates/policy/tests/canary.rs
@@ -2,8 +2,8 @@
 //! there in time, bad ones are stopped before they have had much, sessions stay where they are.
 
 use policy::canary::{
-    ALLOWED_MIN, Count, Evidence, Sign, Stage, Verdict, elapsed, failure_weight, is_due, is_moved,
-    is_peak, next, share, verdict,
+    Count, EXPOSURE_SHARE_MIN, Evidence, Outcome, Stage, Verdict, elapsed, failure_weight,
+    is_moved, is_peak, is_urgent, next, share, verdict,
 };
 use policy::name::Name;
 use policy::place::mix;
@@ -18,9 +18,9 @@
 
 #[test]
 fn share_nothing_in_first_half() {
-    assert_eq!(share(Stage::Trial, 0.0, ALLOWED_MIN), 0.0);
-    assert_eq!(share(Stage::Trial, 0.5, ALLOWED_MIN), 0.0);
-    assert_eq!(share(Stage::Moving, 0.5, ALLOWED_MIN), 0.0);
+    assert_eq!(share(Stage::Trial, 0.0, EXPOSURE_SHARE_MIN), 0.0);
+    assert_eq!(share(Stage::Trial, 0.5, EXPOSURE_SHARE_MIN), 0.0);
+    assert_eq!(share(Stage::Moving, 0.5, EXPOSURE_SHARE_MIN), 0.0);
 }
 
 /// Good versions with ten or twelve seconds were declared done too late for the operator to see.
@@ -36,7 +36,7 @@
         assert!(at_ms as f64 >= 0.9 * within_ms as f64, "{within_ms}: {at_ms}");
         let first = ages
             .clone()
-            .find(|age| share(Stage::Trial, elapsed(*age, within_ms), ALLOWED_MIN) > 0.0);
+            .find(|age| share(Stage::Trial, elapsed(*age, within_ms), EXPOSURE_SHARE_MIN) > 0.0);
         assert!(first.unwrap() * 2 > within_ms, "a session moves in the first half");
         assert!(ages.map(|age| elapsed(age, within_ms)).is_sorted());
     }
@@ -46,15 +46,17 @@
 fn share_grows_only() {
     let stages = [Stage::Trial, Stage::Moving];
     for stage in stages {
-        let shares: Vec<f64> =
-            (0..100).map(|step| share(stage, f64::from(step) / 100.0, ALLOWED_MIN)).collect();
+        let shares: Vec<f64> = (0..100)
+            .map(|step| share(stage, f64::from(step) / 100.0, EXPOSURE_SHARE_MIN))
+            .collect();
         assert!(shares.is_sorted(), "{stage:?}");
     }
     assert!((0..100).all(|step| {
         let elapsed = f64::from(step) / 100.0;
-        share(Stage::Moving, elapsed, ALLOWED_MIN) >= share(Stage::Trial, elapsed, ALLOWED_MIN)
+        share(Stage::Moving, elapsed, EXPOSURE_SHARE_MIN)
+            >= share(Stage::Trial, elapsed, EXPOSURE_SHARE_MIN)
     }));
-    assert_eq!(share(Stage::Stopped, 0.9, ALLOWED_MIN), 0.0);
+    assert_eq!(share(Stage::Stopped, 0.9, EXPOSURE_SHARE_MIN), 0.0);
 }
 
 #[test]
@@ -166,19 +168,19 @@
     for number in 0..1_440_u64 {
         let elapsed = number as f64 / 1_440.0;
         let draw = mix(seed ^ mix(number));
-        let is_new = is_moved(&format!("s{draw}"), "v2", share(stage, elapsed, ALLOWED_MIN));
+        let is_new = is_moved(&format!("s{draw}"), "v2", share(stage, elapsed, EXPOSURE_SHARE_MIN));
         let bad = if is_new { fails(elapsed, draw) } else { draw.is_multiple_of(100) };
         played.all += 1;
         played.exposed += u32::from(is_new);
-        let sign = if bad { Sign::Failed } else { Sign::Good };
+        let sign = if bad { Outcome::Failed } else { Outcome::Good };
         match is_new {
-            true => sum.new.note(sign),
-            false => sum.old.note(sign),
+            true => sum.new.record(sign),
+            false => sum.old.record(sign),
         }
-        if is_new && share(stage, elapsed, ALLOWED_MIN) == 1.0 {
-            sum.full.note(sign);
+        if is_new && share(stage, elapsed, EXPOSURE_SHARE_MIN) == 1.0 {
+            sum.full.record(sign);
         }
-        if number % 60 == 0 || is_due(stage, elapsed) {
+        if number % 60 == 0 || is_urgent(stage, elapsed) {
             stage = next(stage, elapsed, verdict(&[told])).unwrap_or(stage);
             told = sum.clone();
         }
@@ -240,7 +242,7 @@
 fn share_of_undetected_version_is_within_bound() {
     for within_ms in [12_000, 16_000, 20_000, 24_000, 60_000_u64] {
         let shares = (0..within_ms)
-            .map(|age_ms| share(Stage::Moving, elapsed(age_ms, within_ms), ALLOWED_MIN));
+            .map(|age_ms| share(Stage::Moving, elapsed(age_ms, within_ms), EXPOSURE_SHARE_MIN));
         let part = shares.sum::<f64>() / within_ms as f64;
         assert!(part <= 0.0975, "{part} of {within_ms}");
     }
@@ -272,18 +274,19 @@
         for number in 0..REQUESTS {
             let elapsed = number as f64 / REQUESTS as f64;
             let draw = mix(seed ^ mix(number));
-            let is_new = is_moved(&format!("s{draw}"), "v2", share(stage, elapsed, ALLOWED_MIN));
-            let has_all = share(stage, elapsed, ALLOWED_MIN) == 1.0;
+            let is_new =
+                is_moved(&format!("s{draw}"), "v2", share(stage, elapsed, EXPOSURE_SHARE_MIN));
+            let has_all = share(stage, elapsed, EXPOSURE_SHARE_MIN) == 1.0;
             let bad = is_new && has_all && (draw / 7).is_multiple_of(2);
             let mut sum = sums[sums.len() - 1].clone();
-            let sign = if bad { Sign::Failed } else { Sign::Good };
+            let sign = if bad { Outcome::Failed } else { Outcome::Good };
             let count = if is_new { &mut sum.new } else { &mut sum.old };
-            count.note(sign);
+            count.record(sign);
             if is_new && has_all {
-                sum.full.note(sign);
+                sum.full.record(sign);
             }
             sums.push(sum);
-            if number.is_multiple_of(20) || is_due(stage, elapsed) {
+            if number.is_multiple_of(20) || is_urgent(stage, elapsed) {
                 let told = sums[sums.len().saturating_sub(1 + TOLD_LATER)].clone();
                 stage = next(stage, elapsed, verdict(&[told])).unwrap_or(stage);
             }
@@ -385,9 +388,10 @@
     for within_ms in [12_000, 14_400, 18_000, 24_000, 60_000_u64] {
         let at = |age: u64| elapsed(age, within_ms);
         let usual = (0..within_ms).step_by(10).filter(|age| {
-            share(Stage::Trial, at(*age), ALLOWED_MIN) > 0.0 && !is_peak(at(*age), within_ms)
+            share(Stage::Trial, at(*age), EXPOSURE_SHARE_MIN) > 0.0 && !is_peak(at(*age), within_ms)
         });
-        let before_all = usual.filter(|age| share(Stage::Moving, at(*age), ALLOWED_MIN) < 1.0);
+        let before_all =
+            usual.filter(|age| share(Stage::Moving, at(*age), EXPOSURE_SHARE_MIN) < 1.0);
         let usual_ms = before_all.count() as u64 * 10;
         let wanted_ms = CALM.min(within_ms / 5);
         assert!(usual_ms >= wanted_ms, "{within_ms}: {usual_ms}");
--- a/crates/policy/tests/evacuation.rs
+++ b/crates/policy/tests/evacuation.rs
@@ -18,20 +18,21 @@
 #[test]
 fn take_two_at_once_end_one_by_one() {
     let mut orders = Evacuations::default();
-    let change = orders.take(&[entry("a", 5, true), entry("b", 6, true)], Revision::from(6), false);
+    let change =
+        orders.apply(&[entry("a", 5, true), entry("b", 6, true)], Revision::from(6), false);
     assert_eq!(change.begun, ["a", "b"].map(Name::from));
-    let change = orders.take(&[entry("a", 9, false)], Revision::from(9), false);
+    let change = orders.apply(&[entry("a", 9, false)], Revision::from(9), false);
     assert_eq!(change.ended, [Name::from("a")]);
     assert_eq!(covered(&orders), ["b"]);
-    assert!(orders.covers(&Name::from("b")));
-    assert!(!orders.covers(&Name::from("a")));
+    assert!(orders.is_evacuated(&Name::from("b")));
+    assert!(!orders.is_evacuated(&Name::from("a")));
 }
 
 #[test]
 fn take_whole_list_without_an_order_ends_it() {
     let mut orders = Evacuations::default();
-    orders.take(&[entry("a", 5, true)], Revision::from(5), false);
-    let change = orders.take(&[], Revision::from(8), true);
+    orders.apply(&[entry("a", 5, true)], Revision::from(5), false);
+    let change = orders.apply(&[], Revision::from(8), true);
     assert_eq!(change.ended, [Name::from("a")]);
     assert!(covered(&orders).is_empty());
 }
@@ -40,8 +41,8 @@
 #[test]
 fn take_older_whole_list_ends_nothing() {
     let mut orders = Evacuations::default();
-    orders.take(&[entry("a", 5, true)], Revision::from(5), false);
-    let change = orders.take(&[], Revision::from(4), true);
+    orders.apply(&[entry("a", 5, true)], Revision::from(5), false);
+    let change = orders.apply(&[], Revision::from(4), true);
     assert!(change.ended.is_empty());
     assert_eq!(covered(&orders), ["a"]);
 }
@@ -50,9 +51,9 @@
 #[test]
 fn take_older_whole_list_brings_nothing_back() {
     let mut orders = Evacuations::default();
-    orders.take(&[entry("a", 5, true)], Revision::from(5), false);
-    orders.take(&[entry("a", 7, false)], Revision::from(7), false);
-    let change = orders.take(&[entry("a", 5, true)], Revision::from(6), true);
+    orders.apply(&[entry("a", 5, true)], Revision::from(5), false);
+    orders.apply(&[entry("a", 7, false)], Revision::from(7), false);
+    let change = orders.apply(&[entry("a", 5, true)], Revision::from(6), true);
     assert!(change.begun.is_empty());
     assert!(covered(&orders).is_empty());
 }
@@ -60,9 +61,9 @@
 #[test]
 fn take_the_same_again_is_no_change() {
     let mut orders = Evacuations::default();
-    orders.take(&[entry("a", 5, true)], Revision::from(5), true);
+    orders.apply(&[entry("a", 5, true)], Revision::from(5), true);
     assert_eq!(
-        orders.take(&[entry("a", 5, true)], Revision::from(9), true),
+        orders.apply(&[entry("a", 5, true)], Revision::from(9), true),
         policy::evacuation::Change::default()
     );
 }
@@ -78,9 +79,9 @@
         states.retain_mut(|(revision, is)| *is == *seen.entry(*revision).or_insert(*is));
         let mut orders = Evacuations::default();
         for (revision, is_ordered) in &states {
-            orders.take(&[entry("a", *revision, *is_ordered)], Revision::from(*revision), true);
+            orders.apply(&[entry("a", *revision, *is_ordered)], Revision::from(*revision), true);
         }
         let newest = seen.last_key_value().is_some_and(|(_, is_ordered)| *is_ordered);
-        assert_eq!(orders.covers(&Name::from("a")), newest);
+        assert_eq!(orders.is_evacuated(&Name::from("a")), newest);
     });
 }
--- a/crates/policy/tests/exposure.rs
+++ b/crates/policy/tests/exposure.rs
@@ -12,7 +12,7 @@
 
 /// Mean rated answers until the verdict, of a version with this share of good answers.
 fn mean_delay<T: Test>(expected: f64, actual: f64, runs: u64) -> f64 {
-    let expecting = Hypotheses::expecting(expected);
+    let expecting = Hypotheses::from_expected(expected);
     let mut rated = 0_u64;
     for run in 0..runs {
         let mut test = T::default();
@@ -31,7 +31,7 @@
 
 /// False alarms in so many answers of a version that stays as good as expected.
 fn false_alarms<T: Test>(expected: f64, answers: u64) -> u64 {
-    let expecting = Hypotheses::expecting(expected);
+    let expecting = Hypotheses::from_expected(expected);
     let mut test = T::default();
     let mut alarms = 0;
     for answer in 0..answers {
--- a/crates/policy/tests/intake.rs
+++ b/crates/policy/tests/intake.rs
@@ -2,7 +2,7 @@
 
 use fuzz::check;
 use policy::intake::{Intake, Statement, Verdict};
-use policy::pause::{MAX_MS, from_seconds};
+use policy::pause::{MAX_MS, parse_seconds};
 use policy::throttle::Place;
 use policy::time::Millis;
 
@@ -24,7 +24,11 @@
         for (pause, is_leaving) in answers {
             now = now + u64::from(*pause);
             let said = Statement { is_leaving: *is_leaving, ..Statement::default() };
-            news += u32::from(intake.heard(&said, now - u64::from(pause % 500), 0.0, now).is_leave);
+            news += u32::from(
+                intake
+                    .record_answer(&said, now - u64::from(pause % 500), 0.0, now)
+                    .has_begun_leaving,
+            );
         }
         let has_left = answers.iter().any(|(_, is_leaving)| *is_leaving);
         assert_eq!(news, u32::from(has_left));
@@ -37,8 +41,8 @@
 #[test]
 fn verdict_leave_goes_before_a_limit() {
     let mut intake = Intake::default();
-    intake.heard(&limited(100.0), START, 0.0, START);
-    intake.heard(&LEAVING, START, 0.0, START + 10);
+    intake.record_answer(&limited(100.0), START, 0.0, START);
+    intake.record_answer(&LEAVING, START, 0.0, START + 10);
     assert_eq!(intake.verdict(Some(&ALONE), START + 60_000), Verdict::Leaving);
     assert!(intake.is_restricted(START + 60_000));
 }
@@ -48,11 +52,11 @@
 fn verdict_limit_needs_a_place() {
     let mut intake = Intake::default();
     assert_eq!(intake.verdict(None, START), Verdict::Open);
-    intake.heard(&limited(5.0), START, 0.0, START);
+    intake.record_answer(&limited(5.0), START, 0.0, START);
     assert_eq!(intake.verdict(None, START + 2_000), Verdict::Limited);
     assert_eq!(intake.verdict(Some(&ALONE), START + 2_000), Verdict::Open);
     for _ in 0..3 {
-        intake.sent(Some(&ALONE), START + 2_000);
+        intake.record_sent(Some(&ALONE), START + 2_000);
     }
     assert_eq!(intake.verdict(Some(&ALONE), START + 2_000), Verdict::Limited);
 }
@@ -80,7 +84,7 @@
             }
             // A server in its pause answers what was sent before only.
             if said.pause_ms.is_some() || sent < end {
-                intake.heard(&said, sent.min(end - 1), f64::from(*draw) / 255.0, now);
+                intake.record_answer(&said, sent.min(end - 1), f64::from(*draw) / 255.0, now);
             }
             if now < end {
                 assert!(matches!(intake.verdict(Some(&ALONE), now), Verdict::Paused(_)));
@@ -94,17 +98,17 @@
 #[test]
 fn pause_ends_with_one_request_that_is_answered() {
     let mut intake = Intake::default();
-    assert!(intake.heard(&pause(3_000), START, 0.0, START).is_pause);
+    assert!(intake.record_answer(&pause(3_000), START, 0.0, START).has_begun_pause);
     let end = START + 3_000;
     assert_eq!(intake.verdict(Some(&ALONE), end - 1), Verdict::Paused(end));
     assert_eq!(intake.verdict(Some(&ALONE), end), Verdict::Open);
-    intake.sent(Some(&ALONE), end);
+    intake.record_sent(Some(&ALONE), end);
     assert!(matches!(intake.verdict(Some(&ALONE), end + 10), Verdict::Paused(_)));
     assert_eq!(intake.verdict(Some(&ALONE), end + 1_000), Verdict::Open);
-    intake.sent(Some(&ALONE), end + 1_000);
-    intake.heard(&Statement::default(), START, 0.0, end + 1_010);
+    intake.record_sent(Some(&ALONE), end + 1_000);
+    intake.record_answer(&Statement::default(), START, 0.0, end + 1_010);
     assert!(matches!(intake.verdict(Some(&ALONE), end + 1_020), Verdict::Paused(_)));
-    intake.heard(&Statement::default(), end + 1_000, 0.0, end + 1_030);
+    intake.record_answer(&Statement::default(), end + 1_000, 0.0, end + 1_030);
     assert_eq!(intake.verdict(Some(&ALONE), end + 1_040), Verdict::Open);
     assert!(!intake.is_restricted(end + 1_040));
 }
@@ -114,7 +118,7 @@
 fn pause_ends_at_another_time_for_each_host() {
     let ends = (0..300_u32).map(|host| {
         let mut intake = Intake::default();
-        intake.heard(&pause(2_000), START, f64::from(host) / 300.0, START);
+        intake.record_answer(&pause(2_000), START, f64::from(host) / 300.0, START);
         match intake.verdict(Some(&ALONE), START + 1) {
             Verdict::Paused(end) => end,
             other => panic!("{other:?}"),
@@ -130,12 +134,12 @@
 
 #[test]
 fn from_seconds_numbers_only() {
-    assert_eq!(from_seconds("3"), Some(3_000));
-    assert_eq!(from_seconds(" 0.25 "), Some(250));
-    assert_eq!(from_seconds("0"), Some(0));
-    assert_eq!(from_seconds("1e12"), Some(MAX_MS));
+    assert_eq!(parse_seconds("3"), Some(3_000));
+    assert_eq!(parse_seconds(" 0.25 "), Some(250));
+    assert_eq!(parse_seconds("0"), Some(0));
+    assert_eq!(parse_seconds("1e12"), Some(MAX_MS));
     for text in ["", "-1", "NaN", "inf", "soon", "Wed, 21 Oct 2026 07:28:00 GMT"] {
-        assert_eq!(from_seconds(text), None, "{text}");
+        assert_eq!(parse_seconds(text), None, "{text}");
     }
 }
 
@@ -143,7 +147,7 @@
 #[test]
 fn pause_of_zero_is_none() {
     let mut intake = Intake::default();
-    assert!(!intake.heard(&pause(0), START, 0.5, START).is_pause);
+    assert!(!intake.record_answer(&pause(0), START, 0.5, START).has_begun_pause);
     assert_eq!(intake.verdict(Some(&ALONE), START), Verdict::Open);
 }
 
@@ -152,12 +156,12 @@
 #[test]
 fn is_closed_in_a_pause_and_not_by_a_trial() {
     let mut intake = Intake::default();
-    intake.heard(&pause(1_000), START, 0.0, START);
+    intake.record_answer(&pause(1_000), START, 0.0, START);
     assert!(intake.is_closed(START + 999));
     assert_eq!(intake.verdict(Some(&ALONE), START + 1_000), Verdict::Open);
-    intake.sent(Some(&ALONE), START + 1_000);
+    intake.record_sent(Some(&ALONE), START + 1_000);
     assert!(!intake.is_closed(START + 1_001));
-    intake.leave(START + 1_001);
+    intake.mark_leaving(START + 1_001);
     assert!(intake.is_closed(START + 1_001));
 }
 
@@ -165,11 +169,11 @@
 #[test]
 fn reported_only_a_newer_report_takes_a_leave_back() {
     let mut intake = Intake::default();
-    intake.heard(&LEAVING, START, 0.0, START + 100);
-    intake.reported(false, START + 50, START + 2_000);
+    intake.record_answer(&LEAVING, START, 0.0, START + 100);
+    intake.apply_report(false, START + 50, START + 2_000);
     assert!(intake.is_leaving());
-    intake.reported(false, START + 101, START + 2_000);
+    intake.apply_report(false, START + 101, START + 2_000);
     assert!(!intake.is_leaving());
-    intake.reported(true, START + 3_000, START + 3_010);
+    intake.apply_report(true, START + 3_000, START + 3_010);
     assert!(intake.is_leaving());
 }
--- a/crates/policy/tests/loaded.rs
+++ b/crates/policy/tests/loaded.rs
@@ -2,8 +2,8 @@
 //! the answers that come then.
 
 use policy::canary::{
-    ALLOWED_MIN, Count, Evidence, Sign, Stage, Verdict, elapsed, is_due, is_peak, next, share,
-    verdict,
+    Count, EXPOSURE_SHARE_MIN, Evidence, Outcome, Stage, Verdict, elapsed, is_peak, is_urgent,
+    next, share, verdict,
 };
 use policy::engine::Engine;
 use policy::name::Name;
@@ -121,17 +121,17 @@
 /// Where a bad version may get more, one that fails unseen got more than that.
 #[test]
 fn share_of_undetected_version_is_within_any_bound() {
-    for allowed in [0.05, ALLOWED_MIN, 0.12, 0.15, 0.3] {
+    for allowed in [0.05, EXPOSURE_SHARE_MIN, 0.12, 0.15, 0.3] {
         for within_ms in [12_000, 24_000, 60_000_u64] {
             let shares = (0..within_ms)
                 .map(|age_ms| share(Stage::Moving, elapsed(age_ms, within_ms), allowed));
             let part = shares.sum::<f64>() / within_ms as f64;
-            assert!(part <= allowed.max(ALLOWED_MIN), "{part} of {allowed}, {within_ms} ms");
+            assert!(part <= allowed.max(EXPOSURE_SHARE_MIN), "{part} of {allowed}, {within_ms} ms");
         }
         let shares = (0..100).map(|step| share(Stage::Moving, f64::from(step) / 100.0, allowed));
         assert!(shares.is_sorted(), "a session moves once");
     }
-    assert!(share(Stage::Trial, 0.7, 0.15) > 2.0 * share(Stage::Trial, 0.7, ALLOWED_MIN));
+    assert!(share(Stage::Trial, 0.7, 0.15) > 2.0 * share(Stage::Trial, 0.7, EXPOSURE_SHARE_MIN));
 }
 
 /// A route's answers: the old version's and its slow ones, the new one's before the load of a peak and
@@ -258,8 +258,8 @@
         let usual = service.routes[route].usual;
         let fails = usual + (1.0 - usual) * more;
         let sign = match draw(seed ^ mix(number ^ 1 << 41)) < fails {
-            true => Sign::Failed,
-            false => Sign::Good,
+            true => Outcome::Failed,
+            false => Outcome::Good,
         };
         untold.push_back((at_ms + TOLD_LATER_MS, route, is_new, share >= 1.0, elapsed, sign));
         while let Some((at, route, is_new, is_full, elapsed, sign)) = untold.front().copied()
@@ -268,20 +268,20 @@
             untold.pop_front();
             let one: &mut Evidence = &mut told[route];
             match (is_new, is_full) {
-                (false, _) => one.old.note(sign),
+                (false, _) => one.old.record(sign),
                 (true, true) => {
-                    one.new.note(sign);
-                    one.full.note(sign);
+                    one.new.record(sign);
+                    one.full.record(sign);
                 }
                 (true, false) => {
-                    one.new.note(sign);
+                    one.new.record(sign);
                     if is_peak(elapsed, service.within_ms) {
-                        one.peak.note(sign);
+                        one.peak.record(sign);
                     }
                 }
             }
         }
-        if number % 8 == 0 || is_due(stage, elapsed) {
+        if number % 8 == 0 || is_urgent(stage, elapsed) {
             stage = next(stage, elapsed, verdict(&told)).unwrap_or(stage);
         }
     }
--- a/crates/policy/tests/parts_fleet.rs
+++ b/crates/policy/tests/parts_fleet.rs
@@ -5,8 +5,8 @@
 
 use policy::name::Name;
 use policy::place::mix;
-use policy::poison::book::Source;
-use policy::poison::{Answer, Book, Digest, Fingerprint, Polls, Run, Suspect, Verdict};
+use policy::poison::registry::Source;
+use policy::poison::{Answer, Attempt, Digest, Fingerprint, Polls, Registry, Suspect, Verdict};
 use policy::time::Millis;
 
 const START: Millis = Millis(1_000_000);
@@ -14,14 +14,14 @@
 
 /// The only request with this number, with these parts.
 fn request(number: u64, parts: &[Digest]) -> Fingerprint {
-    let request = Fingerprint::of_request(Digest(1_000_000 + number)).with_parts(parts);
+    let request = Fingerprint::from_request(Digest(1_000_000 + number)).with_parts(parts);
     Fingerprint { service: Name::from("pool"), ..request }
 }
 
 /// Hosts, and servers that end of requests with a deadly part, in steps of simulated time.
 struct Fleet {
     now: Millis,
-    hosts: Vec<(Book, Polls)>,
+    hosts: Vec<(Registry, Polls)>,
     domains: usize,
     rows: Vec<Vec<Suspect>>,
     /// Told to a host, and when it comes.
@@ -85,7 +85,7 @@
         let server = |number| Server { start: number as u64, away_until: Millis(0) };
         Self {
             now: START,
-            hosts: (0..hosts).map(|_| <(Book, Polls)>::default()).collect(),
+            hosts: (0..hosts).map(|_| <(Registry, Polls)>::default()).collect(),
             domains,
             rows: vec![Vec::new(); hosts],
             messages: Vec::new(),
@@ -153,7 +153,7 @@
         let server = up[self.draw(up.len())];
         let begins = self.now + 100 + self.draw(400) as u64;
         let lasts = [150, 1_500, 3_500][self.draw(3)];
-        if request.has(DEADLY) {
+        if request.contains(DEADLY) {
             self.strikes.push(self.now);
         }
         let ends = begins + lasts;
@@ -175,14 +175,14 @@
         for work in &lost {
             let is_early = self.now.since(work.begins) < 1_000;
             let server = Name::from(format!("server-{start}"));
-            let lost = Run { request: work.request.clone(), server, born: 0, is_early };
-            self.hosts[work.host].0.lost(lost, self.now);
+            let lost = Attempt { request: work.request.clone(), server, born: 0, is_early };
+            self.hosts[work.host].0.record_loss(lost, self.now);
             concerned.insert(work.host);
         }
         for host in concerned {
             let (book, polls) = &mut self.hosts[host];
-            book.ended(&Name::from(format!("server-{start}")), self.now);
-            polls.hurry(self.now);
+            book.record_server_end(&Name::from(format!("server-{start}")), self.now);
+            polls.restart(self.now);
         }
         for work in lost.into_iter().filter(|work| work.tries < TRIES_MAX) {
             self.send(work.request, work.host, work.tries);
@@ -192,7 +192,7 @@
     fn pass_time(&mut self) {
         self.now = self.now + STEP_MS;
         let now = self.now;
-        let is_struck = |work: &&Work| work.begins <= now && work.request.has(DEADLY);
+        let is_struck = |work: &&Work| work.begins <= now && work.request.contains(DEADLY);
         while let Some(server) = self.runs.iter().find(is_struck).map(|work| work.server) {
             self.end_server(server);
         }
@@ -200,7 +200,7 @@
         self.runs = rest;
         let done: Vec<Work> = done;
         for work in done {
-            self.hosts[work.host].0.answered(&work.request, Answer::Whole, now);
+            self.hosts[work.host].0.record_answer(&work.request, Answer::Whole, now);
         }
         self.share();
     }
@@ -209,7 +209,7 @@
         let now = self.now;
         let listed = |end: &Millis| now.since(*end).abs_diff(LISTED_MS) < STEP_MS / 2;
         if self.has_store && self.ends.iter().any(listed) {
-            self.hosts.iter_mut().for_each(|(_, polls)| polls.alarm(now));
+            self.hosts.iter_mut().for_each(|(_, polls)| polls.schedule(now));
         }
         for host in 0..self.hosts.len() {
             self.tell(host);
@@ -224,7 +224,7 @@
         for (_, host, told) in due {
             let (book, polls) = &mut self.hosts[host];
             if book.learn(&told, Source::Peer, now) {
-                polls.hurry(now);
+                polls.restart(now);
             }
         }
     }
@@ -236,9 +236,9 @@
             told = book.suspects(self.now);
         }
         if book.has_unsent() {
-            told.extend(book.for_peers(self.now));
+            told.extend(book.take_for_peers(self.now));
             if self.has_store
-                && let Some(row) = book.for_store(self.now)
+                && let Some(row) = book.take_store_row(self.now)
             {
                 self.rows[host] = row;
             }
@@ -256,7 +256,7 @@
         let (book, polls) = &mut self.hosts[host];
         let told = self.rows.iter().flatten();
         let news = told.filter(|told| book.learn(told, Source::Store, self.now)).count();
-        polls.read(news > 0, self.now);
+        polls.record_read(news > 0, self.now);
     }
 
     /// Requests with the part that were sent later than all hosts in touch were to know of the fifth end.
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -2,36 +2,38 @@
 
 use fuzz::check;
 use policy::name::Name;
-use policy::poison::book::Source;
-use policy::poison::{Answer, Book, Crash, Digest, Fingerprint, Polls, Run, Suspect, Verdict};
+use policy::poison::registry::Source;
+use policy::poison::{
+    Answer, Attempt, Crash, Digest, Fingerprint, Polls, Registry, Suspect, Verdict,
+};
 use policy::time::Millis;
 
 const START: Millis = Millis(1_000_000);
 const DEADLY: Digest = Digest(7);
 
-fn run(digest: Digest, server: &str) -> Run {
-    let request = Fingerprint::of_request(digest);
-    Run { request, server: Name::from(server), born: 0, is_early: true }
+fn run(digest: Digest, server: &str) -> Attempt {
+    let request = Fingerprint::from_request(digest);
+    Attempt { request, server: Name::from(server), born: 0, is_early: true }
 }
 
-fn answered(book: &mut Book, digest: Digest, now: Millis) {
-    book.answered(&Fingerprint::of_request(digest), Answer::Whole, now);
+fn answered(book: &mut Registry, digest: Digest, now: Millis) {
+    book.record_answer(&Fingerprint::from_request(digest), Answer::Whole, now);
 }
 
 /// It is lost with so many servers, one a second.
-fn lose(book: &mut Book, digest: Digest, servers: u64) -> Millis {
+fn lose(book: &mut Registry, digest: Digest, servers: u64) -> Millis {
     for number in 0..servers {
         let now = START + number * 1_000;
         let server = format!("server-{number}");
-        book.lost(run(digest, &server), now);
-        book.ended(&Name::from(server.as_str()), now + 2);
+        book.record_loss(run(digest, &server), now);
+        book.record_server_end(&Name::from(server.as_str()), now + 2);
     }
     START + servers.saturating_sub(1) * 1_000
 }
 
 #[test]
 fn verdict_follows_the_servers_that_ended() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     let last = lose(&mut book, DEADLY, 1);
     assert_eq!(book.verdict(DEADLY, last), Verdict::Run);
     let last = lose(&mut book, DEADLY, 2);
@@ -46,7 +48,7 @@
 
 #[test]
 fn verdict_leaves_three_tries_after_the_third_server() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     let mut now = lose(&mut book, DEADLY, 3);
     let day_ends = now + 20 * 3_600_000;
     let mut tries = 0;
@@ -57,8 +59,8 @@
             Verdict::Trial { .. } => {
                 tries += 1;
                 let server = format!("late-{tries}");
-                book.lost(run(DEADLY, &server), now);
-                book.ended(&Name::from(server.as_str()), now);
+                book.record_loss(run(DEADLY, &server), now);
+                book.record_server_end(&Name::from(server.as_str()), now);
             }
         }
     }
@@ -67,7 +69,7 @@
 
 #[test]
 fn answer_clears_what_was_lost_before() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     let last = lose(&mut book, DEADLY, 2);
     answered(&mut book, DEADLY, last + 10);
     assert_eq!(book.verdict(DEADLY, last + 10), Verdict::Run);
@@ -81,60 +83,60 @@
 /// Guards against requests that come all the time being held after an outage of many servers.
 #[test]
 fn request_answered_a_moment_ago_is_no_suspect() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     answered(&mut book, DEADLY, START - 5_000);
     let last = lose(&mut book, DEADLY, 4);
     assert_eq!(book.verdict(DEADLY, last), Verdict::Run);
-    assert!(book.for_store(last + 2_000).is_none());
-    assert!(book.for_peers(last + 2_000).is_empty());
+    assert!(book.take_store_row(last + 2_000).is_none());
+    assert!(book.take_for_peers(last + 2_000).is_empty());
 }
 
 #[test]
 fn broken_connection_alone_speaks_against_nothing() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     for number in 0..5 {
-        book.lost(run(DEADLY, &format!("server-{number}")), START);
+        book.record_loss(run(DEADLY, &format!("server-{number}")), START);
     }
     assert_eq!(book.verdict(DEADLY, START + 100), Verdict::Run);
 }
 
 #[test]
 fn run_given_up_counts_if_its_server_ends_at_once() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     lose(&mut book, DEADLY, 1);
-    book.given_up(run(DEADLY, "dropped"), START + 1_000);
-    book.ended(&Name::from("dropped"), START + 1_050);
+    book.record_abandoned(run(DEADLY, "dropped"), START + 1_000);
+    book.record_server_end(&Name::from("dropped"), START + 1_050);
     assert_eq!(book.verdict(DEADLY, START + 1_050), Verdict::Trial { servers: 2, alone_ms: 2_000 });
-    let mut book = Book::default();
+    let mut book = Registry::default();
     lose(&mut book, DEADLY, 1);
-    book.given_up(run(DEADLY, "dropped"), START + 1_000);
-    book.ended(&Name::from("dropped"), START + 4_000);
+    book.record_abandoned(run(DEADLY, "dropped"), START + 1_000);
+    book.record_server_end(&Name::from("dropped"), START + 4_000);
     assert_eq!(book.verdict(DEADLY, START + 4_000), Verdict::Run);
 }
 
 #[test]
 fn late_ends_count_half() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     for number in 0..3 {
         let server = format!("server-{number}");
         let at = START + number * 1_000;
-        book.lost(Run { is_early: false, ..run(DEADLY, &server) }, at);
-        book.ended(&Name::from(server.as_str()), at);
+        book.record_loss(Attempt { is_early: false, ..run(DEADLY, &server) }, at);
+        book.record_server_end(&Name::from(server.as_str()), at);
     }
     assert_eq!(book.verdict(DEADLY, START + 2_000), Verdict::Run);
-    book.lost(run(DEADLY, "early"), START + 3_000);
-    book.ended(&Name::from("early"), START + 3_000);
+    book.record_loss(run(DEADLY, "early"), START + 3_000);
+    book.record_server_end(&Name::from("early"), START + 3_000);
     assert_eq!(book.verdict(DEADLY, START + 3_000), Verdict::Trial { servers: 2, alone_ms: 2_000 });
 }
 
 /// Guards against many victims pushing the request that ends servers out of a full table.
 #[test]
 fn full_table_keeps_what_is_held() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     let last = lose(&mut book, DEADLY, 3);
     for victim in 1_000..3_000 {
-        book.lost(run(Digest(victim), "shared"), last + 10_000);
-        book.ended(&Name::from("shared"), last + 10_000);
+        book.record_loss(run(Digest(victim), "shared"), last + 10_000);
+        book.record_server_end(&Name::from("shared"), last + 10_000);
     }
     assert!(matches!(book.verdict(DEADLY, last + 10_000), Verdict::Hold(_)));
 }
@@ -161,7 +163,7 @@
             })
             .collect();
         let now = START + 700_000;
-        let (mut one, mut other) = (Book::default(), Book::default());
+        let (mut one, mut other) = (Registry::default(), Registry::default());
         for told in &told {
             one.learn(told, Source::Peer, now);
         }
@@ -193,7 +195,7 @@
 /// Many hosts, each with its own book, and what passes between them.
 struct Fleet {
     now: Millis,
-    hosts: Vec<(Book, Polls)>,
+    hosts: Vec<(Registry, Polls)>,
     rows: Vec<Vec<Suspect>>,
     /// Told to a host, and when it comes.
     messages: Vec<(Millis, usize, Suspect)>,
@@ -208,7 +210,7 @@
     fn new(seed: u64) -> Self {
         Self {
             now: START,
-            hosts: (0..HOSTS).map(|_| <(Book, Polls)>::default()).collect(),
+            hosts: (0..HOSTS).map(|_| <(Registry, Polls)>::default()).collect(),
             rows: vec![Vec::new(); HOSTS],
             messages: Vec::new(),
             ends: Vec::new(),
@@ -235,9 +237,9 @@
         }
         for (host, digest) in lost {
             let (book, polls) = &mut self.hosts[host];
-            book.lost(run(digest, &server), self.now);
-            book.ended(&server, self.now);
-            polls.hurry(self.now);
+            book.record_loss(run(digest, &server), self.now);
+            book.record_server_end(&server, self.now);
+            polls.restart(self.now);
         }
     }
 
@@ -264,7 +266,7 @@
         let now = self.now;
         let listed = |end: &&Millis| now.since(**end).abs_diff(LISTED_MS) < STEP_MS / 2;
         if self.ends.iter().any(|end| listed(&end)) {
-            self.hosts.iter_mut().for_each(|(_, polls)| polls.alarm(now));
+            self.hosts.iter_mut().for_each(|(_, polls)| polls.schedule(now));
         }
         for host in 0..HOSTS {
             self.tell(host);
@@ -279,7 +281,7 @@
         for (_, host, told) in due {
             let (book, polls) = &mut self.hosts[host];
             if book.learn(&told, Source::Peer, now) {
-                polls.hurry(now);
+                polls.restart(now);
             }
         }
     }
@@ -291,8 +293,8 @@
             told = book.suspects(self.now);
         }
         if book.has_unsent() {
-            told.extend(book.for_peers(self.now));
-            if let Some(row) = book.for_store(self.now) {
+            told.extend(book.take_for_peers(self.now));
+            if let Some(row) = book.take_store_row(self.now) {
                 self.rows[host] = row;
             }
         }
@@ -310,7 +312,7 @@
         let news =
             self.rows.iter().flatten().filter(|told| book.learn(told, Source::Store, self.now));
         let is_news = news.count() > 0;
-        polls.read(is_news, self.now);
+        polls.record_read(is_news, self.now);
     }
 
     /// Servers that ended later than all hosts in touch were to know of the third.
@@ -388,9 +390,9 @@
                     let is_early = step - begun[request] < 10;
                     let name = Name::from(format!("server-{server}-{step}"));
                     let (book, _) = &mut fleet.hosts[request];
-                    let run = Run { is_early, ..run(Digest(digests[request]), &name) };
-                    book.lost(run, fleet.now);
-                    book.ended(&name, fleet.now);
+                    let run = Attempt { is_early, ..run(Digest(digests[request]), &name) };
+                    book.record_loss(run, fleet.now);
+                    book.record_server_end(&name, fleet.now);
                     let verdict = book.verdict(Digest(digests[request]), fleet.now);
                     held += usize::from(matches!(verdict, Verdict::Hold(_)));
                 }
--- a/crates/policy/tests/rejection.rs
+++ b/crates/policy/tests/rejection.rs
@@ -3,7 +3,7 @@
 use std::collections::BinaryHeap;
 
 use policy::place::mix;
-use policy::rejection::{Load, Room, Tolerance, part};
+use policy::rejection::{Load, Room, Tolerance, quota};
 use policy::throttle::Place;
 use policy::time::Millis;
 
@@ -101,10 +101,10 @@
                 if !room.is_open(TOLERATED, &load, place, time) {
                     continue;
                 }
-                room.sent(time);
+                room.record_sent(time);
                 if running[server] >= SLOTS {
                     rejected[server][(at / 100) as usize % (TIME_MS / 100) as usize] += 1;
-                    room.rejected(TOLERATED, SLOTS, draw(&mut seed), time);
+                    room.record_rejection(TOLERATED, SLOTS, draw(&mut seed), time);
                 } else {
                     running[server] += 1;
                     own[host][server] += 1;
@@ -158,7 +158,7 @@
             let all: u32 = (0..DOMAINS)
                 .flat_map(|domain| (0..hosts).map(move |before| (domain, before)))
                 .map(|(domain, before)| {
-                    part(slots, &Place { before, hosts, is_near: domain == 0, domains: DOMAINS })
+                    quota(slots, &Place { before, hosts, is_near: domain == 0, domains: DOMAINS })
                 })
                 .sum();
             assert_eq!(all, slots, "{hosts} hosts a domain, {slots} places");
@@ -169,11 +169,11 @@
 #[test]
 fn heard_without_it_ends_it_unless_it_is_older() {
     let mut tolerance = Tolerance::default();
-    assert!(!tolerance.heard(None, Millis(10), Millis(20)));
-    assert!(tolerance.heard(Some(3.0), Millis(20), Millis(30)));
-    assert!(!tolerance.heard(Some(3.0), Millis(30), Millis(40)));
-    assert!(!tolerance.heard(None, Millis(35), Millis(50)));
+    assert!(!tolerance.record_answer(None, Millis(10), Millis(20)));
+    assert!(tolerance.record_answer(Some(3.0), Millis(20), Millis(30)));
+    assert!(!tolerance.record_answer(Some(3.0), Millis(30), Millis(40)));
+    assert!(!tolerance.record_answer(None, Millis(35), Millis(50)));
     assert_eq!(tolerance.per_second(), Some(3.0));
-    assert!(tolerance.heard(None, Millis(45), Millis(60)));
+    assert!(tolerance.record_answer(None, Millis(45), Millis(60)));
     assert_eq!(tolerance.per_second(), None);
 }
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -12,7 +12,7 @@
 
 use policy::domain;
 use policy::name::Name;
-use policy::rollout::{Course, Progress};
+use policy::rollout::{Progress, Schedule};
 use policy::time::Millis;
 
 use crate::generate::draw::Draw;
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 struct Row {
     version: Name,
-    course: Course,
+    course: Schedule,
     progress: Progress,
 }
 
@@ -204,7 +204,7 @@
 fn rows(trace: &Trace) -> Vec<Row> {
     let row = |rollout: &wire::configuration::Rollout| Row {
         version: rollout.version.clone(),
-        course: Course {
+        course: Schedule {
             steps: rollout.steps.clone(),
             step_ms: rollout.step_ms,
             min_rated: rollout.min_rated,
--- a/crates/replay/src/run/knowledge.rs
+++ b/crates/replay/src/run/knowledge.rs
@@ -219,7 +219,7 @@
     #[must_use]
     pub fn interest(&self, version: &Name) -> Interest {
         match self.versions.get(version) {
-            Some(known) => Interest::of(known.share.is_some(), known.test.verdict()),
+            Some(known) => Interest::new(known.share.is_some(), known.test.verdict()),
             None => Interest::Steady,
         }
     }
--- a/crates/replay/src/run/life.rs
+++ b/crates/replay/src/run/life.rs
@@ -82,7 +82,7 @@
         let host = &mut self.hosts[self.lives[life].host];
         host.retries.entry(request.account.clone()).or_default().fill();
         let usage = host.usage.entry(request.account.clone()).or_default();
-        usage.take(&limit, entries, jitter, self.now)
+        usage.try_acquire(&limit, entries, jitter, self.now)
     }
 
     fn choose(&mut self, life: usize, request: &Request, task: &Task) {
@@ -237,7 +237,7 @@
         let interest = self.hosts[host].knowledge.interest(&version);
         // What a cascade's second version is asked is what the first one failed at. Its ratings
         // would make it look worse than it is, and in the end get it quarantined.
-        let wanted = cascade || !escalated && self.hosts[host].sampler.rates(interest, unit);
+        let wanted = cascade || !escalated && self.hosts[host].sampler.should_rate(interest, unit);
         if wanted {
             self.hosts[host].knowledge.rater_up = self.rater_up;
         }
--- a/crates/replay/src/run/news.rs
+++ b/crates/replay/src/run/news.rs
@@ -2,7 +2,7 @@
 
 use policy::name::Name;
 use policy::place;
-use policy::rollout::{self, Step as Next};
+use policy::rollout::{self, Action as Next};
 use policy::time::Millis;
 
 use super::knowledge::Rated;
