--- a/crates/entry/src/filter/admit.rs
+++ b/crates/entry/src/filter/admit.rs
@@ -269,9 +269,8 @@
         requests_per_second: account.limit.requests_per_second,
         in_flight: account.limit.in_flight,
     };
-    let take = |usage: &mut Usage| {
-        usage.try_acquire(&limit, snapshot.entries, rand::random(), clock::now())
-    };
+    let take =
+        |usage: &mut Usage| usage.acquire(&limit, snapshot.entries, rand::random(), clock::now());
     match state.usage.with(name, take) {
         LimitVerdict::Granted => Ok(Granted { state: Arc::clone(state), account: name.clone() }),
         LimitVerdict::Refused { retry_after_ms } => {
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -46,13 +46,7 @@
 impl Usage {
     /// Asks for one request; `entries` is how many entry hosts share the limit, `jitter` a
     /// uniform draw from 0 to 1 that spreads the later tries.
-    pub fn try_acquire(
-        &mut self,
-        limit: &Limit,
-        entries: u32,
-        jitter: f64,
-        now: Millis,
-    ) -> Verdict {
+    pub fn acquire(&mut self, limit: &Limit, entries: u32, jitter: f64, now: Millis) -> Verdict {
         let entries = entries.max(1);
         let rate = limit.requests_per_second / f64::from(entries);
         self.fill(rate, now);
--- a/crates/policy/src/poison/registry.rs
+++ b/crates/policy/src/poison/registry.rs
@@ -349,9 +349,7 @@
         let all = self.known.values().map(|known| &known.suspect);
         let mut suspects: Vec<&Suspect> =
             all.filter(|suspect| suspect.verdict(now) != Verdict::Run).collect();
-        suspects.sort_by_key(|suspect| {
-            std::cmp::Reverse((suspect.server_count(now), suspect.last_crash_at()))
-        });
+        suspects.sort_by_key(|s| std::cmp::Reverse((s.server_count(now), s.last_crash_at())));
         suspects.into_iter().take(SHARED_MAX).cloned().collect()
     }
 
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -5,7 +5,7 @@
 use policy::time::Millis;
 
 fn granted(usage: &mut Usage, limit: &Limit, entries: u32, now: u64) -> bool {
-    usage.try_acquire(limit, entries, 0.0, Millis(now)) == Verdict::Granted
+    usage.acquire(limit, entries, 0.0, Millis(now)) == Verdict::Granted
 }
 
 #[test]
@@ -37,7 +37,7 @@
     let limit = Limit { requests_per_second: 1.0, in_flight: 0 };
     let mut usage = Usage::default();
     assert!(granted(&mut usage, &limit, 1, 0));
-    let Verdict::Refused { retry_after_ms } = usage.try_acquire(&limit, 1, 0.0, Millis(0)) else {
+    let Verdict::Refused { retry_after_ms } = usage.acquire(&limit, 1, 0.0, Millis(0)) else {
         panic!("granted");
     };
     assert!(granted(&mut usage, &limit, 1, retry_after_ms));
--- a/crates/replay/src/run/life.rs
+++ b/crates/replay/src/run/life.rs
@@ -82,7 +82,7 @@
         let host = &mut self.hosts[self.lives[life].host];
         host.retries.entry(request.account.clone()).or_default().fill();
         let usage = host.usage.entry(request.account.clone()).or_default();
-        usage.try_acquire(&limit, entries, jitter, self.now)
+        usage.acquire(&limit, entries, jitter, self.now)
     }
 
     fn choose(&mut self, life: usize, request: &Request, task: &Task) {
