--- a/crates/policy/src/burn.rs
+++ b/crates/policy/src/burn.rs
@@ -1,8 +1,8 @@
-//! Service levels: how fast the errors that an objective allows are used up.
+//! Service levels: how fast a service uses up the error budget that its objective allows.
 //!
-//! Counts go into buckets of fixed length. Buckets of different hosts add up; two copies of one
-//! host's buckets join to the fuller one, so a report gathered from several controls counts no
-//! request twice.
+//! Requests are counted in buckets of fixed length. Buckets of different hosts add up. Two copies
+//! of one host's bucket merge to the fuller one, so a report gathered from several controls counts
+//! no request twice.
 
 use std::collections::BTreeMap;
 
@@ -11,64 +11,66 @@
 
 /// Length of a bucket, in milliseconds.
 pub const BUCKET_MS: u64 = 10_000;
-/// Buckets older than this are dropped, in milliseconds.
-pub const KEPT_MS: u64 = 6 * 3_600_000;
+/// Age at which buckets are dropped, in milliseconds; the longest window of [`WINDOWS`].
+pub const RETENTION_MS: u64 = 6 * 3_600_000;
 
 domain! {
-    /// Requests of a bucket or window.
+    /// Counts of the requests in a bucket or window.
     #[derive(Copy, Default, Eq)]
     pub struct Counts {
-        /// Answered whole and in time.
+        /// Requests that were answered completely and in time.
         pub good: u64,
-        /// All.
+        /// All requests.
         pub total: u64,
     }
 
-    /// Counts over time, of one service level.
+    /// Counts of one service level over time.
     #[derive(Default, Eq)]
     #[serde(transparent)]
     pub struct Series {
-        /// By number of the bucket since time 0.
+        /// Counts by the bucket's number: its start in units of [`BUCKET_MS`] since time 0.
         pub buckets: BTreeMap<u64, Counts>,
     }
 
-    /// A window pair: an alert needs both to burn, the long one for weight, the short one for now.
+    /// A pair of windows. An alert needs a high burn rate in both: the long window shows that the
+    /// errors matter, the short one that they still occur.
     #[derive(Copy)]
     pub struct Window {
-        /// Milliseconds.
+        /// Length of the short window, in milliseconds.
         pub short_ms: u64,
-        /// Milliseconds.
+        /// Length of the long window, in milliseconds.
         pub long_ms: u64,
-        /// Times the allowed rate of errors.
+        /// Burn rate in both windows from which an alert is raised.
         pub threshold: f64,
     }
 
-    /// What a window pair shows.
+    /// Burn rates of a service level in a pair of windows.
     #[derive(Copy)]
     pub struct Burn {
-        /// The windows.
+        /// The pair of windows.
         pub window: Window,
-        /// Counts in the short one.
+        /// Counts in the short window.
         pub short: Counts,
-        /// Counts in the long one.
+        /// Counts in the long window.
         pub long: Counts,
-        /// Times the allowed rate of errors in the short one; 1 uses up the budget exactly.
+        /// Burn rate in the short window: errors as a multiple of the allowed ones; 1 uses up the
+        /// budget exactly.
         pub short_rate: f64,
-        /// The same in the long one.
+        /// Burn rate in the long window.
         pub long_rate: f64,
-        /// Whether both are over the threshold.
+        /// Whether both burn rates have reached the threshold.
         pub alert: bool,
     }
 }
 
-/// Fast and slow burn, by the customary thresholds for a budget of 30 days.
+/// Window pairs for fast and slow burn, with the customary thresholds for a budget of 30 days.
 pub const WINDOWS: [Window; 2] = [
     Window { short_ms: 300_000, long_ms: 3_600_000, threshold: 14.4 },
     Window { short_ms: 1_800_000, long_ms: 6 * 3_600_000, threshold: 6.0 },
 ];
 
 impl Counts {
-    /// Share of good ones; 1 if there are none at all.
+    /// Share of good requests, 0 to 1; 1 if there were no requests.
     #[must_use]
     pub fn good_share(&self) -> f64 {
         match self.total {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Times the allowed rate of errors.
+    /// Share of errors as a multiple of the share that an objective, 0 to 1, allows.
     #[must_use]
     pub fn burn_rate(&self, objective: f64) -> f64 {
         let allowed = (1.0 - objective).max(f64::EPSILON);
@@ -97,9 +99,9 @@
         self.buckets.entry(at.0 / BUCKET_MS).or_default().add(counts);
     }
 
-    /// Drops what no window reaches any more.
+    /// Drops buckets older than [`RETENTION_MS`], which no window includes.
     pub fn prune(&mut self, now: Millis) {
-        let oldest = (now - KEPT_MS).0 / BUCKET_MS;
+        let oldest = (now - RETENTION_MS).0 / BUCKET_MS;
         self.buckets = self.buckets.split_off(&oldest);
     }
 
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Joins another copy of the same host's counts: the fuller of each bucket.
+    /// Merges another copy of the same host's counts: keeps the fuller one of each bucket.
     pub fn merge(&mut self, other: &Self) {
         for (bucket, counts) in &other.buckets {
             let known = self.buckets.entry(*bucket).or_default();
@@ -120,17 +122,17 @@
         }
     }
 
-    /// Counts of the last `window_ms`, in whole buckets.
+    /// Counts of the last `window_ms` milliseconds, rounded up to whole buckets.
     #[must_use]
     pub fn window(&self, window_ms: u64, now: Millis) -> Counts {
         let last = now.0 / BUCKET_MS;
         let first = (last + 1).saturating_sub(window_ms.div_ceil(BUCKET_MS));
-        let mut sum = Counts::default();
-        self.buckets.range(first..=last).for_each(|(_, counts)| sum.add(*counts));
-        sum
+        let mut counted = Counts::default();
+        self.buckets.range(first..=last).for_each(|(_, counts)| counted.add(*counts));
+        counted
     }
 
-    /// How fast the budget of an objective burns in a pair of windows.
+    /// Burn rates of an objective's budget in a pair of windows, and whether they raise an alert.
     #[must_use]
     pub fn burn(&self, objective: f64, window: Window, now: Millis) -> Burn {
         let short = self.window(window.short_ms, now);
--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -48,8 +48,8 @@
 /// Shortest time, as a fraction of the time allowed, for which the new version has all requests
 /// before it is declared done.
 const FULL_MIN_FRACTION: f64 = 0.01;
-/// Share of all requests in the time allowed that a bad version may get where the settings name
-/// none, and the least that they can name.
+/// Smallest share of all requests, over the time allowed, that a bad version may get. Without a
+/// setting this share holds, and a smaller setting has no further effect.
 pub const EXPOSURE_SHARE_MIN: f64 = 0.0975;
 /// Share of requests that the new version gets first. This share and [`SECOND_SHARE`] for their
 /// times, with all requests for the last part of the time, add up to less than
--- a/crates/policy/src/exposure/likelihood.rs
+++ b/crates/policy/src/exposure/likelihood.rs
@@ -1,30 +1,31 @@
-//! A sequential likelihood ratio test that starts over each time it accepts the version as good.
+//! A sequential likelihood ratio test that restarts each time it accepts the version as good.
 
-use super::{FALSE_ALARM_EVERY, Hypotheses, Test, Verdict};
+use super::{ANSWERS_PER_FALSE_ALARM, Hypotheses, Test, Verdict};
 use crate::domain;
 
-/// Log ratio at which a version counts as good and the test starts over.
-pub const ACCEPT: f64 = -2.0;
+/// Log likelihood ratio at which a version counts as good and the test restarts.
+pub const ACCEPT_LOG_RATIO: f64 = -2.0;
 
 domain! {
-    /// One version's ratio.
+    /// The test statistic of one version.
     #[derive(Copy, Default)]
     pub struct Likelihood {
-        /// How much likelier all answers since the last start are from a bad version, as a
-        /// logarithm.
+        /// Log likelihood ratio of all answers since the test last restarted; positive if they are
+        /// likelier from a bad version.
         pub ratio: f64,
-        /// Once bad, always bad: only an operator's document starts a new test.
+        /// Whether the version was found bad. That is final: only a new document of an operator
+        /// starts a new test.
         pub bad: bool,
     }
 }
 
 impl Test for Likelihood {
-    fn observe(&mut self, good: bool, expecting: &Hypotheses) -> Verdict {
-        self.ratio += expecting.log_ratio(good);
-        if self.ratio <= ACCEPT {
+    fn observe(&mut self, good: bool, hypotheses: &Hypotheses) -> Verdict {
+        self.ratio += hypotheses.log_ratio(good);
+        if self.ratio <= ACCEPT_LOG_RATIO {
             self.ratio = 0.0;
         }
-        self.bad |= self.ratio >= reject(expecting);
+        self.bad |= self.ratio >= reject_log_ratio(hypotheses);
         self.verdict()
     }
 
@@ -37,11 +38,12 @@
     }
 }
 
-/// Log ratio at which a version counts as bad: Wald's bound, with one test's false alarms spread
-/// over the answers it takes to accept a good version.
-fn reject(expecting: &Hypotheses) -> f64 {
-    let (good, bad) = (expecting.log_ratio(true), expecting.log_ratio(false));
-    let drift = expecting.expected * good + (1.0 - expecting.expected) * bad;
-    let answers = (ACCEPT / drift).max(1.0);
-    (FALSE_ALARM_EVERY / answers).ln()
+/// Log likelihood ratio at which a version counts as bad: Wald's bound, for a rate of false alarms
+/// per answer, since the test restarts after the mean number of answers that it takes to accept a
+/// good version.
+fn reject_log_ratio(hypotheses: &Hypotheses) -> f64 {
+    let (good, bad) = (hypotheses.log_ratio(true), hypotheses.log_ratio(false));
+    let drift = hypotheses.expected * good + (1.0 - hypotheses.expected) * bad;
+    let answers = (ACCEPT_LOG_RATIO / drift).max(1.0);
+    (ANSWERS_PER_FALSE_ALARM / answers).ln()
 }
--- a/crates/policy/src/exposure/rating.rs
+++ b/crates/policy/src/exposure/rating.rs
@@ -1,40 +1,41 @@
 //! Which answers are sent to the rating service, whose capacity is bounded.
 //!
-//! A version long known needs few ratings; a candidate, or one with a first bad sign, is judged
-//! good from bad sooner the more of its answers are rated. So those are served first.
+//! An established version needs few ratings. A candidate, or a version with some evidence against
+//! it, is judged sooner the more of its answers are rated, so their answers go first.
 
 use super::Verdict;
 use crate::domain;
 
-/// Part of the rated share that a version long known gets.
-pub const STEADY_PART: f64 = 0.6;
-/// Ratings that may be saved up for a suspect version.
-pub const SAVED_MAX: f64 = 30.0;
+/// Probability that an established version's answer is rated, as a fraction of the share of answers
+/// that may be rated over time. The rest is saved for candidates and suspects.
+pub const STEADY_FRACTION: f64 = 0.6;
+/// Most ratings that a host can save up for a candidate or suspect.
+pub const SAVED_RATINGS_MAX: f64 = 30.0;
 
 domain! {
-    /// What is known of the version that gave an answer.
+    /// How useful ratings of a version's answers are.
     #[derive(Copy, Eq)]
     pub enum Interest {
-        /// Long known, nothing against it.
+        /// The version is established and nothing speaks against it.
         Steady,
-        /// A roll-out's candidate.
+        /// The version is a roll-out's candidate.
         Candidate,
-        /// A bad sign.
+        /// Some evidence speaks against the version.
         Suspect,
     }
 
-    /// One entry host's ratings.
+    /// Decides which answers one entry host sends to the rating service.
     #[derive(Copy)]
     pub struct Sampler {
         /// Share of answers that may be rated over time, 0 to 1.
         pub share: f64,
-        /// Ratings saved up.
+        /// Ratings that may be requested at once; a token bucket of [`SAVED_RATINGS_MAX`].
         saved: f64,
     }
 }
 
 impl Interest {
-    /// From a version's standing and what the test says.
+    /// Interest in a version from whether it is a roll-out's candidate, and its test's verdict.
     #[must_use]
     pub fn new(is_candidate: bool, verdict: Verdict) -> Self {
         match verdict {
@@ -46,21 +47,22 @@
 }
 
 impl Sampler {
-    /// One that rates a share of answers, 0 to 1.
+    /// A sampler that has a share of answers rated over time, 0 to 1.
     #[must_use]
     pub fn new(share: f64) -> Self {
-        Self { share, saved: SAVED_MAX * share.clamp(0.0, 1.0) }
+        Self { share, saved: SAVED_RATINGS_MAX * share.clamp(0.0, 1.0) }
     }
 
-    /// Whether to rate an answer; `unit` is a uniform draw from 0 to 1.
+    /// Whether to rate an answer, and if so uses up one rating; `unit` is a uniform draw from 0 to
+    /// 1.
     pub fn should_rate(&mut self, interest: Interest, unit: f64) -> bool {
-        self.saved = (self.saved + self.share).min(SAVED_MAX);
-        let wish = match interest {
-            Interest::Steady => self.share * STEADY_PART,
+        self.saved = (self.saved + self.share).min(SAVED_RATINGS_MAX);
+        let probability = match interest {
+            Interest::Steady => self.share * STEADY_FRACTION,
             Interest::Candidate | Interest::Suspect => 1.0,
         };
-        let rates = self.saved >= 1.0 && unit < wish;
-        self.saved -= if rates { 1.0 } else { 0.0 };
-        rates
+        let is_rated = self.saved >= 1.0 && unit < probability;
+        self.saved -= if is_rated { 1.0 } else { 0.0 };
+        is_rated
     }
 }
--- a/crates/policy/src/sample.rs
+++ b/crates/policy/src/sample.rs
@@ -1,19 +1,21 @@
-//! Which of many backend servers are looked at for one request.
+//! Which of many backend servers are considered for one request.
 //!
-//! The load this answers: thousands of servers before a host with a small part of a core. To look at
-//! each for every request would cost more than the rest of the request. A look at some that are drawn at
-//! random finds one that is nearly as good as the best of all, and hosts that draw differently don't all
-//! send to the same one.
+//! Thousands of servers may stand behind a host that has only a fraction of a core. Considering
+//! each of them for every request would cost more than the rest of the request. A random sample
+//! contains a server that is nearly as good as the best of all, and hosts with different samples
+//! don't all send to the same server.
 
 use crate::place::mix;
 
-/// Servers of the host's own failure domain, and of others, that are looked at. With fewer than that
-/// all are.
+/// Most servers of the host's own failure domain that are considered for one request; up to this
+/// number all are.
 pub const NEAR_MAX: usize = 128;
-/// See [`NEAR_MAX`].
+/// Most servers of other failure domains that are considered for one request; up to this number all
+/// are.
 pub const FAR_MAX: usize = 64;
 
-/// Indices below `count`, each once: all in their order, or `max` of them drawn by a seed.
+/// Distinct indices below `count`: all of them in order, or if there are more than `max`, `max` of
+/// them drawn by a seed.
 pub fn draw(count: usize, max: usize, seed: u64) -> impl Iterator<Item = usize> {
     let is_all = count <= max;
     let start = if is_all { 0 } else { mix(seed) as usize % count };
@@ -21,18 +23,19 @@
     (0..count.min(max)).map(move |step| (start + step * stride) % count)
 }
 
-/// A step that comes to each index once.
+/// A stride that is coprime to `count`, so that it visits each index once.
 fn stride(count: usize, seed: u64) -> usize {
-    let from = 1 + seed as usize % count;
-    (from..).find(|stride| gcd(*stride, count) == 1).unwrap_or(1)
+    let first = 1 + seed as usize % count;
+    (first..).find(|stride| gcd(*stride, count) == 1).unwrap_or(1)
 }
 
 fn gcd(a: usize, b: usize) -> usize {
     if b == 0 { a } else { gcd(b, a % b) }
 }
 
-/// The index of the first place behind a subject on a circle of places in rising order: hosts that know
-/// the same servers agree on one for it, and a server that comes or goes changes that for few subjects.
+/// Consistent hashing: the index of the first of the sorted `places` at or after `subject`,
+/// wrapping around; none without places. Hosts that know the same servers choose the same one for a
+/// subject, and a server that is added or removed changes the choice for few subjects.
 #[must_use]
 pub fn successor(places: &[u64], subject: u64) -> Option<usize> {
     let at = places.partition_point(|place| *place < subject);
