--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -1,10 +1,12 @@
-//! Requests, and parts of prompts, that end the servers that run them.
+//! Requests, and parts of prompts, that crash the backend servers that run them.
 //!
-//! Such a request comes again, at any host, under another id; such a part comes in one request after
-//! another of which no two are alike. Each host notes what it lost when a server ended, and tells the
-//! others; what all of them saw decides. Most of what is lost is only a victim of what ended the
-//! server: an answer clears a request and the parts of its prompt, and victims are answered elsewhere.
-//! What is lost with server after server, and never answered, is held back.
+//! A request is lost when its server ends, crashed or killed, before the answer is complete. A
+//! request that crashes servers is sent again, to any host and under another id; a part of a prompt
+//! that crashes servers comes in many requests that otherwise differ. Each host records what it
+//! lost when a server ended and shares it with the other hosts, and all of these records together
+//! decide. Most lost requests did not cause the crash. Such victims are soon answered by other
+//! servers, and a complete answer clears a request and the parts of its prompt. What is lost with
+//! server after server and never answered is held: it is not sent for a while.
 
 mod judge;
 pub mod polls;
@@ -23,129 +25,133 @@
 use crate::name::Name;
 use crate::time::Millis;
 
-/// Weight of a server's end early in the run: a request that ends servers does so when they begin
-/// to run it.
-const EARLY: u32 = 2;
-/// Weight of an end later in the run. Most of those are victims, which wait longest where long
-/// answers are given; a request that ends servers late is known after twice as many.
-const SETTLED: u32 = 1;
-/// Weight of one server.
-const SERVER: u32 = EARLY;
-/// Servers after which only one host at a time may send a request, to one server. An innocent request
-/// meets two ends in a row by chance where servers fall often, so it is not kept waiting for that.
-const SUSPECT: u32 = 2;
-/// Servers after which a request is held.
-const HELD: u32 = 3;
-/// A request that was answered is innocent for this long, in milliseconds, whatever it is lost with.
+/// Weight of a crash early in an attempt: a request that crashes servers does so when they begin to
+/// run it.
+const EARLY_WEIGHT: u32 = 2;
+/// Weight of a crash later in an attempt. Most requests lost late are victims, above all long
+/// answers; a request that crashes servers late is recognised after twice as many crashes.
+const LATE_WEIGHT: u32 = 1;
+/// Weight that counts as one server.
+const SERVER_WEIGHT: u32 = EARLY_WEIGHT;
+/// Crashed servers from which on only one host at a time may send a request, to one server, as a
+/// trial. Where servers crash often, an innocent request meets two crashes in a row by chance, so
+/// two are not enough to hold it.
+const TRIAL_SERVERS_MIN: u32 = 2;
+/// Crashed servers from which on a request is held.
+const HOLD_SERVERS_MIN: u32 = 3;
+/// How long an answered request counts as innocent, whatever servers it is lost with, in
+/// milliseconds.
 const CLEARED_MS: u64 = 60_000;
-/// A request is forgotten this long after the last server that ended under it, in milliseconds.
-const FORGET_MS: u64 = 24 * 3_600_000;
-/// Time until a request that is held is tried again, the first time and after each try that ended a
-/// server, in milliseconds. Three tries are left for as long as the request is remembered: whoever
-/// operates the servers may have mended them.
-const HOLDS_MS: [u64; 3] = [60_000, 600_000, 3_600_000];
-/// For how long a host has the only try of a request that is not held, in milliseconds: until its
-/// server has ended, or has begun to answer.
+/// How long a request is remembered after the last crash that counts against it, in milliseconds.
+const RETENTION_MS: u64 = 24 * 3_600_000;
+/// How long a request is held before the first trial, and after each trial that crashed a server,
+/// in milliseconds. That allows three trials while the request is remembered: the operators may
+/// have repaired the servers.
+const HOLD_BACKOFF_MS: [u64; 3] = [60_000, 600_000, 3_600_000];
+/// How long a host has the only trial of a request that is not held, in milliseconds: enough for
+/// its server to crash or to begin the answer.
 pub const TRIAL_MS: u64 = 2_000;
-/// Two answers that are closer than this are the same one, in milliseconds: each host's clock shows
-/// another time of it.
-const SAME_MS: u64 = 1_000;
-/// Ends kept for one request; they weigh more than is needed to hold it for good.
+/// Answers to a request with times that differ by no more than this are the same answer, in
+/// milliseconds: each host converts the time to its own clock.
+const SAME_ANSWER_MS: u64 = 1_000;
+/// Most crashes kept for one request; their weight is more than enough for the longest hold.
 const CRASHES_MAX: usize = 12;
 
 domain! {
-    /// Names a request by what its caller sent, whichever try and host, or a part of a prompt: another
-    /// try has another id.
+    /// Hash of what a caller sent as a request, or of one part of a prompt. It is the same at every
+    /// host and when the caller sends the request again, while the request's id is not.
     #[derive(Copy, Eq, Hash, Ord, PartialOrd)]
     #[serde(transparent)]
     pub struct Digest(pub u64);
 
-    /// What a digest names.
+    /// What a digest identifies.
     #[derive(Copy, Default, Eq)]
     pub enum Kind {
-        /// A request, as its caller sent it.
+        /// A whole request, as its caller sent it.
         #[default]
         Request,
-        /// A part of prompts, whoever sends it: what a server does with it doesn't depend on that.
+        /// A part of prompts, whoever sends it: its effect on a server doesn't depend on the
+        /// caller.
         Part,
     }
 
-    /// A server that ended under a request.
+    /// The end of a server that was running a request.
     pub struct Crash {
-        /// The server.
+        /// Name of the server.
         pub server: Name,
-        /// When this start of it began, in milliseconds since the epoch; 0 if it does not say.
+        /// When the server's process had started, in milliseconds since the epoch; 0 if the server
+        /// does not report it.
         #[serde(default)]
         pub born: u64,
         /// When the request was lost.
         pub at: Millis,
-        /// Its answer had not begun, or only just.
+        /// Whether the server's answer had not begun, or only just.
         pub is_early: bool,
     }
 
-    /// What is known of one request, or of one part of prompts.
+    /// What is known of one request, or of one part of prompts, that may crash servers.
     pub struct Suspect {
-        /// Which.
+        /// Identifies the request or part.
         pub digest: Digest,
-        /// Which of the two.
+        /// Whether the digest is that of a request or of a part.
         #[serde(default)]
         pub kind: Kind,
-        /// Servers that ended under it, as far as they count.
+        /// Crashes that count against the suspect: none from before its last answer.
         pub crashes: Vec<Crash>,
-        /// When a server last answered it.
+        /// When a server last answered the suspect; none if that is not known.
         #[serde(default)]
         pub answered_at: Option<Millis>,
     }
 }
 
-/// All by which one request may be known again.
+/// Everything by which a request, or a part of its prompt, can be recognised when it comes again.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fingerprint {
-    /// Of all that its caller sent.
+    /// Digest of all that the caller sent.
     pub request: Digest,
-    /// Of the parts of its prompt that other requests may have as well.
+    /// Digests of the parts of the request's prompt, which other requests may share.
     pub parts: Arc<[Digest]>,
-    /// The service that it is for.
+    /// Service that the request is for.
     pub service: Name,
 }
 
-/// What is to be done with a request.
+/// What may be done with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It may be sent.
+    /// The request may be sent.
     Run,
-    /// It may be sent to one server, if no other host does so.
+    /// The request may be sent to one server as a trial, if no other host has a trial of it.
     Trial {
-        /// Servers that speak against it.
+        /// Number of crashed servers that count against the request.
         servers: u32,
-        /// For how long no other host may, in milliseconds.
+        /// How long no other host may send the request, in milliseconds.
         alone_ms: u64,
     },
-    /// It is not sent for so long, in milliseconds.
+    /// The request may not be sent for this time, in milliseconds.
     Hold(u64),
 }
 
 impl Fingerprint {
-    /// Of a request without a prompt.
+    /// Fingerprint of a request without a prompt, for no named service.
     #[must_use]
     pub fn from_request(request: Digest) -> Self {
         Self { request, parts: Arc::default(), service: Name::default() }
     }
 
-    /// With these parts in its prompt.
+    /// The same fingerprint with the digests of its prompt's parts.
     #[must_use]
     pub fn with_parts(self, parts: &[Digest]) -> Self {
         Self { parts: parts.into(), ..self }
     }
 
-    /// Whether it has something of this name.
+    /// Whether the digest is that of the request or of a part of its prompt.
     #[must_use]
     pub fn contains(&self, digest: Digest) -> bool {
         self.request == digest || self.parts.contains(&digest)
     }
 
-    /// What it may be known again by.
-    fn causes(&self) -> impl Iterator<Item = (Digest, Kind)> {
+    /// Digests of the request and of the parts of its prompt.
+    fn digests(&self) -> impl Iterator<Item = (Digest, Kind)> {
         let parts = self.parts.iter().map(|part| (*part, Kind::Part));
         std::iter::once((self.request, Kind::Request)).chain(parts)
     }
@@ -158,32 +164,33 @@
 }
 
 impl Crash {
-    /// Whether both are the end of the same start of a server. Times don't count: each host that tells of it
-    /// has a clock of its own.
+    /// Whether both are the end of the same server process. The times may differ, since each host
+    /// that reports the crash has its own clock.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         self.server == other.server && self.born == other.born
     }
 
     fn weight(&self) -> u32 {
-        if self.is_early { EARLY } else { SETTLED }
+        if self.is_early { EARLY_WEIGHT } else { LATE_WEIGHT }
     }
 }
 
 impl Suspect {
-    /// A request that nothing is known of.
+    /// A request without crashes or answers so far.
     #[must_use]
     pub fn new(digest: Digest) -> Self {
         Self { digest, kind: Kind::Request, crashes: Vec::new(), answered_at: None }
     }
 
-    /// Of this kind.
+    /// The same suspect with another kind.
     #[must_use]
     pub fn with_kind(self, kind: Kind) -> Self {
         Self { kind, ..self }
     }
 
-    /// The same with its times on another clock; `from` and `to` are the same moment on both.
+    /// The same suspect with its times converted to another clock; `from` is the same moment on the
+    /// old clock as `to` on the new one.
     #[must_use]
     pub fn on_clock(mut self, from: Millis, to: Millis) -> Self {
         let moved = |at: Millis| to - from.since(at);
@@ -192,53 +199,57 @@
         self
     }
 
-    /// Servers that speak against it.
+    /// Number of crashed servers that count against the suspect; two late crashes count as one
+    /// server.
     #[must_use]
     pub fn server_count(&self, now: Millis) -> u32 {
-        self.weight(now) / SERVER
+        self.weight(now) / SERVER_WEIGHT
     }
 
-    /// When it was last lost with a server, if that speaks against it.
+    /// When the suspect was last lost with a server; none if no crash counts against it.
     #[must_use]
     pub fn last_crash_at(&self) -> Option<Millis> {
         self.crashes.iter().map(|crash| crash.at).max()
     }
 
-    /// What is to be done with a request that has it, by what is known of it alone.
+    /// What may be done with a request that is or contains this suspect, if nothing else is
+    /// considered.
     #[must_use]
     pub fn verdict(&self, now: Millis) -> Verdict {
         self.verdict_by(|_| true, now)
     }
 
-    /// The same by those ends of servers that count.
+    /// The verdict by those crashes for which `counts` is true.
     fn verdict_by(&self, counts: impl Fn(&Crash) -> bool, now: Millis) -> Verdict {
         if self.is_cleared(now) {
             return Verdict::Run;
         }
         let crashes = || self.crashes.iter().filter(|crash| counts(crash));
-        let servers = crashes().map(Crash::weight).sum::<u32>() / SERVER;
+        let servers = crashes().map(Crash::weight).sum::<u32>() / SERVER_WEIGHT;
         match (servers, self.kind) {
-            (HELD.., _) => hold(crashes(), servers, now),
-            // Many sound requests may have the same part: they would all wait for leave.
-            (SUSPECT.., Kind::Request) => Verdict::Trial { servers, alone_ms: TRIAL_MS },
+            (HOLD_SERVERS_MIN.., _) => hold(crashes(), servers, now),
+            // Many harmless requests may contain the same part, and all would wait for a trial.
+            (TRIAL_SERVERS_MIN.., Kind::Request) => Verdict::Trial { servers, alone_ms: TRIAL_MS },
             _ => Verdict::Run,
         }
     }
 
-    /// Whether hosts elsewhere should know of it: it is held, or may well be one that ends servers
-    /// at once.
+    /// Whether other hosts should learn of the suspect: it is on trial or held, or it was lost with
+    /// one server early and not answered elsewhere for `unanswered_ms`, and so may well be one that
+    /// crashes servers at once.
     #[must_use]
-    pub fn is_notable(&self, now: Millis, unanswered_ms: u64) -> bool {
-        let waited = self.last_crash_at().is_some_and(|last| now.since(last) >= unanswered_ms);
+    pub fn is_worth_sharing(&self, now: Millis, unanswered_ms: u64) -> bool {
+        let is_unanswered =
+            self.last_crash_at().is_some_and(|last| now.since(last) >= unanswered_ms);
         let has_early = self.crashes.iter().any(|crash| crash.is_early);
         match self.server_count(now) {
             0 => false,
-            servers if servers < SUSPECT => waited && has_early,
+            servers if servers < TRIAL_SERVERS_MIN => is_unanswered && has_early,
             _ => true,
         }
     }
 
-    /// Whether it was answered a moment ago.
+    /// Whether the suspect was answered within [`CLEARED_MS`].
     fn is_cleared(&self, now: Millis) -> bool {
         self.answered_at.is_some_and(|at| now.since(at) < CLEARED_MS)
     }
@@ -247,53 +258,54 @@
         if self.is_cleared(now) { 0 } else { self.crashes.iter().map(Crash::weight).sum() }
     }
 
-    /// Notes a server's end; whether it is news.
-    fn add(&mut self, crash: Crash) -> bool {
-        let is_over = self.answered_at.is_some_and(|at| crash.at <= at);
-        if is_over || self.crashes.iter().any(|known| known.is_same(&crash)) {
+    /// Adds a crash; returns whether it is a new one and later than the last answer.
+    fn add_crash(&mut self, crash: Crash) -> bool {
+        let is_outdated = self.answered_at.is_some_and(|at| crash.at <= at);
+        if is_outdated || self.crashes.iter().any(|other| other.is_same(&crash)) {
             return false;
         }
         self.crashes.push(crash);
         self.crashes.sort_by_key(|crash| crash.at);
-        let beyond = self.crashes.len().saturating_sub(CRASHES_MAX);
-        self.crashes.drain(..beyond);
+        let excess = self.crashes.len().saturating_sub(CRASHES_MAX);
+        self.crashes.drain(..excess);
         true
     }
 
-    /// Notes an answer; whether it is news. Ends before it were others' doing. One that is told again
-    /// has a time some milliseconds off, by each host's clock.
-    fn clear(&mut self, at: Millis) -> bool {
-        let is_news = self.answered_at.is_none_or(|known| at > known + SAME_MS);
+    /// Records an answer and drops the crashes before it, which had other causes. Returns whether
+    /// the answer is a new one: the time of an answer that is reported again may differ by some
+    /// milliseconds, since each host has its own clock.
+    fn record_answer(&mut self, at: Millis) -> bool {
+        let is_news = self.answered_at.is_none_or(|known| at > known + SAME_ANSWER_MS);
         self.answered_at = self.answered_at.max(Some(at));
         let answered_at = self.answered_at;
         self.crashes.retain(|crash| Some(crash.at) > answered_at);
         is_news
     }
 
-    fn is_forgotten(&self, now: Millis) -> bool {
-        let heard = self.last_crash_at().max(self.answered_at);
-        let keep_ms = if self.crashes.is_empty() { CLEARED_MS } else { FORGET_MS };
-        heard.is_none_or(|heard| now.since(heard) >= keep_ms)
+    fn is_expired(&self, now: Millis) -> bool {
+        let last_change = self.last_crash_at().max(self.answered_at);
+        let keep_ms = if self.crashes.is_empty() { CLEARED_MS } else { RETENTION_MS };
+        last_change.is_none_or(|last_change| now.since(last_change) >= keep_ms)
     }
 }
 
-/// What is to be done with what so many servers, enough to hold it, have ended under.
+/// The verdict on a suspect with enough crashed servers to be held.
 ///
-/// Each try that ends a server once more makes the next hold longer. Ends while it is held don't: its
-/// requests were under way, or came to hosts that had not heard.
+/// Each trial that crashes another server makes the next hold longer. Crashes during a hold don't:
+/// those requests were already in flight, or reached hosts that did not know of the hold yet.
 fn hold<'a>(crashes: impl Iterator<Item = &'a Crash>, servers: u32, now: Millis) -> Verdict {
-    let (mut weight, mut step, mut since) = (0, 0, Millis(0));
-    let hold_ms = |step: usize| HOLDS_MS.get(step).copied().unwrap_or(FORGET_MS);
+    let (mut weight, mut holds, mut since) = (0, 0, Millis(0));
+    let hold_ms = |count: usize| HOLD_BACKOFF_MS.get(count).copied().unwrap_or(RETENTION_MS);
     for crash in crashes {
-        let was_held = weight >= HELD * SERVER;
+        let was_held = weight >= HOLD_SERVERS_MIN * SERVER_WEIGHT;
         weight += crash.weight();
         match () {
             () if !was_held => since = crash.at,
-            () if crash.at.since(since) >= hold_ms(step) => (step, since) = (step + 1, crash.at),
+            () if crash.at.since(since) >= hold_ms(holds) => (holds, since) = (holds + 1, crash.at),
             () => {}
         }
     }
-    let alone_ms = hold_ms(step);
+    let alone_ms = hold_ms(holds);
     match alone_ms.saturating_sub(now.since(since)) {
         0 => Verdict::Trial { servers, alone_ms },
         left => Verdict::Hold(left),
--- a/crates/policy/src/poison/judge.rs
+++ b/crates/policy/src/poison/judge.rs
@@ -1,32 +1,35 @@
-//! Which of the things that a request may be known again by speaks against it.
+//! Decides which suspect among a request and the parts of its prompt speaks against sending it.
 //!
-//! A server that ends takes all requests with it that are under way there, with all parts of their
-//! prompts. Each end has one cause, though. So ends that something else explains better, since more
-//! servers ended under that, don't count; and where two things were lost with the same servers, a
-//! request that has only one of them shows which it is.
+//! A crash loses all requests in flight at the server, with all parts of their prompts, but it has
+//! only one cause. So a crash does not count against a suspect if another suspect with more crashed
+//! servers was lost in it as well and explains it better. Where two suspects were lost with the
+//! same servers, a trial of a request that contains only one of them shows which one is the cause.
 
-use super::{Crash, Digest, Fingerprint, HELD, Kind, SUSPECT, Suspect, TRIAL_MS, Verdict};
+use super::{
+    Crash, Digest, Fingerprint, HOLD_SERVERS_MIN, Kind, Suspect, TRIAL_MS, TRIAL_SERVERS_MIN,
+    Verdict,
+};
 use crate::time::Millis;
 
-/// What is to be done with a request, and what speaks against it.
+/// The verdict on a request and the suspect that led to it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Judgement {
-    /// What is to be done.
+    /// What may be done with the request.
     pub verdict: Verdict,
-    /// What decided, if anything speaks against the request.
+    /// The suspect that decided; none if nothing speaks against the request.
     pub cause: Option<(Digest, Kind)>,
 }
 
 impl Judgement {
     const INNOCENT: Self = Self { verdict: Verdict::Run, cause: None };
 
-    /// The one that lets less through.
+    /// The judgement whose verdict restricts the request more.
     fn stricter(self, other: Self) -> Self {
-        if rank(self.verdict) < rank(other.verdict) { other } else { self }
+        if strictness(self.verdict) < strictness(other.verdict) { other } else { self }
     }
 }
 
-fn rank(verdict: Verdict) -> (u8, u64) {
+fn strictness(verdict: Verdict) -> (u8, u64) {
     match verdict {
         Verdict::Run => (0, 0),
         Verdict::Trial { servers, .. } => (1, u64::from(servers)),
@@ -34,41 +37,42 @@
     }
 }
 
-/// What is to be done with a request by all that is known of what it has, and of everything else.
+/// Judges a request by the suspects among its digests, which `find` returns, in comparison with
+/// `all` suspects that the host knows.
 pub(super) fn judge<'a>(
     request: &Fingerprint,
-    known: impl Fn(Digest) -> Option<&'a Suspect>,
+    find: impl Fn(Digest) -> Option<&'a Suspect>,
     all: impl Iterator<Item = &'a Suspect> + Clone,
     now: Millis,
 ) -> Judgement {
-    let own = request.causes().filter_map(|(digest, _)| known(digest));
-    let judged = own.map(|suspect| judge_one(request, suspect, all.clone(), now));
+    let own = request.digests().filter_map(|(digest, _)| find(digest));
+    let judged = own.map(|suspect| judge_suspect(request, suspect, all.clone(), now));
     judged.fold(Judgement::INNOCENT, Judgement::stricter)
 }
 
-fn judge_one<'a>(
+fn judge_suspect<'a>(
     request: &Fingerprint,
     suspect: &Suspect,
     all: impl Iterator<Item = &'a Suspect> + Clone,
     now: Millis,
 ) -> Judgement {
     let servers = suspect.server_count(now);
-    if servers < SUSPECT {
+    if servers < TRIAL_SERVERS_MIN {
         return Judgement::INNOCENT;
     }
-    let heavy =
-        all.filter(|other| other.digest != suspect.digest && other.server_count(now) >= HELD);
-    let stronger = heavy.clone().filter(|other| other.server_count(now) > servers);
-    let is_unexplained = |crash: &Crash| !stronger.clone().any(|other| other.was_lost_with(crash));
+    let held =
+        all.filter(|s| s.digest != suspect.digest && s.server_count(now) >= HOLD_SERVERS_MIN);
+    let stronger = held.clone().filter(|other| other.server_count(now) > servers);
+    let is_unexplained = |crash: &Crash| !stronger.clone().any(|other| other.has_crash(crash));
     let verdict = suspect.verdict_by(is_unexplained, now);
-    let is_twin = |other: &Suspect| {
+    let is_alternative = |other: &Suspect| {
         other.server_count(now) == servers
             && !request.contains(other.digest)
-            && suspect.crashes.iter().all(|crash| other.was_lost_with(crash))
+            && suspect.crashes.iter().all(|crash| other.has_crash(crash))
     };
     let verdict = match verdict {
-        Verdict::Hold(_) if heavy.clone().any(is_twin) => {
-            Verdict::Trial { servers: SUSPECT, alone_ms: TRIAL_MS }
+        Verdict::Hold(_) if held.clone().any(is_alternative) => {
+            Verdict::Trial { servers: TRIAL_SERVERS_MIN, alone_ms: TRIAL_MS }
         }
         verdict => verdict,
     };
@@ -76,7 +80,7 @@
 }
 
 impl Suspect {
-    fn was_lost_with(&self, crash: &Crash) -> bool {
+    fn has_crash(&self, crash: &Crash) -> bool {
         self.crashes.iter().any(|own| own.is_same(crash))
     }
 }
--- a/crates/policy/src/poison/polls.rs
+++ b/crates/policy/src/poison/polls.rs
@@ -1,59 +1,64 @@
-//! When a host reads what the hosts of other failure domains know of lost requests.
+//! When a host reads the rows in which hosts of other failure domains record their lost requests.
 //!
-//! Nothing is read while no server ends. When the list of servers says that one has, hosts elsewhere may
-//! know more of its cause, and have written it by then: their rows are read once. While this host
-//! itself learns something new they are read again and again, less and less often.
+//! Nothing is read while no server ends. When the list of backend servers shows that a server has
+//! ended, hosts of other failure domains may know more about the cause and have written it by then,
+//! so their rows are read once. While this host itself learns something new, the rows are read
+//! repeatedly, at growing intervals.
 
 use crate::time::Millis;
 
-/// From what the list says to the read, in milliseconds: servers that end together are listed
-/// together, or one soon after the other.
-const GATHER_MS: u64 = 500;
-/// Between the first two reads, in milliseconds. What every host must know within three seconds is
-/// read by then, also if a call fails.
-const FIRST_MS: u64 = 1_000;
-/// Between two reads at most, in milliseconds.
-const LONGEST_MS: u64 = 4_000;
-/// How long is read after something new was learnt, in milliseconds.
-const FOR_MS: u64 = 5_000;
-
-/// When the rows are read.
+/// Delay of the read after the list shows a server's end, in milliseconds: servers that end
+/// together show up in the list together or shortly one after the other, and one read covers them
+/// all.
+const SERVER_END_DELAY_MS: u64 = 500;
+/// Interval between the first two reads, in milliseconds. What every host must know within three
+/// seconds is read by then even if one call fails.
+const INTERVAL_MIN_MS: u64 = 1_000;
+/// Longest interval between two reads, in milliseconds.
+const INTERVAL_MAX_MS: u64 = 4_000;
+/// How long reads go on after this host learnt something new, in milliseconds.
+const ACTIVE_MS: u64 = 5_000;
+
+/// Schedule of the reads.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Polls {
-    until: Millis,
-    next: Option<Millis>,
-    pause_ms: u64,
+    active_until: Millis,
+    next_at: Option<Millis>,
+    interval_ms: u64,
 }
 
 impl Polls {
-    /// A server ended, or this host has started.
+    /// Schedules a read because a server has ended or this host has started.
     pub fn schedule(&mut self, now: Millis) {
-        self.next = self.next.or(Some(now + GATHER_MS));
+        self.next_at = self.next_at.or(Some(now + SERVER_END_DELAY_MS));
     }
 
-    /// Something was learnt of a request: hosts elsewhere may know more by now.
+    /// Schedules a read soon and restarts the intervals, because this host learnt something of a
+    /// request: hosts of other failure domains may know more by now.
     pub fn restart(&mut self, now: Millis) {
-        self.until = now + FOR_MS;
-        self.pause_ms = FIRST_MS;
-        let soon = now + FIRST_MS;
-        self.next = Some(self.next.map_or(soon, |next| next.min(soon)));
+        self.active_until = now + ACTIVE_MS;
+        self.interval_ms = INTERVAL_MIN_MS;
+        let soon = now + INTERVAL_MIN_MS;
+        self.next_at = Some(self.next_at.map_or(soon, |next_at| next_at.min(soon)));
     }
 
-    /// Whether they are read now.
+    /// Whether the rows are to be read now.
     #[must_use]
     pub fn is_due(&self, now: Millis) -> bool {
-        self.next.is_some_and(|next| next <= now)
+        self.next_at.is_some_and(|next_at| next_at <= now)
     }
 
-    /// Whether they are read, now or soon.
+    /// Whether a read is scheduled, for now or for later.
     #[must_use]
     pub fn is_scheduled(&self) -> bool {
-        self.next.is_some()
+        self.next_at.is_some()
     }
 
-    /// They were read, or could not be.
+    /// Records that the rows were read, or that the read failed; `is_news` says whether they
+    /// contained something new.
     pub fn record_read(&mut self, is_news: bool, now: Millis) {
-        self.pause_ms = if is_news { FIRST_MS } else { (self.pause_ms * 2).min(LONGEST_MS) };
-        self.next = Some(now + self.pause_ms).filter(|next| *next <= self.until);
+        self.interval_ms =
+            if is_news { INTERVAL_MIN_MS } else { (self.interval_ms * 2).min(INTERVAL_MAX_MS) };
+        self.next_at = Some(now + self.interval_ms).filter(|next_at| *next_at <= self.active_until);
     }
 }
--- a/crates/policy/src/poison/recent.rs
+++ b/crates/policy/src/poison/recent.rs
@@ -1,18 +1,20 @@
-//! Requests that were answered lately.
+//! Cache of recently answered requests.
 //!
-//! Some requests come all the time, all alike: a question for a state, with no body. When many servers
-//! end at once such a request is lost with each of them, and only its answers a moment before tell
-//! that it is a victim.
+//! Some requests arrive continuously and are all alike, such as a status query without a body. When
+//! many servers end at once, such a request is lost with each of them, and only its answers shortly
+//! before show that it is a victim.
 
 use std::collections::HashMap;
 
 use super::Digest;
 use crate::time::Millis;
 
-/// Answers kept in each half. Those that matter come often, and are among the newest.
+/// Most answers kept in each half of the cache. The requests that matter are frequent, so their
+/// answers are among the newest.
 const HALF_MAX: usize = 2_048;
 
-/// The newest answers, in two halves: the older one is dropped when the newer one is full.
+/// Times of the newest answers, in two halves: the older half is dropped when the newer one is
+/// full.
 #[derive(Clone, Debug, Default)]
 pub struct RecentAnswers {
     newer: HashMap<Digest, Millis>,
@@ -20,7 +22,7 @@
 }
 
 impl RecentAnswers {
-    /// A server has answered a request.
+    /// Records that a server has answered a request.
     pub fn record_answer(&mut self, digest: Digest, now: Millis) {
         if self.newer.len() >= HALF_MAX && !self.newer.contains_key(&digest) {
             self.older = std::mem::take(&mut self.newer);
@@ -28,7 +30,7 @@
         self.newer.insert(digest, now);
     }
 
-    /// When a server last answered a request, if that is known.
+    /// When a server last answered a request; none if there is no recent answer.
     #[must_use]
     pub fn answered_at(&self, digest: Digest) -> Option<Millis> {
         self.newer.get(&digest).or_else(|| self.older.get(&digest)).copied()
--- a/crates/policy/src/poison/registry.rs
+++ b/crates/policy/src/poison/registry.rs
@@ -1,46 +1,50 @@
-//! What one host knows of what was lost with servers: requests, and parts of prompts.
+//! The registry of one host: all requests and parts of prompts that were lost with backend servers.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use super::judge::{self, Judgement};
 use super::{
-    CLEARED_MS, Crash, Digest, Fingerprint, Kind, RecentAnswers, SAME_MS, SUSPECT, Suspect, Verdict,
+    CLEARED_MS, Crash, Digest, Fingerprint, Kind, RecentAnswers, SAME_ANSWER_MS, Suspect,
+    TRIAL_SERVERS_MIN, Verdict,
 };
 use crate::name::Name;
 use crate::time::Millis;
 
-/// Requests and parts remembered at most.
+/// Most suspects, requests and parts, that are remembered.
 const SUSPECTS_MAX: usize = 512;
-/// Lost runs remembered at most, until it is known whether their servers have ended.
-const LOST_MAX: usize = 1_024;
-/// How long that may take, in milliseconds. A server that falls silent is known to have ended when
-/// the list of servers says so.
-const LOST_MS: u64 = 5_000;
-/// A run that was given up is its server's doing if that ends within this time, in milliseconds.
-const GIVEN_UP_MS: u64 = 500;
-/// A run that is lost this long after its server's end is lost by it, in milliseconds.
-const ENDED_MS: u64 = 1_000;
-/// Ends of servers remembered at most.
-const ENDED_MAX: usize = 256;
-/// A request lost with one server is reported only if it is not answered elsewhere within this time,
-/// in milliseconds: nearly all are.
+/// Most attempts that wait for the news that their servers have ended.
+const PENDING_MAX: usize = 1_024;
+/// How long a lost attempt waits for the news that its server has ended, in milliseconds. The end
+/// of a server that stops responding is known only when the list of backend servers shows it.
+const LOST_WAIT_MS: u64 = 5_000;
+/// How long an abandoned attempt waits for the end of its server, in milliseconds. A server that
+/// ends later did not end because of that attempt.
+const ABANDONED_WAIT_MS: u64 = 500;
+/// How long after a server's end an attempt that is lost counts as lost with that server, in
+/// milliseconds.
+const ENDED_SERVER_MS: u64 = 1_000;
+/// Most ended servers that are remembered.
+const ENDED_SERVERS_MAX: usize = 256;
+/// How long a request that was lost with one server may be answered elsewhere before it is shared
+/// with other hosts, in milliseconds. Nearly all such requests are answered by then.
 const UNANSWERED_MS: u64 = 1_000;
-/// Requests reported at once at most.
-const SHARED_MAX: usize = 24;
-/// Servers that end in a row, with not one answer of their service between, after which more ends say
-/// nothing of parts: the service is down, and parts that all requests have would be held once it is back.
-const DOWN_AFTER: u32 = 8;
-
-/// A run of a request.
+/// Most suspects that are shared at once.
+const SHARED_SUSPECTS_MAX: usize = 24;
+/// Number of servers of a service that end in a row, without an answer of the service in between,
+/// beyond which crashes no longer count against parts of prompts: the service is down, and parts
+/// that all requests contain would otherwise be held once it is back.
+const CRASH_STREAK_MAX: u32 = 8;
+
+/// One sending of a request to a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// The request.
+    /// Fingerprint of the request that was sent.
     pub request: Fingerprint,
-    /// The server.
+    /// Name of the server.
     pub server: Name,
-    /// See [`Crash::born`].
+    /// When the server's process had started, as in [`Crash::born`].
     pub born: u64,
-    /// See [`Crash::is_early`].
+    /// Whether the server's answer has not begun, or only just, as in [`Crash::is_early`].
     pub is_early: bool,
 }
 
@@ -53,326 +57,344 @@
 /// How a server has answered a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// With success, whole.
+    /// With success and completely.
     Whole,
-    /// With a failure. That says nothing of its prompt: perhaps it was never looked at.
+    /// With a failure. That clears the request but not the parts of its prompt, which the server
+    /// may not even have read.
     Failure,
-    /// With what looks whole, but would look the same if the server had ended on the way.
+    /// With an answer that seems complete but would look the same if the server had crashed midway.
     Unframed,
 }
 
-/// Who has to be notified of what is known of a request.
+/// Where a suspect's newest state still has to be sent: the store, the peers of the failure domain.
 #[derive(Clone, Copy, Debug, Default)]
 struct Unsent {
     store: bool,
     peers: bool,
 }
 
+/// An attempt that was lost or abandoned and counts as a crash if its server turns out to have
+/// ended.
 #[derive(Debug)]
-struct Lost {
-    run: Attempt,
+struct Pending {
+    attempt: Attempt,
     at: Millis,
-    /// It is its server's doing if the server ends by then.
+    /// When the server's end no longer counts.
     until: Millis,
 }
 
 #[derive(Debug)]
-struct Known {
+struct Entry {
     suspect: Suspect,
     unsent: Unsent,
-    /// This host lost it with a server, or answered it.
+    /// Whether this host itself saw a crash or an answer, so that its row in the store has the
+    /// suspect.
     is_own: bool,
-    /// Others have been notified of it, so they are notified when it is cleared.
+    /// Whether other hosts know the suspect, so that they must be told when it is cleared.
     is_shared: bool,
 }
 
-impl Known {
-    /// What the others need most comes first: what is held or may soon be, then what was cleared, then
-    /// the rest.
+impl Entry {
+    /// Sort key of what other hosts need most, largest first: suspects that are on trial or held,
+    /// then cleared ones that other hosts know, then the rest.
     fn urgency(&self, now: Millis) -> (u32, bool, Option<Millis>) {
         let servers = self.suspect.server_count(now);
         let is_cleared = self.is_shared && self.suspect.crashes.is_empty();
-        let heard = self.suspect.last_crash_at().max(self.suspect.answered_at);
-        (if servers < SUSPECT { 0 } else { servers }, is_cleared, heard)
+        let last_change = self.suspect.last_crash_at().max(self.suspect.answered_at);
+        (if servers < TRIAL_SERVERS_MIN { 0 } else { servers }, is_cleared, last_change)
     }
 }
 
-/// Where something was learnt of a request.
+/// Where a host received a suspect from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// From another host of the failure domain, which tells all of them.
+    /// From another host of the failure domain, which sends it to all hosts there.
     Peer,
-    /// From the store; the other hosts of the failure domain don't know it yet.
+    /// From the store, which the other hosts of the failure domain have not read yet.
     Store,
 }
 
-/// What one host knows.
+/// What one host knows of requests and parts of prompts that may crash servers.
 #[derive(Debug, Default)]
 pub struct Registry {
-    known: BTreeMap<Digest, Known>,
-    lost: VecDeque<Lost>,
-    ended: VecDeque<(Name, Millis)>,
-    recent: RecentAnswers,
-    recent_parts: RecentAnswers,
-    /// By service, since a server of it last answered.
-    ends_in_a_row: HashMap<Name, Ends>,
+    entries: BTreeMap<Digest, Entry>,
+    pending: VecDeque<Pending>,
+    ended_servers: VecDeque<(Name, Millis)>,
+    answered_requests: RecentAnswers,
+    answered_parts: RecentAnswers,
+    /// Streak of ended servers by service; removed when a server of the service answers.
+    crash_streaks: HashMap<Name, CrashStreak>,
 }
 
-/// Servers that ended one after the other, with runs of this host.
+/// Servers of one service that ended one after the other while they ran attempts of this host.
 #[derive(Clone, Debug, Default)]
-struct Ends {
-    last: Name,
-    count: u32,
+struct CrashStreak {
+    last_server: Name,
+    length: u32,
 }
 
-impl Ends {
-    fn note(&mut self, server: &Name) {
-        if self.last != *server || self.count == 0 {
-            self.last = server.clone();
-            self.count = self.count.saturating_add(1);
+impl CrashStreak {
+    fn record(&mut self, server: &Name) {
+        if self.last_server != *server || self.length == 0 {
+            self.last_server = server.clone();
+            self.length = self.length.saturating_add(1);
         }
     }
 }
 
 impl Registry {
-    /// Whether nothing speaks against any request.
+    /// Whether the host knows of no suspect at all.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.entries.is_empty()
     }
 
-    /// A run was lost.
-    pub fn record_loss(&mut self, run: Attempt, now: Millis) {
-        self.ended.retain(|(_, at)| now.since(*at) < ENDED_MS);
-        match self.ended.iter().any(|(server, _)| *server == run.server) {
-            true => self.crashed(&run, now, now),
-            false => self.await_end(Lost { run, at: now, until: now + LOST_MS }, now),
+    /// Records an attempt that broke off. It counts as a crash if its server has just ended or does
+    /// so soon.
+    pub fn record_loss(&mut self, attempt: Attempt, now: Millis) {
+        self.ended_servers.retain(|(_, at)| now.since(*at) < ENDED_SERVER_MS);
+        match self.ended_servers.iter().any(|(server, _)| *server == attempt.server) {
+            true => self.record_crash(&attempt, now, now),
+            false => self.await_end(Pending { attempt, at: now, until: now + LOST_WAIT_MS }, now),
         }
     }
 
-    /// A run was given up while its server worked on it. The server may end of it all the same.
-    pub fn record_abandoned(&mut self, run: Attempt, now: Millis) {
-        self.await_end(Lost { run, at: now, until: now + GIVEN_UP_MS }, now);
+    /// Records an attempt that was abandoned while its server worked on it: the server may still
+    /// crash because of it.
+    pub fn record_abandoned(&mut self, attempt: Attempt, now: Millis) {
+        self.await_end(Pending { attempt, at: now, until: now + ABANDONED_WAIT_MS }, now);
     }
 
-    fn await_end(&mut self, lost: Lost, now: Millis) {
-        self.lost.retain(|lost| now < lost.until);
-        if self.lost.len() >= LOST_MAX {
-            self.lost.pop_front();
+    fn await_end(&mut self, pending: Pending, now: Millis) {
+        self.pending.retain(|pending| now < pending.until);
+        if self.pending.len() >= PENDING_MAX {
+            self.pending.pop_front();
         }
-        self.lost.push_back(lost);
+        self.pending.push_back(pending);
     }
 
-    /// A server has ended; the requests that were lost with it.
+    /// Records a server's end; returns the requests that were lost with it.
     pub fn record_server_end(&mut self, server: &Name, now: Millis) -> Vec<Fingerprint> {
-        self.ended.retain(|(ended, _)| ended != server);
-        if self.ended.len() >= ENDED_MAX {
-            self.ended.pop_front();
+        self.ended_servers.retain(|(ended, _)| ended != server);
+        if self.ended_servers.len() >= ENDED_SERVERS_MAX {
+            self.ended_servers.pop_front();
         }
-        self.ended.push_back((server.clone(), now));
-        let lost = std::mem::take(&mut self.lost);
-        let is_here = |lost: &Lost| lost.run.server == *server;
-        let (here, elsewhere): (VecDeque<Lost>, _) = lost.into_iter().partition(is_here);
-        self.lost = elsewhere;
+        self.ended_servers.push_back((server.clone(), now));
+        let pending = std::mem::take(&mut self.pending);
+        let is_on_server = |pending: &Pending| pending.attempt.server == *server;
+        let (on_server, others): (VecDeque<Pending>, _) =
+            pending.into_iter().partition(is_on_server);
+        self.pending = others;
         let mut requests = Vec::new();
-        for Lost { run, at, .. } in here.into_iter().filter(|lost| now < lost.until) {
-            self.crashed(&run, at, now);
-            requests.push(run.request);
+        for Pending { attempt, at, .. } in
+            on_server.into_iter().filter(|pending| now < pending.until)
+        {
+            self.record_crash(&attempt, at, now);
+            requests.push(attempt.request);
         }
         requests
     }
 
-    fn crashed(&mut self, run: &Attempt, at: Millis, now: Millis) {
-        self.note_crash(run.request.request, Kind::Request, run.crash(at), now);
-        let ends = self.ends_in_a_row.entry(run.request.service.clone()).or_default();
-        ends.note(&run.server);
-        let is_down = ends.count > DOWN_AFTER;
-        for part in run.request.parts.iter() {
-            match run.is_early {
-                // A server that ends of a part does so when it begins to answer.
+    fn record_crash(&mut self, attempt: &Attempt, at: Millis, now: Millis) {
+        self.add_crash(attempt.request.request, Kind::Request, attempt.crash(at), now);
+        let streak = self.crash_streaks.entry(attempt.request.service.clone()).or_default();
+        streak.record(&attempt.server);
+        let is_down = streak.length > CRASH_STREAK_MAX;
+        for part in attempt.request.parts.iter() {
+            match attempt.is_early {
+                // A part that crashes servers does so when they begin to answer.
                 false => self.clear(*part, Kind::Part, at),
-                true if is_down || self.was_answered_lately(*part, at) => {}
-                true => self.note_crash(*part, Kind::Part, run.crash(at), now),
+                true if is_down || self.was_answered_recently(*part, at) => {}
+                true => self.add_crash(*part, Kind::Part, attempt.crash(at), now),
             }
         }
     }
 
-    fn note_crash(&mut self, digest: Digest, kind: Kind, crash: Crash, now: Millis) {
-        let known = self.entry(digest, kind, now);
-        if known.suspect.add(crash) {
-            known.is_own = true;
-            known.unsent = Unsent { store: true, peers: true };
+    fn add_crash(&mut self, digest: Digest, kind: Kind, crash: Crash, now: Millis) {
+        let entry = self.entry(digest, kind, now);
+        if entry.suspect.add_crash(crash) {
+            entry.is_own = true;
+            entry.unsent = Unsent { store: true, peers: true };
         }
     }
 
-    /// A server has answered it.
+    /// Records a server's answer, which clears the request, and its parts if the answer is whole.
     pub fn record_answer(&mut self, request: &Fingerprint, answer: Answer, now: Millis) {
         if answer == Answer::Unframed {
             return;
         }
-        self.lost.retain(|lost| lost.run.request.request != request.request);
+        self.pending.retain(|pending| pending.attempt.request.request != request.request);
         self.clear(request.request, Kind::Request, now);
-        self.ends_in_a_row.remove(&request.service);
+        self.crash_streaks.remove(&request.service);
         if answer == Answer::Whole {
             request.parts.iter().for_each(|part| self.clear(*part, Kind::Part, now));
         }
     }
 
     fn clear(&mut self, digest: Digest, kind: Kind, now: Millis) {
-        self.recent_mut(kind).record_answer(digest, now);
-        if let Some(known) = self.known.get_mut(&digest) {
-            // Once in a while is enough: a request that comes often is answered often.
-            let is_cleared = known.suspect.crashes.is_empty();
-            if known.suspect.clear(now) && !is_cleared {
-                known.is_own = true;
-                known.unsent = Unsent { store: true, peers: true };
+        self.answers_mut(kind).record_answer(digest, now);
+        if let Some(entry) = self.entries.get_mut(&digest) {
+            // Only an answer that removes crashes is shared: a frequent request is answered often.
+            let is_cleared = entry.suspect.crashes.is_empty();
+            if entry.suspect.record_answer(now) && !is_cleared {
+                entry.is_own = true;
+                entry.unsent = Unsent { store: true, peers: true };
             }
         }
     }
 
-    fn recent_mut(&mut self, kind: Kind) -> &mut RecentAnswers {
+    fn answers_mut(&mut self, kind: Kind) -> &mut RecentAnswers {
         match kind {
-            Kind::Request => &mut self.recent,
-            Kind::Part => &mut self.recent_parts,
+            Kind::Request => &mut self.answered_requests,
+            Kind::Part => &mut self.answered_parts,
         }
     }
 
-    fn was_answered_lately(&self, part: Digest, now: Millis) -> bool {
-        self.recent_parts.answered_at(part).is_some_and(|at| now.since(at) < CLEARED_MS)
+    fn was_answered_recently(&self, part: Digest, now: Millis) -> bool {
+        self.answered_parts.answered_at(part).is_some_and(|at| now.since(at) < CLEARED_MS)
     }
 
-    /// Something was learnt of a request or part, with times of this host's clock; whether it is news.
-    pub fn learn(&mut self, heard: &Suspect, source: Source, now: Millis) -> bool {
-        // An answer matters to nobody until something speaks against the request.
-        let matters = !heard.crashes.is_empty() || self.known.contains_key(&heard.digest);
-        let known = self.entry(heard.digest, heard.kind, now);
-        let answered_here = known.suspect.answered_at;
-        let cleared = heard.answered_at.is_some_and(|at| known.suspect.clear(at));
-        let added =
-            heard.crashes.iter().filter(|crash| known.suspect.add((*crash).clone())).count();
+    /// Merges a suspect received from elsewhere, with times of this host's clock; returns whether
+    /// it contained something new.
+    pub fn learn(&mut self, received: &Suspect, source: Source, now: Millis) -> bool {
+        // Answers matter only for requests that something speaks against.
+        let matters = !received.crashes.is_empty() || self.entries.contains_key(&received.digest);
+        let entry = self.entry(received.digest, received.kind, now);
+        let own_answered_at = entry.suspect.answered_at;
+        let cleared = received.answered_at.is_some_and(|at| entry.suspect.record_answer(at));
+        let added = received
+            .crashes
+            .iter()
+            .filter(|crash| entry.suspect.add_crash((*crash).clone()))
+            .count();
         let is_news = matters && (cleared || added > 0);
-        known.is_shared |= is_news;
-        known.unsent.peers |= is_news && source == Source::Store;
-        // Who suspects it does not know that it was answered here.
-        let is_answer_news = answered_here
-            .filter(|at| !heard.crashes.is_empty() && now.since(*at) < CLEARED_MS)
-            .is_some_and(|at| heard.answered_at.is_none_or(|known| at > known + SAME_MS));
+        entry.is_shared |= is_news;
+        entry.unsent.peers |= is_news && source == Source::Store;
+        // Hosts that suspect the request don't know that it was answered here.
+        let is_answer_news = own_answered_at
+            .filter(|at| !received.crashes.is_empty() && now.since(*at) < CLEARED_MS)
+            .is_some_and(|at| received.answered_at.is_none_or(|known| at > known + SAME_ANSWER_MS));
         if is_answer_news {
-            known.is_own = true;
-            known.is_shared = true;
-            known.unsent.peers = true;
-            known.unsent.store |= source == Source::Store;
+            entry.is_own = true;
+            entry.is_shared = true;
+            entry.unsent.peers = true;
+            entry.unsent.store |= source == Source::Store;
         }
         is_news
     }
 
-    /// What is to be done with a request, and why.
+    /// Judges a request by all that the host knows of it and of other suspects.
     #[must_use]
     pub fn judge(&self, request: &Fingerprint, now: Millis) -> Judgement {
-        let all = self.known.values().map(|known| &known.suspect);
+        let all = self.entries.values().map(|entry| &entry.suspect);
         judge::judge(request, |digest| self.suspect(digest), all, now)
     }
 
-    /// What is to be done with a request, by what is known of it alone.
+    /// The verdict on a request or part by its own crashes alone.
     #[must_use]
     pub fn verdict(&self, digest: Digest, now: Millis) -> Verdict {
-        self.known.get(&digest).map_or(Verdict::Run, |known| known.suspect.verdict(now))
+        self.entries.get(&digest).map_or(Verdict::Run, |entry| entry.suspect.verdict(now))
     }
 
-    /// What is known of a request.
+    /// What the host knows of a request or part; none if nothing.
     #[must_use]
     pub fn suspect(&self, digest: Digest) -> Option<&Suspect> {
-        self.known.get(&digest).map(|known| &known.suspect)
+        self.entries.get(&digest).map(|entry| &entry.suspect)
     }
 
-    /// Whether somebody may have to be notified of something, now or soon.
+    /// Whether something is to be sent to peers or the store, now or soon.
     #[must_use]
     pub fn has_unsent(&self) -> bool {
-        self.known.values().any(|known| known.unsent.store || known.unsent.peers)
+        self.entries.values().any(|entry| entry.unsent.store || entry.unsent.peers)
     }
 
-    /// What the other hosts of the failure domain are to be notified of now.
+    /// Takes the suspects to send to the peers of the failure domain now, the most urgent first.
     pub fn take_for_peers(&mut self, now: Millis) -> Vec<Suspect> {
-        self.settle(now);
-        let due = self.known.values_mut().filter(|known| known.unsent.peers && is_due(known, now));
-        let mut due: Vec<&mut Known> = due.collect();
-        due.sort_by_key(|known| std::cmp::Reverse(known.urgency(now)));
-        let due = due.into_iter().take(SHARED_MAX).map(|known| {
-            known.unsent.peers = false;
-            known.is_shared = true;
-            known.suspect.clone()
+        self.prune(now);
+        let due = self
+            .entries
+            .values_mut()
+            .filter(|entry| entry.unsent.peers && should_share(entry, now));
+        let mut due: Vec<&mut Entry> = due.collect();
+        due.sort_by_key(|entry| std::cmp::Reverse(entry.urgency(now)));
+        let due = due.into_iter().take(SHARED_SUSPECTS_MAX).map(|entry| {
+            entry.unsent.peers = false;
+            entry.is_shared = true;
+            entry.suspect.clone()
         });
         due.collect()
     }
 
-    /// What this host's row in the store is to say now; none if it stays as it is. The newest come
-    /// first where there are too many.
+    /// Takes the new content of this host's row in the store; none if the row stays as it is. If
+    /// there are too many suspects for a row, the most urgent ones are kept.
     pub fn take_store_row(&mut self, now: Millis) -> Option<Vec<Suspect>> {
-        self.settle(now);
-        let mut due = self.known.values().filter(|known| known.unsent.store);
-        if !due.any(|known| is_due(known, now)) {
+        self.prune(now);
+        let mut due = self.entries.values().filter(|entry| entry.unsent.store);
+        if !due.any(|entry| should_share(entry, now)) {
             return None;
         }
-        let own = self.known.values_mut().filter(|known| known.is_own && is_due(known, now));
-        let mut own: Vec<&mut Known> = own.collect();
-        own.sort_by_key(|known| std::cmp::Reverse(known.urgency(now)));
-        let own = own.into_iter().map(|known| {
-            known.unsent.store = false;
-            known.is_shared = true;
-            known.suspect.clone()
+        let own =
+            self.entries.values_mut().filter(|entry| entry.is_own && should_share(entry, now));
+        let mut own: Vec<&mut Entry> = own.collect();
+        own.sort_by_key(|entry| std::cmp::Reverse(entry.urgency(now)));
+        let own = own.into_iter().map(|entry| {
+            entry.unsent.store = false;
+            entry.is_shared = true;
+            entry.suspect.clone()
         });
         let mut own: Vec<Suspect> = own.collect();
-        own.truncate(SHARED_MAX);
+        own.truncate(SHARED_SUSPECTS_MAX);
         Some(own)
     }
 
-    /// The store did not take this host's row.
+    /// Marks the suspects of a row that the store did not accept, so that it is written again.
     pub fn mark_unsent(&mut self, row: &[Suspect]) {
         for suspect in row {
-            if let Some(known) = self.known.get_mut(&suspect.digest) {
-                known.unsent.store = true;
+            if let Some(entry) = self.entries.get_mut(&suspect.digest) {
+                entry.unsent.store = true;
             }
         }
     }
 
-    /// The store may have lost this host's row.
+    /// Marks the suspects of this host's row, which the store may have lost, so that it is written
+    /// again.
     pub fn mark_own_unsent(&mut self) {
-        for known in self.known.values_mut().filter(|known| known.is_own && known.is_shared) {
-            known.unsent.store = true;
+        for entry in self.entries.values_mut().filter(|entry| entry.is_own && entry.is_shared) {
+            entry.unsent.store = true;
         }
     }
 
-    /// What is held or sent by one host at a time, for a host that has just come; what most servers ended
-    /// under comes first.
+    /// The suspects that are on trial or held, for hosts that may not know them, such as one that
+    /// has just started; those with the most crashed servers first.
     #[must_use]
     pub fn suspects(&self, now: Millis) -> Vec<Suspect> {
-        let all = self.known.values().map(|known| &known.suspect);
+        let all = self.entries.values().map(|entry| &entry.suspect);
         let mut suspects: Vec<&Suspect> =
             all.filter(|suspect| suspect.verdict(now) != Verdict::Run).collect();
         suspects.sort_by_key(|s| std::cmp::Reverse((s.server_count(now), s.last_crash_at())));
-        suspects.into_iter().take(SHARED_MAX).cloned().collect()
+        suspects.into_iter().take(SHARED_SUSPECTS_MAX).cloned().collect()
     }
 
-    /// Forgets what is over, and does not wait to tell of what nobody needs to know.
-    fn settle(&mut self, now: Millis) {
-        self.known.retain(|_, known| !known.suspect.is_forgotten(now));
-        for known in self.known.values_mut() {
-            let is_cleared = known.suspect.crashes.is_empty() && !known.is_shared;
-            let waited =
-                known.suspect.last_crash_at().is_some_and(|last| now.since(last) > UNANSWERED_MS);
-            let is_minor = waited && !known.suspect.is_notable(now, UNANSWERED_MS);
-            if is_cleared || is_minor && !known.is_shared {
-                known.unsent = Unsent::default();
+    /// Removes expired suspects, and drops the pending updates that no other host needs.
+    fn prune(&mut self, now: Millis) {
+        self.entries.retain(|_, entry| !entry.suspect.is_expired(now));
+        for entry in self.entries.values_mut() {
+            let is_cleared = entry.suspect.crashes.is_empty() && !entry.is_shared;
+            let is_unanswered =
+                entry.suspect.last_crash_at().is_some_and(|last| now.since(last) > UNANSWERED_MS);
+            let is_minor = is_unanswered && !entry.suspect.is_worth_sharing(now, UNANSWERED_MS);
+            if is_cleared || is_minor && !entry.is_shared {
+                entry.unsent = Unsent::default();
             }
         }
     }
 
-    fn entry(&mut self, digest: Digest, kind: Kind, now: Millis) -> &mut Known {
-        if self.known.len() >= SUSPECTS_MAX && !self.known.contains_key(&digest) {
-            self.make_room(now);
+    fn entry(&mut self, digest: Digest, kind: Kind, now: Millis) -> &mut Entry {
+        if self.entries.len() >= SUSPECTS_MAX && !self.entries.contains_key(&digest) {
+            self.evict_least_suspect(now);
         }
-        let answered_at = self.recent_mut(kind).answered_at(digest);
-        self.known.entry(digest).or_insert_with(|| Known {
+        let answered_at = self.answers_mut(kind).answered_at(digest);
+        self.entries.entry(digest).or_insert_with(|| Entry {
             suspect: Suspect { kind, answered_at, ..Suspect::new(digest) },
             unsent: Unsent::default(),
             is_own: false,
@@ -380,19 +402,19 @@
         })
     }
 
-    /// Gives up the one that least speaks against. Many victims must not push out the one that ends
-    /// servers.
-    fn make_room(&mut self, now: Millis) {
-        let rank = |known: &Known| (known.suspect.server_count(now), known.suspect.last_crash_at());
-        let least = self.known.iter().min_by_key(|(_, known)| rank(known));
+    /// Evicts the suspect with the least evidence against it, so that many victims don't push out
+    /// the one that crashes servers.
+    fn evict_least_suspect(&mut self, now: Millis) {
+        let rank = |entry: &Entry| (entry.suspect.server_count(now), entry.suspect.last_crash_at());
+        let least = self.entries.iter().min_by_key(|(_, entry)| rank(entry));
         if let Some(digest) = least.map(|(digest, _)| *digest) {
-            self.known.remove(&digest);
+            self.entries.remove(&digest);
         }
     }
 }
 
-/// Whether others should know of it now.
-fn is_due(known: &Known, now: Millis) -> bool {
-    let was_cleared = known.is_shared && known.suspect.answered_at.is_some();
-    was_cleared || known.suspect.is_notable(now, UNANSWERED_MS)
+/// Whether other hosts should learn of the suspect, or of its being cleared, now.
+fn should_share(entry: &Entry, now: Millis) -> bool {
+    let was_cleared = entry.is_shared && entry.suspect.answered_at.is_some();
+    was_cleared || entry.suspect.is_worth_sharing(now, UNANSWERED_MS)
 }
