--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -286,7 +286,7 @@
 
 /// Whether other hosts may have declared a roll-out done, as far as a host can tell that only knows
 /// an earlier stage. A host that learnt of the order late believes that less time has passed, so
-/// the answer is yes from [`MOVE_FRACTION`] on.
+/// the answer is yes from when requests can begin to move.
 #[must_use]
 pub fn may_be_done(stage: Stage, elapsed: f64) -> bool {
     stage != Stage::Stopped && elapsed >= MOVE_FRACTION
--- a/crates/policy/src/evacuation.rs
+++ b/crates/policy/src/evacuation.rs
@@ -1,8 +1,9 @@
 //! Failure domains that operators have evacuated: their backend servers get no new requests.
 //!
-//! Orders come by a list that may be read late or from an old state. An order that has been heard of
-//! must not be taken for ended because an older list does not have it, nor come back by one that
-//! still has it: requests would go to servers that are being taken away.
+//! Hosts receive the operators' orders as entries of a list, which they may read late or in an old
+//! state. A known order must not end because an older state of the list lacks it: requests would go
+//! to servers that are being removed. Nor may a withdrawn order return with an older state that
+//! still has it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,53 +12,54 @@
 use crate::revision::Revision;
 
 domain! {
-    /// What a list says of one order.
+    /// A list's entry for one order.
     pub struct Entry {
-        /// Names the order.
+        /// Key of the order's row.
         pub key: Name,
-        /// Of its last change.
+        /// Revision of the order's last change.
         pub revision: Revision,
-        /// The failure domain that is to be evacuated; none if the order was taken back.
+        /// Failure domain to evacuate; none if the order was withdrawn.
         pub failure_domain: Option<Name>,
     }
 
-    /// What became of orders.
+    /// How entries changed which failure domains are evacuated.
     #[derive(Default)]
     pub struct Change {
-        /// Failure domains evacuated from now on.
+        /// Failure domains that are evacuated from now on.
         pub begun: Vec<Name>,
-        /// Those that take requests again.
+        /// Failure domains whose backend servers get new requests again.
         pub ended: Vec<Name>,
     }
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Order {
     revision: Revision,
     failure_domain: Option<Name>,
 }
 
-/// Orders as one host knows them.
+/// The orders that one host knows, and the failure domains that these evacuate.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
-    known: BTreeMap<Name, Known>,
+    orders: BTreeMap<Name, Order>,
     evacuated: BTreeSet<Name>,
 }
 
 impl Evacuations {
-    /// Takes changes of a list that were read at a revision, or all orders that it had then.
+    /// Applies entries of a list that was read at `revision`: all of its entries if `is_whole`,
+    /// else those that changed. Entries older than the known order are ignored.
     pub fn apply(&mut self, entries: &[Entry], revision: Revision, is_whole: bool) -> Change {
         if is_whole {
             self.end_missing(entries, revision);
         }
         for entry in entries {
-            let held = self.known.get(&entry.key);
-            if held.is_none_or(|held| held.revision < entry.revision) {
+            let known = self.orders.get(&entry.key);
+            if known.is_none_or(|known| known.revision < entry.revision) {
                 let (revision, failure_domain) = (entry.revision, entry.failure_domain.clone());
-                self.known.insert(entry.key.clone(), Known { revision, failure_domain });
+                self.orders.insert(entry.key.clone(), Order { revision, failure_domain });
             }
         }
-        let evacuated = self.known.values().filter_map(|known| known.failure_domain.clone());
+        let evacuated = self.orders.values().filter_map(|order| order.failure_domain.clone());
         let before = std::mem::replace(&mut self.evacuated, evacuated.collect());
         Change {
             begun: self.evacuated.difference(&before).cloned().collect(),
@@ -67,9 +69,9 @@
 
     fn end_missing(&mut self, entries: &[Entry], revision: Revision) {
         let listed: BTreeSet<&Name> = entries.iter().map(|entry| &entry.key).collect();
-        for (key, known) in &mut self.known {
-            if known.revision <= revision && !listed.contains(key) {
-                *known = Known { revision, failure_domain: None };
+        for (key, order) in &mut self.orders {
+            if order.revision <= revision && !listed.contains(key) {
+                *order = Order { revision, failure_domain: None };
             }
         }
     }
@@ -80,7 +82,7 @@
         self.evacuated.contains(failure_domain)
     }
 
-    /// All that are.
+    /// All evacuated failure domains.
     pub fn failure_domains(&self) -> impl Iterator<Item = &Name> {
         self.evacuated.iter()
     }
--- a/crates/policy/src/poison/registry.rs
+++ b/crates/policy/src/poison/registry.rs
@@ -202,7 +202,7 @@
         let is_down = streak.length > CRASH_STREAK_MAX;
         for part in attempt.request.parts.iter() {
             match attempt.is_early {
-                // A part that crashes servers does so when they begin to answer.
+                // A part crashes servers as they begin to answer, so a later crash clears it.
                 false => self.clear(*part, Kind::Part, at),
                 true if is_down || self.was_answered_recently(*part, at) => {}
                 true => self.add_crash(*part, Kind::Part, attempt.crash(at), now),
