--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,15 +1,15 @@
-//! Limits of accounts, retry budgets, and what may be tried again.
+//! Limits of accounts, retry budgets, and which requests may be retried.
 
 use policy::limit::{Limit, Usage, Verdict};
 use policy::retry::{self, Attempt, Budget};
 use policy::time::Millis;
 
-fn granted(usage: &mut Usage, limit: &Limit, entries: u32, now: u64) -> bool {
-    usage.acquire(limit, entries, 0.0, Millis(now)) == Verdict::Granted
+fn granted(usage: &mut Usage, limit: &Limit, entry_hosts: u32, now: u64) -> bool {
+    usage.acquire(limit, entry_hosts, 0.0, Millis(now)) == Verdict::Granted
 }
 
 #[test]
-fn take_rate_is_divided_by_entry_hosts() {
+fn acquire_rate_is_divided_by_entry_hosts() {
     let limit = Limit { requests_per_second: 60.0, in_flight: 0 };
     let mut usage = Usage::default();
     let granted = (0..10_000).filter(|ms| granted(&mut usage, &limit, 6, *ms)).count();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn take_in_flight_is_divided_and_released() {
+fn acquire_in_flight_is_divided_and_released() {
     let limit = Limit { requests_per_second: 0.0, in_flight: 12 };
     let mut usage = Usage::default();
     assert!((0..2).all(|_| granted(&mut usage, &limit, 6, 0)));
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn take_without_limit() {
+fn acquire_without_limit_is_granted() {
     let mut usage = Usage::default();
     assert!((0..1000).all(|_| granted(&mut usage, &Limit::default(), 6, 0)));
 }
 
 #[test]
-fn take_refused_says_when() {
+fn acquire_refused_says_when_to_retry() {
     let limit = Limit { requests_per_second: 1.0, in_flight: 0 };
     let mut usage = Usage::default();
     assert!(granted(&mut usage, &limit, 1, 0));
@@ -43,9 +43,10 @@
     assert!(granted(&mut usage, &limit, 1, retry_after_ms));
 }
 
-/// A pool that fails every call gets at most a tenth more calls by retries, after the burst.
+/// Retries add at most a tenth to the calls of a pool that fails every call, beyond the first
+/// burst.
 #[test]
-fn budget_bounds_retries() {
+fn take_bounds_retries() {
     let mut budget = Budget::default();
     let retries = (0..1000)
         .filter(|_| {
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn take_both_takes_none_if_one_is_empty() {
+fn take_both_takes_neither_if_one_is_empty() {
     let (mut full, mut empty) = (Budget::default(), Budget::default());
     while empty.take() {}
     let before = full;
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn may_try_elsewhere_cases() {
+fn may_try_elsewhere_by_state_of_the_attempt() {
     let left = Attempt { left_ms: 1_000, expected_ms: 500, ..Attempt::default() };
     let written = Attempt { first_byte_written: true, ..left };
     let repeatable = Attempt { may_repeat: true, ..written };
--- a/crates/policy/tests/sample.rs
+++ b/crates/policy/tests/sample.rs
@@ -1,13 +1,13 @@
-//! Which of ten to ten thousand servers are looked at.
+//! Samples of up to ten thousand servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use policy::place::mix;
 use policy::sample::{FAR_MAX, NEAR_MAX, draw, successor};
 
-/// Guards against requests whose cost grows with the servers.
+/// Guards against requests whose cost grows with the number of servers.
 #[test]
-fn draw_looks_do_not_grow_with_the_servers() {
+fn draw_is_bounded_for_any_number_of_servers() {
     for count in [0, 1, 10, 100, 128, 129, 1_000, 10_000] {
         for seed in 0..50 {
             let drawn: BTreeSet<usize> = draw(count, NEAR_MAX, seed).collect();
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn draw_few_are_all_in_their_order() {
+fn draw_few_returns_all_in_order() {
     assert!(draw(9, 128, 7).eq(0..9));
 }
 
 #[test]
-fn draw_every_server_has_its_turn() {
+fn draw_chooses_all_servers_about_equally() {
     let mut drawn = vec![0_u32; 1_000];
     for seed in 0..2_000 {
         draw(1_000, 128, seed).for_each(|index| drawn[index] += 1);
@@ -37,16 +37,17 @@
     servers.map(mix).collect::<BTreeSet<_>>().into_iter().collect()
 }
 
-/// Guards against caches that are lost for all subjects when one server goes.
+/// Guards against caches that become useless for all subjects when one server is removed.
 #[test]
-fn successor_changes_for_few_subjects_with_a_server() {
+fn successor_changes_for_few_subjects_when_a_server_is_removed() {
     assert_eq!(successor(&[], 5), None);
     let (all, without) = (places(0..1_000), places((0..1_000).filter(|server| *server != 77)));
     let chosen = |places: &[u64], subject| places[successor(places, mix(subject)).unwrap()];
     let changed = (0..5_000).filter(|subject| chosen(&all, *subject) != chosen(&without, *subject));
     let changed = changed.count();
     assert!(changed < 50, "{changed}");
-    let mut of_server: BTreeMap<u64, u32> = BTreeMap::new();
-    (0..50_000).for_each(|subject| *of_server.entry(chosen(&all, subject)).or_default() += 1);
-    assert!(of_server.values().all(|subjects| *subjects < 1_000));
+    let mut subjects_by_server: BTreeMap<u64, u32> = BTreeMap::new();
+    (0..50_000)
+        .for_each(|subject| *subjects_by_server.entry(chosen(&all, subject)).or_default() += 1);
+    assert!(subjects_by_server.values().all(|subjects| *subjects < 1_000));
 }
