--- a/crates/policy/tests/intake.rs
+++ b/crates/policy/tests/intake.rs
@@ -1,4 +1,4 @@
-//! What servers say of how much they take, asked for in one place.
+//! Restrictions that backend servers name: limits, pauses, and that they are leaving.
 
 use fuzz::check;
 use policy::intake::{Intake, Statement, Verdict};
@@ -14,24 +14,24 @@
     Statement { per_second: Some(per_second), ..Statement::default() }
 }
 
-/// Guards against a leave that an older answer, or one of a request sent before, takes back.
+/// Guards against an older answer revoking a notice that the server is leaving.
 #[test]
-fn leave_is_not_taken_back() {
+fn record_answer_never_revokes_leaving() {
     check(300, |answers: &Vec<(u16, bool)>| {
         let mut intake = Intake::default();
-        let mut news = 0;
+        let mut notices = 0;
         let mut now = START;
         for (pause, is_leaving) in answers {
             now = now + u64::from(*pause);
-            let said = Statement { is_leaving: *is_leaving, ..Statement::default() };
-            news += u32::from(
+            let statement = Statement { is_leaving: *is_leaving, ..Statement::default() };
+            notices += u32::from(
                 intake
-                    .record_answer(&said, now - u64::from(pause % 500), 0.0, now)
+                    .record_answer(&statement, now - u64::from(pause % 500), 0.0, now)
                     .has_begun_leaving,
             );
         }
         let has_left = answers.iter().any(|(_, is_leaving)| *is_leaving);
-        assert_eq!(news, u32::from(has_left));
+        assert_eq!(notices, u32::from(has_left));
         assert_eq!(intake.is_leaving(), has_left);
         let verdict = intake.verdict(Some(&ALONE), now + 100_000);
         assert_eq!(verdict, if has_left { Verdict::Leaving } else { Verdict::Open });
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn verdict_leave_goes_before_a_limit() {
+fn verdict_leaving_takes_precedence_over_a_limit() {
     let mut intake = Intake::default();
     intake.record_answer(&limited(100.0), START, 0.0, START);
     intake.record_answer(&LEAVING, START, 0.0, START + 10);
@@ -47,9 +47,9 @@
     assert!(intake.is_restricted(START + 60_000));
 }
 
-/// Guards against a host that takes all of a limit before it knows who else is there.
+/// Guards against a host that uses all of a limit before it knows which other hosts exist.
 #[test]
-fn verdict_limit_needs_a_place() {
+fn verdict_limit_without_a_place_is_limited() {
     let mut intake = Intake::default();
     assert_eq!(intake.verdict(None, START), Verdict::Open);
     intake.record_answer(&limited(5.0), START, 0.0, START);
@@ -65,26 +65,27 @@
     Statement { pause_ms: Some(ms), ..Statement::default() }
 }
 
-/// Guards against requests in a pause, whatever else is said meanwhile and in whichever order.
+/// Guards against requests during a pause, whatever other answers arrive meanwhile and in any
+/// order.
 #[test]
-fn pause_is_kept_to_its_end() {
+fn verdict_is_paused_until_the_end_of_a_pause() {
     check(500, |steps: &Vec<(u16, u8, u8)>| {
         let mut intake = Intake::default();
         let (mut now, mut end) = (START, START);
         for (step, kind, draw) in steps {
             now = now + u64::from(*step);
-            let said = match kind % 4 {
+            let statement = match kind % 4 {
                 0 => pause(u64::from(*step) * 2),
                 1 => limited(1_000.0),
                 _ => Statement::default(),
             };
             let sent = now - u64::from(step % 400);
-            if let Some(ms) = said.pause_ms.filter(|ms| *ms > 0) {
+            if let Some(ms) = statement.pause_ms.filter(|ms| *ms > 0) {
                 end = end.max(now + ms);
             }
-            // A server in its pause answers what was sent before only.
-            if said.pause_ms.is_some() || sent < end {
-                intake.record_answer(&said, sent.min(end - 1), f64::from(*draw) / 255.0, now);
+            // During a pause a server answers only requests that were sent before it.
+            if statement.pause_ms.is_some() || sent < end {
+                intake.record_answer(&statement, sent.min(end - 1), f64::from(*draw) / 255.0, now);
             }
             if now < end {
                 assert!(matches!(intake.verdict(Some(&ALONE), now), Verdict::Paused(_)));
@@ -93,10 +94,10 @@
     });
 }
 
-/// Guards against a server that gets everything at once when its pause ends, and against one that is
-/// left alone since its trial got no answer.
+/// Guards against a server that gets all requests at once when its pause ends, and against one that
+/// gets none because its trial was never answered.
 #[test]
-fn pause_ends_with_one_request_that_is_answered() {
+fn verdict_after_a_pause_allows_one_trial_until_answered() {
     let mut intake = Intake::default();
     assert!(intake.record_answer(&pause(3_000), START, 0.0, START).has_begun_pause);
     let end = START + 3_000;
@@ -113,9 +114,9 @@
     assert!(!intake.is_restricted(end + 1_040));
 }
 
-/// Guards against 300 hosts, turned away together, that return together.
+/// Guards against 300 hosts that are rejected together and return together.
 #[test]
-fn pause_ends_at_another_time_for_each_host() {
+fn verdict_ends_a_pause_at_another_time_for_each_host() {
     let ends = (0..300_u32).map(|host| {
         let mut intake = Intake::default();
         intake.record_answer(&pause(2_000), START, f64::from(host) / 300.0, START);
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn from_seconds_numbers_only() {
+fn parse_seconds_accepts_numbers_only() {
     assert_eq!(parse_seconds("3"), Some(3_000));
     assert_eq!(parse_seconds(" 0.25 "), Some(250));
     assert_eq!(parse_seconds("0"), Some(0));
@@ -143,18 +144,18 @@
     }
 }
 
-/// Guards against a pause of zero, which is none.
+/// Guards against a pause of zero length counting as a pause.
 #[test]
-fn pause_of_zero_is_none() {
+fn verdict_pause_of_zero_is_open() {
     let mut intake = Intake::default();
     assert!(!intake.record_answer(&pause(0), START, 0.5, START).has_begun_pause);
     assert_eq!(intake.verdict(Some(&ALONE), START), Verdict::Open);
 }
 
-/// Guards against a request that is sent though its server has asked for a pause since it was chosen, and
-/// against a trial that keeps itself from being sent.
+/// Guards against a request that is sent although its server asked for a pause after it was chosen,
+/// and against a trial that blocks itself.
 #[test]
-fn is_closed_in_a_pause_and_not_by_a_trial() {
+fn is_closed_by_a_pause_and_not_by_a_trial() {
     let mut intake = Intake::default();
     intake.record_answer(&pause(1_000), START, 0.0, START);
     assert!(intake.is_closed(START + 999));
@@ -165,9 +166,9 @@
     assert!(intake.is_closed(START + 1_001));
 }
 
-/// Guards against a report that was asked for before the server said that it leaves.
+/// Guards against an outdated report that revokes a newer notice that the server is leaving.
 #[test]
-fn reported_only_a_newer_report_takes_a_leave_back() {
+fn apply_report_revokes_leaving_only_if_newer() {
     let mut intake = Intake::default();
     intake.record_answer(&LEAVING, START, 0.0, START + 100);
     intake.apply_report(false, START + 50, START + 2_000);
--- a/crates/policy/tests/rejection.rs
+++ b/crates/policy/tests/rejection.rs
@@ -1,4 +1,5 @@
-//! Servers that fall over when they turn away too many requests, before hosts that all want their room.
+//! Simulation of servers that fail when they reject too many requests, under load from many hosts
+//! that compete for their slots.
 
 use std::collections::BinaryHeap;
 
@@ -9,14 +10,15 @@
 
 const DOMAINS: usize = 4;
 const SLOTS: u32 = 6;
-/// Rejected requests a second that a server tolerates.
+/// Rejected requests per second that a server tolerates.
 const TOLERATED: f64 = 4.0;
 const SERVICE_MS: u64 = 20;
-/// Hosts keep to it from then on, in milliseconds.
+/// Time from which on hosts must stay within what servers tolerate, in milliseconds.
 const CONTACT_MS: u64 = 3_000;
+/// Length of the simulation, in milliseconds.
 const TIME_MS: u64 = 6_000;
-/// Servers of other failure domains that a request looks at.
-const LOOKED_FAR: usize = 64;
+/// Servers of other failure domains that are considered for a request.
+const CONSIDERED_FAR_MAX: usize = 64;
 const START: u64 = 1_000_000;
 
 /// A uniform draw from 0 to 1.
@@ -25,31 +27,31 @@
     (*seed >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// Hosts before servers of which each failure domain has the same part.
+/// Hosts and servers, spread evenly over the failure domains, under a load.
 struct Fleet {
     hosts: usize,
     servers: usize,
-    /// Requests for each that the servers can answer.
+    /// Requests as a multiple of what the servers can answer.
     load: f64,
 }
 
-/// What came of a load.
+/// Result of a simulation.
 #[derive(Debug)]
 struct Outcome {
-    /// Requests that one server turned away in one second, at most.
+    /// Most requests that one server rejected in one second.
     rejected: usize,
-    /// Part of what the servers can do that was done.
+    /// Fraction of the servers' capacity that was used.
     used: f64,
 }
 
 impl Fleet {
-    /// Where each host stands at a server.
+    /// Each host's place among the hosts of a server.
     fn places(&self, server: usize) -> Vec<Place> {
-        let turn = |host: &usize| mix((*host ^ (server << 20)) as u64);
+        let rank = |host: &usize| mix((*host ^ (server << 20)) as u64);
         let mut places = vec![None; self.hosts];
         for domain in 0..DOMAINS {
             let mut hosts: Vec<usize> = (domain..self.hosts).step_by(DOMAINS).collect();
-            hosts.sort_by_key(turn);
+            hosts.sort_by_key(rank);
             for (before, host) in hosts.iter().enumerate() {
                 let is_near = domain == server % DOMAINS;
                 let place = Place { before, hosts: hosts.len(), is_near, domains: DOMAINS };
@@ -59,9 +61,9 @@
         places.into_iter().flatten().collect()
     }
 
-    /// Requests come to hosts at random; each looks at the servers of its failure domain and some others,
-    /// and takes the first that is open.
-    fn play(&self, mut seed: u64) -> Outcome {
+    /// Sends requests to random hosts. Each host considers the servers of its failure domain and
+    /// some others, and sends the request to the first that is open.
+    fn simulate(&self, mut seed: u64) -> Outcome {
         let places: Vec<Vec<Place>> = (0..self.servers).map(|server| self.places(server)).collect();
         let mut rooms = vec![vec![Room::default(); self.servers]; self.hosts];
         let mut own = vec![vec![0_u32; self.servers]; self.hosts];
@@ -89,7 +91,7 @@
             let all = (0..self.servers).map(|n| (first + n) % self.servers);
             let (near, far): (Vec<_>, Vec<_>) =
                 all.partition(|server| places[*server][host].is_near);
-            for server in near.into_iter().chain(far.into_iter().take(LOOKED_FAR)) {
+            for server in near.into_iter().chain(far.into_iter().take(CONSIDERED_FAR_MAX)) {
                 let place = &places[server][host];
                 let load = Load {
                     slots: SLOTS,
@@ -119,20 +121,21 @@
             let windows = cells[after..].windows(10);
             windows.map(|window| window.iter().sum()).max().unwrap_or(0)
         };
-        let possible = (TIME_MS - CONTACT_MS) * (self.servers as u64) * u64::from(SLOTS);
+        let capacity = (TIME_MS - CONTACT_MS) * (self.servers as u64) * u64::from(SLOTS);
         Outcome {
             rejected: rejected.iter().map(in_a_second).max().unwrap_or(0),
-            used: (done * SERVICE_MS) as f64 / possible as f64,
+            used: (done * SERVICE_MS) as f64 / capacity as f64,
         }
     }
 }
 
-/// Guards against servers that fall over since each of many hosts sends what alone would be borne.
+/// Guards against servers that fail because each of many hosts sends as much as one host alone
+/// could.
 #[test]
-fn server_turns_away_no_more_than_it_tolerates_from_any_number_of_hosts() {
+fn rejections_stay_within_tolerance_for_any_number_of_hosts() {
     for (hosts, servers) in [(1, 4), (6, 4), (30, 12), (300, 100), (1_000, 100)] {
         for load in [0.5, 3.0] {
-            let outcome = Fleet { hosts, servers, load }.play(hosts as u64);
+            let outcome = Fleet { hosts, servers, load }.simulate(hosts as u64);
             println!("{hosts} hosts, {servers} servers, load {load}: {outcome:?}");
             assert!(
                 outcome.rejected as f64 <= TOLERATED,
@@ -142,17 +145,17 @@
     }
 }
 
-/// Guards against servers that are spared until nobody is served.
+/// Guards against hosts that spare servers so much that few requests are answered.
 #[test]
-fn server_is_used_under_overload() {
+fn servers_are_used_under_overload() {
     for (hosts, servers) in [(4, 4), (30, 12), (300, 100)] {
-        let outcome = Fleet { hosts, servers, load: 3.0 }.play(7);
+        let outcome = Fleet { hosts, servers, load: 3.0 }.simulate(7);
         assert!(outcome.used >= 0.5, "{hosts} hosts: {outcome:?}");
     }
 }
 
 #[test]
-fn part_of_all_hosts_fills_the_places() {
+fn quota_of_all_hosts_adds_up_to_the_slots() {
     for hosts in [1, 2, 3, 7, 50] {
         for slots in [2, 6, 64] {
             let all: u32 = (0..DOMAINS)
@@ -161,13 +164,13 @@
                     quota(slots, &Place { before, hosts, is_near: domain == 0, domains: DOMAINS })
                 })
                 .sum();
-            assert_eq!(all, slots, "{hosts} hosts a domain, {slots} places");
+            assert_eq!(all, slots, "{hosts} hosts per failure domain, {slots} slots");
         }
     }
 }
 
 #[test]
-fn heard_without_it_ends_it_unless_it_is_older() {
+fn record_answer_without_a_number_ends_tolerance_unless_older() {
     let mut tolerance = Tolerance::default();
     assert!(!tolerance.record_answer(None, Millis(10), Millis(20)));
     assert!(tolerance.record_answer(Some(3.0), Millis(20), Millis(30)));
