--- a/crates/policy/src/canary.rs
+++ b/crates/policy/src/canary.rs
@@ -207,9 +207,9 @@
 
     /// Removes an answer that was counted before.
     pub fn retract(&mut self, outcome: Outcome) {
-        let mut one = Self::default();
-        one.record(outcome);
-        *self = self.minus(one);
+        let mut removed = Self::default();
+        removed.record(outcome);
+        *self = self.minus(removed);
     }
 
     /// The answers that are not among `others`, which are a part of these.
@@ -401,10 +401,10 @@
     let answers: u32 = evidence.iter().map(|route| route.new.answers).sum();
     // Slow answers under peak load prove nothing, so they don't count as answers either: otherwise
     // a version that turns slow during its trial would pass as quick by its few earlier answers.
-    let telling: u32 = evidence.iter().map(|route| route.new.answers - route.peak.slow).sum();
+    let conclusive: u32 = evidence.iter().map(|route| route.new.answers - route.peak.slow).sum();
     let is_clean =
         evidence.iter().all(|route| route.new.bad + route.new.minus(route.peak).slow == 0)
-            && telling >= ANSWERS_MIN;
+            && conclusive >= ANSWERS_MIN;
     let (failures, slowness) =
         (worst_route_weight(evidence, failure_weight), worst_route_weight(evidence, slow_weight));
     // A trial brings few answers; a fault on all routes shows first in their sum.
--- a/crates/policy/tests/loaded.rs
+++ b/crates/policy/tests/loaded.rs
@@ -20,14 +20,14 @@
 fn next_fills_one_server_before_another() {
     for draw in [0.0, 0.5, 0.999] {
         assert_eq!(peak::next(&[server(0), server(0)], Some(20.0), draw), Some(0));
-        let half = [server(25), server(0)];
+        let half_full = [server(25), server(0)];
         assert_eq!(
-            peak::next(&half, Some(25.0), draw),
+            peak::next(&half_full, Some(25.0), draw),
             Some(0),
             "more than half of its slots are in use"
         );
-        let taken = [server(40), server(3)];
-        assert_eq!(peak::next(&taken, Some(25.0), draw), Some(1), "only some slots are left");
+        let nearly_full = [server(40), server(3)];
+        assert_eq!(peak::next(&nearly_full, Some(25.0), draw), Some(1), "only some slots are left");
         assert_eq!(peak::next(&[server(40), server(40)], Some(25.0), draw), None);
         assert_eq!(peak::next(&[], Some(25.0), draw), None);
     }
@@ -64,8 +64,8 @@
         seed = mix(seed);
         (seed >> 11) as f64 / (1_u64 << 53) as f64
     };
-    let mut believed = vec![[Engine { slots: SLOTS, ..Engine::default() }; SERVERS]; count];
-    let mut heard_at = vec![[0.0; SERVERS]; count];
+    let mut views = vec![[Engine { slots: SLOTS, ..Engine::default() }; SERVERS]; count];
+    let mut reported_at = vec![[0.0; SERVERS]; count];
     let mut under_way: Vec<(f64, usize, usize)> = Vec::new();
     let (mut now, mut all, mut rejected, mut most) = (0.0, 0.0, 0.0, 0);
     while now < 10_000.0 {
@@ -77,15 +77,15 @@
             let (ended, host, server) = under_way.swap_remove(index);
             let own = |one: &&(f64, usize, usize)| (one.1, one.2) == (host, server);
             let own = under_way.iter().filter(own).count() as u32;
-            let belief = &mut believed[host][server];
-            (belief.own, belief.own_then) = (own, own);
-            belief.reported = at(&under_way, server) as u32;
-            heard_at[host][server] = ended;
+            let view = &mut views[host][server];
+            (view.own, view.own_then) = (own, own);
+            view.reported = at(&under_way, server) as u32;
+            reported_at[host][server] = ended;
         }
         let host = (draw() * count as f64) as usize;
-        let mut seen = believed[host];
-        for (engine, heard) in seen.iter_mut().zip(heard_at[host]) {
-            engine.report_age_ms = (heard > 0.0).then_some((now - heard) as u64);
+        let mut seen = views[host];
+        for (engine, reported_at) in seen.iter_mut().zip(reported_at[host]) {
+            engine.report_age_ms = (reported_at > 0.0).then_some((now - reported_at) as u64);
         }
         let Some(server) = peak::next(&seen, expected, draw()) else { continue };
         all += 1.0;
@@ -93,7 +93,7 @@
             rejected += 1.0;
             continue;
         }
-        believed[host][server].own += 1;
+        views[host][server].own += 1;
         under_way.push((now + SERVICE_MS, host, server));
         most = most.max(at(&under_way, server));
     }
--- a/crates/policy/tests/parts.rs
+++ b/crates/policy/tests/parts.rs
@@ -1,5 +1,5 @@
-//! Parts of prompts that end the servers that begin to answer on them, their victims, and parts that
-//! only come with them.
+//! Parts of prompts that crash the servers that begin to answer them, their victims, and parts that
+//! only occur together with them.
 
 use policy::name::Name;
 use policy::poison::registry::Source;
@@ -10,174 +10,183 @@
 
 const START: Millis = Millis(1_000_000);
 const DEADLY: Digest = Digest(7);
-const BESIDE: Digest = Digest(8);
+const COMPANION: Digest = Digest(8);
 
-/// The only request with this number, with these parts.
+/// A request with a digest of its own and a prompt of these parts.
 fn request(number: u64, parts: &[Digest]) -> Fingerprint {
     let request = Fingerprint::from_request(Digest(1_000_000 + number)).with_parts(parts);
     Fingerprint { service: Name::from("pool"), ..request }
 }
 
-fn run(request: Fingerprint, server: u64) -> Attempt {
+fn attempt(request: Fingerprint, server: u64) -> Attempt {
     Attempt { request, server: Name::from(format!("server-{server}")), born: 0, is_early: true }
 }
 
-fn lose(book: &mut Registry, run: Attempt, now: Millis) {
-    let server = run.server.clone();
-    book.record_loss(run, now);
-    book.record_server_end(&server, now);
+fn lose(registry: &mut Registry, attempt: Attempt, now: Millis) {
+    let server = attempt.server.clone();
+    registry.record_loss(attempt, now);
+    registry.record_server_end(&server, now);
 }
 
-/// Requests of which no two are alike are lost with one server each.
-fn lose_each(book: &mut Registry, parts: &[Digest], servers: std::ops::Range<u64>) {
+/// Records that a different request with these parts is lost with each of the servers.
+fn lose_each(registry: &mut Registry, parts: &[Digest], servers: std::ops::Range<u64>) {
     for server in servers {
-        lose(book, run(request(server, parts), server), START + server);
+        lose(registry, attempt(request(server, parts), server), START + server);
     }
 }
 
-fn verdict(book: &Registry, number: u64, parts: &[Digest], now: Millis) -> Verdict {
-    book.judge(&request(number, parts), now).verdict
+fn verdict(registry: &Registry, number: u64, parts: &[Digest], now: Millis) -> Verdict {
+    registry.judge(&request(number, parts), now).verdict
 }
 
 #[test]
 fn judge_holds_requests_with_a_part_that_three_servers_ended_under() {
-    let mut book = Registry::default();
-    lose_each(&mut book, &[DEADLY], 0..2);
-    assert_eq!(verdict(&book, 99, &[DEADLY], START + 10), Verdict::Run);
-    lose_each(&mut book, &[DEADLY], 2..3);
-    assert_eq!(verdict(&book, 99, &[Digest(1), DEADLY], START + 2), Verdict::Hold(60_000));
-    assert_eq!(verdict(&book, 99, &[Digest(1)], START + 2), Verdict::Run);
+    let mut registry = Registry::default();
+    lose_each(&mut registry, &[DEADLY], 0..2);
+    assert_eq!(verdict(&registry, 99, &[DEADLY], START + 10), Verdict::Run);
+    lose_each(&mut registry, &[DEADLY], 2..3);
+    assert_eq!(verdict(&registry, 99, &[Digest(1), DEADLY], START + 2), Verdict::Hold(60_000));
+    assert_eq!(verdict(&registry, 99, &[Digest(1)], START + 2), Verdict::Run);
 }
 
-/// Guards against sound requests refused for a part that all have: its answers speak for it.
+/// Guards against harmless requests being held for a part that all requests contain: its answers
+/// clear it.
 #[test]
-fn judge_holds_no_part_that_is_answered_elsewhere() {
-    let mut book = Registry::default();
-    book.record_answer(&request(1, &[BESIDE]), Answer::Whole, START - 5_000);
-    lose_each(&mut book, &[BESIDE, DEADLY], 0..5);
-    assert_eq!(verdict(&book, 99, &[BESIDE], START + 10), Verdict::Run);
-    assert!(matches!(verdict(&book, 99, &[BESIDE, DEADLY], START + 10), Verdict::Hold(_)));
+fn judge_holds_no_part_answered_in_other_requests() {
+    let mut registry = Registry::default();
+    registry.record_answer(&request(1, &[COMPANION]), Answer::Whole, START - 5_000);
+    lose_each(&mut registry, &[COMPANION, DEADLY], 0..5);
+    assert_eq!(verdict(&registry, 99, &[COMPANION], START + 10), Verdict::Run);
+    assert!(matches!(verdict(&registry, 99, &[COMPANION, DEADLY], START + 10), Verdict::Hold(_)));
 }
 
-/// Guards against a part held for good that never came without the deadly one: one request without that
-/// shows which it is.
+/// Guards against a harmless part being held for good because it always occurred with the deadly
+/// one: a trial of a request without the deadly part shows which one is the cause.
 #[test]
-fn judge_tries_a_request_that_has_one_of_two_parts_lost_together() {
-    let mut book = Registry::default();
-    lose_each(&mut book, &[BESIDE, DEADLY], 0..4);
+fn judge_allows_a_trial_of_one_of_two_parts_lost_together() {
+    let mut registry = Registry::default();
+    lose_each(&mut registry, &[COMPANION, DEADLY], 0..4);
     let now = START + 10;
     let trial = Verdict::Trial { servers: 2, alone_ms: 2_000 };
-    assert_eq!(verdict(&book, 99, &[BESIDE], now), trial);
-    assert!(matches!(verdict(&book, 99, &[BESIDE, DEADLY], now), Verdict::Hold(_)));
-    book.record_answer(&request(99, &[BESIDE]), Answer::Whole, now);
-    assert_eq!(verdict(&book, 100, &[BESIDE], now + 1), Verdict::Run);
-    assert!(matches!(verdict(&book, 100, &[DEADLY], now + 1), Verdict::Hold(_)));
-    // The other way: the request with the deadly one ends a fifth server.
-    let mut book = Registry::default();
-    lose_each(&mut book, &[BESIDE, DEADLY], 0..4);
-    lose_each(&mut book, &[DEADLY], 4..5);
-    assert_eq!(verdict(&book, 99, &[BESIDE], now), Verdict::Run);
-    assert!(matches!(verdict(&book, 99, &[DEADLY], now), Verdict::Hold(_)));
-}
-
-/// Guards against victims that are held: what ended more servers explains what they were lost with.
+    assert_eq!(verdict(&registry, 99, &[COMPANION], now), trial);
+    assert!(matches!(verdict(&registry, 99, &[COMPANION, DEADLY], now), Verdict::Hold(_)));
+    registry.record_answer(&request(99, &[COMPANION]), Answer::Whole, now);
+    assert_eq!(verdict(&registry, 100, &[COMPANION], now + 1), Verdict::Run);
+    assert!(matches!(verdict(&registry, 100, &[DEADLY], now + 1), Verdict::Hold(_)));
+    // Conversely, a request with only the deadly part crashes a fifth server.
+    let mut registry = Registry::default();
+    lose_each(&mut registry, &[COMPANION, DEADLY], 0..4);
+    lose_each(&mut registry, &[DEADLY], 4..5);
+    assert_eq!(verdict(&registry, 99, &[COMPANION], now), Verdict::Run);
+    assert!(matches!(verdict(&registry, 99, &[DEADLY], now), Verdict::Hold(_)));
+}
+
+/// Guards against victims being held: a suspect with more crashed servers explains their losses.
 #[test]
 fn judge_holds_no_victim_of_a_part() {
-    let mut book = Registry::default();
+    let mut registry = Registry::default();
     let victim = request(50, &[Digest(3)]);
     for server in 0..4 {
-        book.record_loss(run(victim.clone(), server), START + server);
-        lose(&mut book, run(request(server, &[DEADLY]), server), START + server);
+        registry.record_loss(attempt(victim.clone(), server), START + server);
+        lose(&mut registry, attempt(request(server, &[DEADLY]), server), START + server);
     }
-    lose_each(&mut book, &[DEADLY], 4..5);
-    assert_eq!(book.judge(&victim, START + 10).verdict, Verdict::Run);
+    lose_each(&mut registry, &[DEADLY], 4..5);
+    assert_eq!(registry.judge(&victim, START + 10).verdict, Verdict::Run);
 }
 
 #[test]
 fn judge_holds_two_deadly_parts() {
-    let mut book = Registry::default();
-    lose_each(&mut book, &[DEADLY], 0..5);
-    lose_each(&mut book, &[BESIDE], 5..8);
-    for part in [DEADLY, BESIDE] {
-        assert!(matches!(verdict(&book, 99, &[part], START + 10), Verdict::Hold(_)));
+    let mut registry = Registry::default();
+    lose_each(&mut registry, &[DEADLY], 0..5);
+    lose_each(&mut registry, &[COMPANION], 5..8);
+    for part in [DEADLY, COMPANION] {
+        assert!(matches!(verdict(&registry, 99, &[part], START + 10), Verdict::Hold(_)));
     }
 }
 
-/// Guards against a part that is cleared by an answer that a server's end cut short.
+/// Guards against a part being cleared by an answer that a crash may have cut short.
 #[test]
-fn answer_that_may_be_cut_short_clears_nothing() {
-    let mut book = Registry::default();
-    lose_each(&mut book, &[DEADLY], 0..3);
+fn record_answer_that_may_be_cut_short_clears_no_part() {
+    let mut registry = Registry::default();
+    lose_each(&mut registry, &[DEADLY], 0..3);
     for answer in [Answer::Unframed, Answer::Failure] {
-        book.record_answer(&request(99, &[DEADLY]), answer, START + 5);
-        assert!(matches!(verdict(&book, 99, &[DEADLY], START + 10), Verdict::Hold(_)));
+        registry.record_answer(&request(99, &[DEADLY]), answer, START + 5);
+        assert!(matches!(verdict(&registry, 99, &[DEADLY], START + 10), Verdict::Hold(_)));
     }
 }
 
-/// A server ends of a part when it begins to answer, so one that was answering for long ended of another.
+/// A part crashes a server that begins to answer, so a server that was answering for long ended for
+/// another reason.
 #[test]
-fn run_answered_for_long_clears_its_parts() {
-    let mut book = Registry::default();
-    lose_each(&mut book, &[DEADLY], 0..3);
-    lose(&mut book, Attempt { is_early: false, ..run(request(9, &[DEADLY]), 9) }, START + 9);
-    assert_eq!(verdict(&book, 99, &[DEADLY], START + 10), Verdict::Run);
-}
-
-/// Guards against parts that all requests have being held after their service was down for long, its
-/// servers ending again and again.
+fn record_loss_late_in_the_answer_clears_the_parts() {
+    let mut registry = Registry::default();
+    lose_each(&mut registry, &[DEADLY], 0..3);
+    lose(
+        &mut registry,
+        Attempt { is_early: false, ..attempt(request(9, &[DEADLY]), 9) },
+        START + 9,
+    );
+    assert_eq!(verdict(&registry, 99, &[DEADLY], START + 10), Verdict::Run);
+}
+
+/// Guards against parts that all requests contain being held after their service was down for long,
+/// with its servers crashing again and again.
 #[test]
-fn ends_of_a_service_that_answers_nothing_speak_against_no_part() {
-    let mut book = Registry::default();
-    book.record_answer(&request(0, &[BESIDE]), Answer::Whole, START);
+fn judge_holds_no_part_of_a_service_that_is_down() {
+    let mut registry = Registry::default();
+    registry.record_answer(&request(0, &[COMPANION]), Answer::Whole, START);
     for number in 0..200 {
-        lose(&mut book, run(request(number, &[BESIDE]), number), START + number * 1_000);
+        lose(&mut registry, attempt(request(number, &[COMPANION]), number), START + number * 1_000);
     }
-    assert_eq!(verdict(&book, 999, &[BESIDE], START + 200_000), Verdict::Run);
+    assert_eq!(verdict(&registry, 999, &[COMPANION], START + 200_000), Verdict::Run);
 }
 
-/// Guards against a deadly part that is overlooked since many are lost with each server.
+/// Guards against a deadly part being overlooked because many parts are lost with each server.
 #[test]
-fn many_lost_with_each_server_hide_no_part() {
-    let mut book = Registry::default();
+fn judge_holds_a_part_among_many_victims() {
+    let mut registry = Registry::default();
     for server in 0..3 {
         for victim in 0..40 {
             let number = server * 100 + victim;
-            book.record_loss(run(request(number, &[Digest(5_000 + number)]), server), START);
+            registry
+                .record_loss(attempt(request(number, &[Digest(5_000 + number)]), server), START);
         }
-        lose(&mut book, run(request(server, &[DEADLY]), server), START + server);
+        lose(&mut registry, attempt(request(server, &[DEADLY]), server), START + server);
     }
-    assert!(matches!(verdict(&book, 999, &[DEADLY], START + 10), Verdict::Hold(_)));
+    assert!(matches!(verdict(&registry, 999, &[DEADLY], START + 10), Verdict::Hold(_)));
 }
 
-/// Guards against a part that is held for a day because its requests were under way when it was found.
+/// Guards against a part being held for a day because its requests were in flight when it was
+/// found.
 #[test]
-fn ends_while_a_part_is_held_make_the_hold_no_longer() {
-    let mut book = Registry::default();
-    lose_each(&mut book, &[DEADLY], 0..8);
+fn judge_crashes_during_a_hold_make_it_no_longer() {
+    let mut registry = Registry::default();
+    lose_each(&mut registry, &[DEADLY], 0..8);
     let trial = Verdict::Trial { servers: 8, alone_ms: 60_000 };
-    assert_eq!(verdict(&book, 99, &[DEADLY], START + 2 + 60_000), trial);
+    assert_eq!(verdict(&registry, 99, &[DEADLY], START + 2 + 60_000), trial);
 }
 
-/// Guards against one end that counts twice, as it is told by hosts whose clocks differ.
+/// Guards against one crash counting twice because hosts with different clocks report it.
 #[test]
-fn end_told_with_another_time_counts_once() {
-    let mut book = Registry::default();
+fn learn_crash_with_another_time_counts_once() {
+    let mut registry = Registry::default();
     for at in [START, START + 1_500, START + 4_000] {
         let crash = Crash { server: Name::from("server-1"), born: 0, at, is_early: true };
-        let told = Suspect { crashes: vec![crash], ..Suspect::new(DEADLY) };
-        book.learn(&told.with_kind(Kind::Part), Source::Store, START + 5_000);
+        let report = Suspect { crashes: vec![crash], ..Suspect::new(DEADLY) };
+        registry.learn(&report.with_kind(Kind::Part), Source::Store, START + 5_000);
     }
-    assert_eq!(book.suspect(DEADLY).unwrap().crashes.len(), 1);
+    assert_eq!(registry.suspect(DEADLY).unwrap().crashes.len(), 1);
 }
 
-/// Guards against a sound part that stays suspect where others had lost it: who has answered it says so.
+/// Guards against a harmless part staying suspect at other hosts: a host that has answered it tells
+/// them.
 #[test]
-fn host_that_answered_a_part_tells_those_that_suspect_it() {
-    let mut book = Registry::default();
-    book.record_answer(&request(1, &[BESIDE]), Answer::Whole, START);
+fn take_for_peers_has_the_answer_of_a_part_that_others_suspect() {
+    let mut registry = Registry::default();
+    registry.record_answer(&request(1, &[COMPANION]), Answer::Whole, START);
     let crash = Crash { server: Name::from("server-1"), born: 0, at: START + 10, is_early: true };
-    let told = Suspect { crashes: vec![crash], ..Suspect::new(BESIDE) }.with_kind(Kind::Part);
-    book.learn(&told, Source::Peer, START + 20);
-    let said = book.take_for_peers(START + 20);
-    assert!(said.iter().any(|said| said.digest == BESIDE && said.answered_at == Some(START)));
+    let report = Suspect { crashes: vec![crash], ..Suspect::new(COMPANION) }.with_kind(Kind::Part);
+    registry.learn(&report, Source::Peer, START + 20);
+    let sent = registry.take_for_peers(START + 20);
+    assert!(sent.iter().any(|sent| sent.digest == COMPANION && sent.answered_at == Some(START)));
 }
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -1,4 +1,5 @@
-//! Requests that end the servers that run them, and their victims.
+//! Requests that crash the servers that run them, and their victims: one host's registry, and a
+//! simulated fleet of hosts that share what they know.
 
 use fuzz::check;
 use policy::name::Name;
@@ -11,141 +12,149 @@
 const START: Millis = Millis(1_000_000);
 const DEADLY: Digest = Digest(7);
 
-fn run(digest: Digest, server: &str) -> Attempt {
+fn attempt(digest: Digest, server: &str) -> Attempt {
     let request = Fingerprint::from_request(digest);
     Attempt { request, server: Name::from(server), born: 0, is_early: true }
 }
 
-fn answered(book: &mut Registry, digest: Digest, now: Millis) {
-    book.record_answer(&Fingerprint::from_request(digest), Answer::Whole, now);
+fn answer(registry: &mut Registry, digest: Digest, now: Millis) {
+    registry.record_answer(&Fingerprint::from_request(digest), Answer::Whole, now);
 }
 
-/// It is lost with so many servers, one a second.
-fn lose(book: &mut Registry, digest: Digest, servers: u64) -> Millis {
+/// Records that a request is lost with `servers` servers, one per second; returns the time of the
+/// last loss.
+fn lose(registry: &mut Registry, digest: Digest, servers: u64) -> Millis {
     for number in 0..servers {
         let now = START + number * 1_000;
         let server = format!("server-{number}");
-        book.record_loss(run(digest, &server), now);
-        book.record_server_end(&Name::from(server.as_str()), now + 2);
+        registry.record_loss(attempt(digest, &server), now);
+        registry.record_server_end(&Name::from(server.as_str()), now + 2);
     }
     START + servers.saturating_sub(1) * 1_000
 }
 
 #[test]
-fn verdict_follows_the_servers_that_ended() {
-    let mut book = Registry::default();
-    let last = lose(&mut book, DEADLY, 1);
-    assert_eq!(book.verdict(DEADLY, last), Verdict::Run);
-    let last = lose(&mut book, DEADLY, 2);
-    assert_eq!(book.verdict(DEADLY, last), Verdict::Trial { servers: 2, alone_ms: 2_000 });
-    let last = lose(&mut book, DEADLY, 3);
-    assert_eq!(book.verdict(DEADLY, last), Verdict::Hold(60_000));
+fn verdict_follows_from_the_number_of_crashed_servers() {
+    let mut registry = Registry::default();
+    let last = lose(&mut registry, DEADLY, 1);
+    assert_eq!(registry.verdict(DEADLY, last), Verdict::Run);
+    let last = lose(&mut registry, DEADLY, 2);
+    assert_eq!(registry.verdict(DEADLY, last), Verdict::Trial { servers: 2, alone_ms: 2_000 });
+    let last = lose(&mut registry, DEADLY, 3);
+    assert_eq!(registry.verdict(DEADLY, last), Verdict::Hold(60_000));
     assert_eq!(
-        book.verdict(DEADLY, last + 60_000),
+        registry.verdict(DEADLY, last + 60_000),
         Verdict::Trial { servers: 3, alone_ms: 60_000 }
     );
 }
 
 #[test]
-fn verdict_leaves_three_tries_after_the_third_server() {
-    let mut book = Registry::default();
-    let mut now = lose(&mut book, DEADLY, 3);
+fn verdict_allows_three_trials_after_the_third_server() {
+    let mut registry = Registry::default();
+    let mut now = lose(&mut registry, DEADLY, 3);
     let day_ends = now + 20 * 3_600_000;
-    let mut tries = 0;
+    let mut trials = 0;
     while now < day_ends {
-        match book.verdict(DEADLY, now) {
+        match registry.verdict(DEADLY, now) {
             Verdict::Hold(ms) => now = now + ms,
-            Verdict::Run => panic!("sent again as if nothing had happened"),
+            Verdict::Run => panic!("sent again without a trial"),
             Verdict::Trial { .. } => {
-                tries += 1;
-                let server = format!("late-{tries}");
-                book.record_loss(run(DEADLY, &server), now);
-                book.record_server_end(&Name::from(server.as_str()), now);
+                trials += 1;
+                let server = format!("late-{trials}");
+                registry.record_loss(attempt(DEADLY, &server), now);
+                registry.record_server_end(&Name::from(server.as_str()), now);
             }
         }
     }
-    assert_eq!(tries, 3);
+    assert_eq!(trials, 3);
 }
 
 #[test]
-fn answer_clears_what_was_lost_before() {
-    let mut book = Registry::default();
-    let last = lose(&mut book, DEADLY, 2);
-    answered(&mut book, DEADLY, last + 10);
-    assert_eq!(book.verdict(DEADLY, last + 10), Verdict::Run);
-    // Another host tells of a loss that is older than the answer.
+fn record_answer_clears_earlier_losses() {
+    let mut registry = Registry::default();
+    let last = lose(&mut registry, DEADLY, 2);
+    answer(&mut registry, DEADLY, last + 10);
+    assert_eq!(registry.verdict(DEADLY, last + 10), Verdict::Run);
+    // Another host reports a loss that is older than the answer.
     let crash = Crash { server: Name::from("elsewhere"), born: 0, at: last, is_early: true };
-    let told = Suspect { crashes: vec![crash], ..Suspect::new(DEADLY) };
-    assert!(!book.learn(&told, Source::Peer, last + 20));
-    assert_eq!(book.verdict(DEADLY, last + 20), Verdict::Run);
+    let report = Suspect { crashes: vec![crash], ..Suspect::new(DEADLY) };
+    assert!(!registry.learn(&report, Source::Peer, last + 20));
+    assert_eq!(registry.verdict(DEADLY, last + 20), Verdict::Run);
 }
 
-/// Guards against requests that come all the time being held after an outage of many servers.
+/// Guards against frequent requests being held after an outage of many servers.
 #[test]
-fn request_answered_a_moment_ago_is_no_suspect() {
-    let mut book = Registry::default();
-    answered(&mut book, DEADLY, START - 5_000);
-    let last = lose(&mut book, DEADLY, 4);
-    assert_eq!(book.verdict(DEADLY, last), Verdict::Run);
-    assert!(book.take_store_row(last + 2_000).is_none());
-    assert!(book.take_for_peers(last + 2_000).is_empty());
+fn record_loss_of_a_recently_answered_request_is_no_suspect() {
+    let mut registry = Registry::default();
+    answer(&mut registry, DEADLY, START - 5_000);
+    let last = lose(&mut registry, DEADLY, 4);
+    assert_eq!(registry.verdict(DEADLY, last), Verdict::Run);
+    assert!(registry.take_store_row(last + 2_000).is_none());
+    assert!(registry.take_for_peers(last + 2_000).is_empty());
 }
 
 #[test]
-fn broken_connection_alone_speaks_against_nothing() {
-    let mut book = Registry::default();
+fn record_loss_without_a_server_end_is_no_suspect() {
+    let mut registry = Registry::default();
     for number in 0..5 {
-        book.record_loss(run(DEADLY, &format!("server-{number}")), START);
+        registry.record_loss(attempt(DEADLY, &format!("server-{number}")), START);
     }
-    assert_eq!(book.verdict(DEADLY, START + 100), Verdict::Run);
+    assert_eq!(registry.verdict(DEADLY, START + 100), Verdict::Run);
 }
 
 #[test]
-fn run_given_up_counts_if_its_server_ends_at_once() {
-    let mut book = Registry::default();
-    lose(&mut book, DEADLY, 1);
-    book.record_abandoned(run(DEADLY, "dropped"), START + 1_000);
-    book.record_server_end(&Name::from("dropped"), START + 1_050);
-    assert_eq!(book.verdict(DEADLY, START + 1_050), Verdict::Trial { servers: 2, alone_ms: 2_000 });
-    let mut book = Registry::default();
-    lose(&mut book, DEADLY, 1);
-    book.record_abandoned(run(DEADLY, "dropped"), START + 1_000);
-    book.record_server_end(&Name::from("dropped"), START + 4_000);
-    assert_eq!(book.verdict(DEADLY, START + 4_000), Verdict::Run);
+fn record_abandoned_counts_if_the_server_ends_at_once() {
+    let mut registry = Registry::default();
+    lose(&mut registry, DEADLY, 1);
+    registry.record_abandoned(attempt(DEADLY, "dropped"), START + 1_000);
+    registry.record_server_end(&Name::from("dropped"), START + 1_050);
+    assert_eq!(
+        registry.verdict(DEADLY, START + 1_050),
+        Verdict::Trial { servers: 2, alone_ms: 2_000 }
+    );
+    let mut registry = Registry::default();
+    lose(&mut registry, DEADLY, 1);
+    registry.record_abandoned(attempt(DEADLY, "dropped"), START + 1_000);
+    registry.record_server_end(&Name::from("dropped"), START + 4_000);
+    assert_eq!(registry.verdict(DEADLY, START + 4_000), Verdict::Run);
 }
 
 #[test]
-fn late_ends_count_half() {
-    let mut book = Registry::default();
+fn record_loss_late_in_the_attempt_counts_half() {
+    let mut registry = Registry::default();
     for number in 0..3 {
         let server = format!("server-{number}");
         let at = START + number * 1_000;
-        book.record_loss(Attempt { is_early: false, ..run(DEADLY, &server) }, at);
-        book.record_server_end(&Name::from(server.as_str()), at);
+        registry.record_loss(Attempt { is_early: false, ..attempt(DEADLY, &server) }, at);
+        registry.record_server_end(&Name::from(server.as_str()), at);
     }
-    assert_eq!(book.verdict(DEADLY, START + 2_000), Verdict::Run);
-    book.record_loss(run(DEADLY, "early"), START + 3_000);
-    book.record_server_end(&Name::from("early"), START + 3_000);
-    assert_eq!(book.verdict(DEADLY, START + 3_000), Verdict::Trial { servers: 2, alone_ms: 2_000 });
+    assert_eq!(registry.verdict(DEADLY, START + 2_000), Verdict::Run);
+    registry.record_loss(attempt(DEADLY, "early"), START + 3_000);
+    registry.record_server_end(&Name::from("early"), START + 3_000);
+    assert_eq!(
+        registry.verdict(DEADLY, START + 3_000),
+        Verdict::Trial { servers: 2, alone_ms: 2_000 }
+    );
 }
 
-/// Guards against many victims pushing the request that ends servers out of a full table.
+/// Guards against many victims pushing the request that crashes servers out of a full registry.
 #[test]
-fn full_table_keeps_what_is_held() {
-    let mut book = Registry::default();
-    let last = lose(&mut book, DEADLY, 3);
+fn full_registry_keeps_held_suspects() {
+    let mut registry = Registry::default();
+    let last = lose(&mut registry, DEADLY, 3);
     for victim in 1_000..3_000 {
-        book.record_loss(run(Digest(victim), "shared"), last + 10_000);
-        book.record_server_end(&Name::from("shared"), last + 10_000);
+        registry.record_loss(attempt(Digest(victim), "shared"), last + 10_000);
+        registry.record_server_end(&Name::from("shared"), last + 10_000);
     }
-    assert!(matches!(book.verdict(DEADLY, last + 10_000), Verdict::Hold(_)));
+    assert!(matches!(registry.verdict(DEADLY, last + 10_000), Verdict::Hold(_)));
 }
 
-/// Guards against hosts that part: whatever they hear first, and however often, they decide alike.
+/// Guards against hosts that disagree: they decide alike in whatever order, and however often, they
+/// receive the same reports.
 #[test]
-fn told_in_any_order_decides_alike() {
+fn learn_in_any_order_decides_alike() {
     check(300, |losses: &Vec<(u8, u8, u16, bool, bool)>| {
-        let told: Vec<Suspect> = losses
+        let reports: Vec<Suspect> = losses
             .iter()
             .map(|(digest, server, at, is_early, answered)| {
                 let mut suspect = Suspect::new(Digest(u64::from(*digest % 3)));
@@ -164,14 +173,14 @@
             .collect();
         let now = START + 700_000;
         let (mut one, mut other) = (Registry::default(), Registry::default());
-        for told in &told {
-            one.learn(told, Source::Peer, now);
+        for report in &reports {
+            one.learn(report, Source::Peer, now);
         }
-        for told in told.iter().rev().chain(&told) {
-            other.learn(told, Source::Store, now);
+        for report in reports.iter().rev().chain(&reports) {
+            other.learn(report, Source::Store, now);
         }
         for digest in 0..3 {
-            let verdicts = [&one, &other].map(|book| book.verdict(Digest(digest), now));
+            let verdicts = [&one, &other].map(|registry| registry.verdict(Digest(digest), now));
             assert_eq!(verdicts[0], verdicts[1]);
         }
     });
@@ -181,28 +190,28 @@
 const DOMAINS: usize = 6;
 const SERVERS: u64 = 160;
 const STEP_MS: u64 = 100;
-/// Hosts tell each other what is held whenever they give a sign of life, so often in steps.
-const SIGN_STEPS: u64 = 50;
-/// Hosts in touch know of the third server's end by then.
+/// Interval, in steps, of the heartbeats with which hosts tell each other their suspects.
+const HEARTBEAT_STEPS: u64 = 50;
+/// Time after the third server's end by which all connected hosts must know of it, in milliseconds.
 const CONTACT_MS: u64 = 3_000;
-/// A list of servers says so late that one has ended.
-const LISTED_MS: u64 = 2_500;
-/// One message of so many between two hosts is lost.
-const LOST_PART: u64 = 10;
-/// Requests under way at a server when it ends.
+/// Delay until the list of backend servers shows a server's end, in milliseconds.
+const LIST_DELAY_MS: u64 = 2_500;
+/// One message in this many between two hosts is lost.
+const LOSS_ONE_IN: u64 = 10;
+/// Other requests in flight at a server when it ends.
 const VICTIMS: usize = 8;
 
-/// Many hosts, each with its own book, and what passes between them.
+/// Many hosts, each with its own registry, and the messages between them.
 struct Fleet {
     now: Millis,
     hosts: Vec<(Registry, Polls)>,
     rows: Vec<Vec<Suspect>>,
-    /// Told to a host, and when it comes.
+    /// Messages in flight: time of arrival, receiving host, content.
     messages: Vec<(Millis, usize, Suspect)>,
     ends: Vec<Millis>,
     trial: Option<Millis>,
     draws: u64,
-    /// Each came to its end at some host, and may come again.
+    /// Innocent requests that were lost with a server.
     victims: Vec<Digest>,
 }
 
@@ -225,7 +234,7 @@
         (self.draws >> 16) as usize % below
     }
 
-    /// A server ends under a request at a host, and under others at other hosts.
+    /// Ends a server that runs a request of a host and other requests of other hosts.
     fn end_server(&mut self, host: usize, digest: Digest) {
         self.ends.push(self.now);
         let server = Name::from(format!("start-{}", self.ends.len()));
@@ -236,15 +245,15 @@
             lost.push((self.draw(HOSTS), victim));
         }
         for (host, digest) in lost {
-            let (book, polls) = &mut self.hosts[host];
-            book.record_loss(run(digest, &server), self.now);
-            book.record_server_end(&server, self.now);
+            let (registry, polls) = &mut self.hosts[host];
+            registry.record_loss(attempt(digest, &server), self.now);
+            registry.record_server_end(&server, self.now);
             polls.restart(self.now);
         }
     }
 
-    /// The deadly request comes to a host, which tries it at servers while it may.
-    fn strike(&mut self, host: usize) {
+    /// Sends the deadly request to a host, which makes attempts at servers while it may.
+    fn send_deadly(&mut self, host: usize) {
         for _ in 0..3 {
             match self.hosts[host].0.verdict(DEADLY, self.now) {
                 Verdict::Hold(_) => return,
@@ -264,13 +273,13 @@
     fn pass_time(&mut self) {
         self.now = self.now + STEP_MS;
         let now = self.now;
-        let listed = |end: &&Millis| now.since(**end).abs_diff(LISTED_MS) < STEP_MS / 2;
-        if self.ends.iter().any(|end| listed(&end)) {
+        let is_listed = |end: &&Millis| now.since(**end).abs_diff(LIST_DELAY_MS) < STEP_MS / 2;
+        if self.ends.iter().any(|end| is_listed(&end)) {
             self.hosts.iter_mut().for_each(|(_, polls)| polls.schedule(now));
         }
         for host in 0..HOSTS {
-            self.tell(host);
-            // The first host of each domain reads for the others.
+            self.share(host);
+            // The first host of each failure domain reads for the others.
             if host < DOMAINS && self.hosts[host].1.is_due(now) {
                 self.read(host);
             }
@@ -278,29 +287,29 @@
         let (due, later) = std::mem::take(&mut self.messages).into_iter().partition(|m| m.0 <= now);
         self.messages = later;
         let due: Vec<(Millis, usize, Suspect)> = due;
-        for (_, host, told) in due {
-            let (book, polls) = &mut self.hosts[host];
-            if book.learn(&told, Source::Peer, now) {
+        for (_, host, report) in due {
+            let (registry, polls) = &mut self.hosts[host];
+            if registry.learn(&report, Source::Peer, now) {
                 polls.restart(now);
             }
         }
     }
 
-    fn tell(&mut self, host: usize) {
-        let (book, _) = &mut self.hosts[host];
-        let mut told = Vec::new();
-        if (self.now.0 / STEP_MS + host as u64).is_multiple_of(SIGN_STEPS) {
-            told = book.suspects(self.now);
+    fn share(&mut self, host: usize) {
+        let (registry, _) = &mut self.hosts[host];
+        let mut updates = Vec::new();
+        if (self.now.0 / STEP_MS + host as u64).is_multiple_of(HEARTBEAT_STEPS) {
+            updates = registry.suspects(self.now);
         }
-        if book.has_unsent() {
-            told.extend(book.take_for_peers(self.now));
-            if let Some(row) = book.take_store_row(self.now) {
+        if registry.has_unsent() {
+            updates.extend(registry.take_for_peers(self.now));
+            if let Some(row) = registry.take_store_row(self.now) {
                 self.rows[host] = row;
             }
         }
-        for suspect in told {
+        for suspect in updates {
             for peer in (host % DOMAINS..HOSTS).step_by(DOMAINS) {
-                if self.draw(LOST_PART as usize) > 0 {
+                if self.draw(LOSS_ONE_IN as usize) > 0 {
                     self.messages.push((self.now + STEP_MS, peer, suspect.clone()));
                 }
             }
@@ -308,37 +317,41 @@
     }
 
     fn read(&mut self, host: usize) {
-        let (book, polls) = &mut self.hosts[host];
-        let news =
-            self.rows.iter().flatten().filter(|told| book.learn(told, Source::Store, self.now));
+        let (registry, polls) = &mut self.hosts[host];
+        let news = self
+            .rows
+            .iter()
+            .flatten()
+            .filter(|report| registry.learn(report, Source::Store, self.now));
         let is_news = news.count() > 0;
         polls.record_read(is_news, self.now);
     }
 
-    /// Servers that ended later than all hosts in touch were to know of the third.
-    fn retries(&self) -> usize {
+    /// Number of servers that ended later than all connected hosts had to know of the third.
+    fn late_crashes(&self) -> usize {
         let Some(third) = self.ends.get(2) else { return 0 };
         self.ends.iter().filter(|end| end.since(*third) > CONTACT_MS).count()
     }
 
-    /// Victims that some host would not send.
+    /// Number of victims that some host holds.
     fn held_victims(&self) -> usize {
         let is_held = |victim: &&Digest| {
-            let mut verdicts = self.hosts.iter().map(|(book, _)| book.verdict(**victim, self.now));
+            let mut verdicts =
+                self.hosts.iter().map(|(registry, _)| registry.verdict(**victim, self.now));
             verdicts.any(|verdict| matches!(verdict, Verdict::Hold(_)))
         };
         self.victims.iter().filter(is_held).count()
     }
 }
 
-/// It comes to another host each time, so often in steps; the fleets at the end.
-fn struck(steps: usize, every: usize) -> Vec<Fleet> {
+/// Simulates fleets that get the deadly request at a random host every `every` steps.
+fn simulate_deadly(steps: usize, every: usize) -> Vec<Fleet> {
     let play = |seed| {
         let mut fleet = Fleet::new(seed);
         for step in 0..steps {
             if step % every == 0 {
                 let host = fleet.draw(HOSTS);
-                fleet.strike(host);
+                fleet.send_deadly(host);
             }
             fleet.pass_time();
         }
@@ -349,24 +362,24 @@
 
 #[test]
 fn deadly_request_is_held_by_300_hosts() {
-    for (seed, fleet) in struck(1_000, 5).iter().enumerate() {
-        assert!(fleet.retries() <= 3, "seed {seed}: {} servers more", fleet.retries());
+    for (seed, fleet) in simulate_deadly(1_000, 5).iter().enumerate() {
+        assert!(fleet.late_crashes() <= 3, "seed {seed}: {} more servers", fleet.late_crashes());
         assert_eq!(fleet.held_victims(), 0, "seed {seed}");
     }
 }
 
 #[test]
 fn deadly_request_that_comes_rarely_is_held_by_300_hosts() {
-    for (seed, fleet) in struck(2_000, 45).iter().enumerate() {
-        assert!(fleet.retries() <= 3, "seed {seed}: {} servers more", fleet.retries());
+    for (seed, fleet) in simulate_deadly(2_000, 45).iter().enumerate() {
+        assert!(fleet.late_crashes() <= 3, "seed {seed}: {} more servers", fleet.late_crashes());
     }
 }
 
-/// Guards against innocent requests being turned away because servers fall for other reasons.
+/// Guards against innocent requests being held because servers crash for other reasons.
 #[test]
-fn long_requests_under_many_ends_are_not_held() {
+fn long_requests_under_many_crashes_are_not_held() {
     const REQUESTS: usize = 50;
-    /// Time that one takes, in steps.
+    /// Time that one request takes, in steps.
     const STEPS: usize = 60;
     for seed in 0..10 {
         let mut fleet = Fleet::new(seed);
@@ -377,23 +390,23 @@
             for request in 0..REQUESTS {
                 if step - begun[request] >= STEPS {
                     let digest = Digest(digests[request]);
-                    answered(&mut fleet.hosts[request].0, digest, fleet.now);
+                    answer(&mut fleet.hosts[request].0, digest, fleet.now);
                     digests[request] += REQUESTS as u64;
                     (servers[request], begun[request]) = (fleet.draw(SERVERS as usize), step);
                     done += 1;
                 }
             }
-            // A server ends every half a second.
+            // A server ends every half second.
             if step % 5 == 0 {
                 let server = fleet.draw(SERVERS as usize);
                 for request in (0..REQUESTS).filter(|request| servers[*request] == server) {
                     let is_early = step - begun[request] < 10;
                     let name = Name::from(format!("server-{server}-{step}"));
-                    let (book, _) = &mut fleet.hosts[request];
-                    let run = Attempt { is_early, ..run(Digest(digests[request]), &name) };
-                    book.record_loss(run, fleet.now);
-                    book.record_server_end(&name, fleet.now);
-                    let verdict = book.verdict(Digest(digests[request]), fleet.now);
+                    let (registry, _) = &mut fleet.hosts[request];
+                    let attempt = Attempt { is_early, ..attempt(Digest(digests[request]), &name) };
+                    registry.record_loss(attempt, fleet.now);
+                    registry.record_server_end(&name, fleet.now);
+                    let verdict = registry.verdict(Digest(digests[request]), fleet.now);
                     held += usize::from(matches!(verdict, Verdict::Hold(_)));
                 }
                 for request in 0..REQUESTS {
@@ -405,7 +418,7 @@
             }
             fleet.pass_time();
         }
-        assert!(done > 300, "seed {seed}: the servers ended too often to see anything");
+        assert!(done > 300, "seed {seed}: servers end too often for requests to be answered");
         assert_eq!(held, 0, "seed {seed}");
     }
 }
