--- a/crates/policy/src/exposure/likelihood.rs
+++ b/crates/policy/src/exposure/likelihood.rs
@@ -38,9 +38,9 @@
     }
 }
 
-/// Log likelihood ratio at which a version counts as bad: Wald's bound, for a rate of false alarms
-/// per answer, since the test restarts after the mean number of answers that it takes to accept a
-/// good version.
+/// Log likelihood ratio at which a version counts as bad: Wald's bound. It allows one false alarm
+/// in [`ANSWERS_PER_FALSE_ALARM`] answers, divided by the number of answers after which a test
+/// accepts a good version and restarts.
 fn reject_log_ratio(hypotheses: &Hypotheses) -> f64 {
     let (good, bad) = (hypotheses.log_ratio(true), hypotheses.log_ratio(false));
     let drift = hypotheses.expected * good + (1.0 - hypotheses.expected) * bad;
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -234,9 +234,9 @@
         }
     }
 
-    /// Whether other hosts should learn of the suspect: it is on trial or held, or it was lost with
-    /// one server early and not answered elsewhere for `unanswered_ms`, and so may well be one that
-    /// crashes servers at once.
+    /// Whether other hosts should learn of the suspect: enough crashed servers for a trial count
+    /// against it, or it was lost early with one server and not answered elsewhere for
+    /// `unanswered_ms`, and so may well be one that crashes servers at once.
     #[must_use]
     pub fn is_worth_sharing(&self, now: Millis, unanswered_ms: u64) -> bool {
         let is_unanswered =
--- a/crates/policy/src/poison/registry.rs
+++ b/crates/policy/src/poison/registry.rs
@@ -95,8 +95,8 @@
 }
 
 impl Entry {
-    /// Sort key of what other hosts need most, largest first: suspects that are on trial or held,
-    /// then cleared ones that other hosts know, then the rest.
+    /// Sort key of what other hosts need most, largest first: suspects with enough crashed servers
+    /// for a trial, then cleared ones that other hosts know, then the rest.
     fn urgency(&self, now: Millis) -> (u32, bool, Option<Millis>) {
         let servers = self.suspect.server_count(now);
         let is_cleared = self.is_shared && self.suspect.crashes.is_empty();
