--- a/crates/entry/src/filter/admit.rs
+++ b/crates/entry/src/filter/admit.rs
@@ -270,7 +270,7 @@
         in_flight: account.limit.in_flight,
     };
     let take =
-        |usage: &mut Usage| usage.take(&limit, snapshot.entries, rand::random(), clock::now());
+        |usage: &mut Usage| usage.acquire(&limit, snapshot.entries, rand::random(), clock::now());
     match state.usage.with(name, take) {
         LimitVerdict::Granted => Ok(Granted { state: Arc::clone(state), account: name.clone() }),
         LimitVerdict::Refused { retry_after_ms } => {
--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -82,7 +82,7 @@
     /// Catalog of a host in `failure_domain` that has read nothing yet.
     #[must_use]
     pub fn new(failure_domain: Name) -> Self {
-        let exposure_share = canary::ALLOWED_MIN;
+        let exposure_share = canary::EXPOSURE_SHARE_MIN;
         Self { failure_domain, exposure_share, inner: Mutex::default() }
     }
 
@@ -201,7 +201,7 @@
         now: Millis,
     ) -> evacuation::Change {
         let mut inner = self.lock();
-        let change = inner.evacuations.take(entries, revision, is_whole);
+        let change = inner.evacuations.apply(entries, revision, is_whole);
         inner.mark_cold(&change.ended, now);
         change
     }
@@ -361,7 +361,7 @@
             let pool = pools.entry(listed.service.clone()).or_default();
             match listed.draining || backend.server.is_leaving() {
                 true => pool.leaving += 1,
-                false if self.evacuations.covers(&listed.failure_domain) => pool.evacuated += 1,
+                false if self.evacuations.is_evacuated(&listed.failure_domain) => pool.evacuated += 1,
                 false => pool.backends.push(backend),
             }
         }
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -65,7 +65,7 @@
     /// roll-out never goes back to an earlier stage.
     #[must_use]
     pub fn is_behind(&self, other: &Self) -> bool {
-        self.stage.is_behind(other.stage)
+        self.stage.is_before(other.stage)
     }
 }
 
