--- a/crates/experiment/src/host.rs
+++ b/crates/experiment/src/host.rs
@@ -7,7 +7,7 @@
 
 use gateway::state::Peers;
 use gateway::timing::Timing;
-use gateway::wait::STREAM_BUSY;
+use gateway::wait::STREAM_BUSY_SHARE;
 use policy::engine::{self, Ask, Engine};
 use policy::place::mix;
 use policy::precedence::Request;
@@ -72,7 +72,7 @@
             domain,
             views: (0..scenario.engines.count as usize)
                 .map(|engine| {
-                    let before = peers.before(mix(ENGINES + engine as u64));
+                    let before = peers.count_before(mix(ENGINES + engine as u64));
                     View::new(engine % domains == domain, before, scenario.engines.slots)
                 })
                 .collect(),
@@ -243,7 +243,7 @@
 
     /// An engine was left, since it said nothing.
     pub fn was_left(&mut self, (index, kind): (usize, &Kind), now: Millis) {
-        let waited = kind.objective_ms as f64 * STREAM_BUSY;
+        let waited = kind.objective_ms as f64 * STREAM_BUSY_SHARE;
         self.timings[index].first.note_cut(waited, now);
     }
 
@@ -263,7 +263,7 @@
         let (bounds, useful_ms): (&Bounds, f64) = match () {
             () if current.has_begun => (&silence::BETWEEN, kind.gap_ms as f64),
             () if tries.sent + 1 >= self.attempts_max => return None,
-            () if first > objective * STREAM_BUSY => (&silence::FIRST_BUSY, objective),
+            () if first > objective * STREAM_BUSY_SHARE => (&silence::FIRST_BUSY, objective),
             () => (&silence::FIRST, objective),
         };
         let heard_ms = now.since(self.views[current.engine].heard_at);
--- a/crates/gateway/src/backend/look.rs
+++ b/crates/gateway/src/backend/probe.rs
@@ -15,24 +15,24 @@
 use crate::poison::Guard;
 
 /// Longest wait for a connection that is opened only to see whether the server lives.
-const PROBE: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// A connection that lives so long was not broken off by what took it.
-const KEPT: Duration = Duration::from_millis(30);
+const STABLE_AFTER: Duration = Duration::from_millis(30);
 /// Between two questions to a server that can't be reached, in milliseconds.
-const ASK_MS: u64 = 200;
+const RECOVERY_PROBE_INTERVAL_MS: u64 = 200;
 /// Until a server that lives is looked at again; longest wait for a connection then.
-const LOOK: Duration = Duration::from_millis(100);
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// The same, in milliseconds.
-const LOOK_MS: u64 = LOOK.as_millis() as u64;
+const PROBE_INTERVAL_MS: u64 = PROBE_INTERVAL.as_millis() as u64;
 /// A server that refused connections is believed to have ended for this long, in milliseconds. Its entry
 /// lapses within that time if it has.
-const ENDED_MS: u64 = 5_000;
+const ENDED_LIFETIME_MS: u64 = 5_000;
 
 /// What a look at a server that may have ended showed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Found {
+pub enum Liveness {
     /// It takes connections, or at least does not refuse them.
-    Lives,
+    Alive,
     /// Nothing listens at its address any more.
     Ended,
     /// It refuses connections, and so do others: this host may be cut off.
@@ -44,22 +44,22 @@
     #[must_use]
     pub fn has_ended(&self, now: Millis) -> bool {
         let refused_at = Millis(self.refused_at.load(Ordering::Relaxed));
-        refused_at > Millis(0) && now.since(refused_at) < ENDED_MS
+        refused_at > Millis(0) && now.since(refused_at) < ENDED_LIFETIME_MS
     }
 
     /// Nothing listens at its address.
-    pub fn note_ended(&self, now: Millis) {
+    pub fn record_ended(&self, now: Millis) {
         self.refused_at.store(now.0, Ordering::Relaxed);
     }
 
     /// When it last said anything.
     #[must_use]
-    pub fn heard_at(&self) -> Millis {
-        self.lock().heard_at
+    pub fn last_contact(&self) -> Millis {
+        self.lock().last_contact
     }
 
     /// How long its silence is still tolerated; none if it is to be left.
-    pub async fn tolerates(
+    pub async fn tolerated_silence(
         &self,
         bounds: &Bounds,
         silent: Duration,
@@ -68,11 +68,11 @@
         let silence = Silence {
             silent_ms: silent.as_secs_f64() * 1_000.0,
             useful_ms,
-            heard_ms: clock::steady().since(self.heard_at()),
+            heard_ms: clock::steady().since(self.last_contact()),
         };
         match silence::act(bounds, &silence) {
             Action::Wait(ms) => Some(Duration::from_secs_f64(ms / 1_000.0)),
-            Action::Probe if self.takes_connections().await => Some(LOOK),
+            Action::Probe if self.accepts_connections().await => Some(PROBE_INTERVAL),
             Action::Probe | Action::Leave => None,
         }
     }
@@ -82,67 +82,68 @@
     ///
     /// Where this host is cut off all servers refuse, or seem to. While that may be so, one of the
     /// `others` has to take a connection.
-    pub async fn look(&self, poison: &Guard, others: impl Fn() -> Vec<Arc<Self>>) -> Found {
-        let mut looked = self.looked.lock().await;
+    pub async fn probe(&self, poison: &Guard, others: impl Fn() -> Vec<Arc<Self>>) -> Liveness {
+        let mut last_probe = self.last_probe.lock().await;
         let now = clock::steady();
-        if let Some((at, found)) = *looked
-            && now.since(at) < LOOK_MS
+        if let Some((at, liveness)) = *last_probe
+            && now.since(at) < PROBE_INTERVAL_MS
         {
-            return found;
+            return liveness;
         }
-        let opened = tokio::time::timeout(LOOK, TcpStream::connect(self.server.address)).await;
+        let opened =
+            tokio::time::timeout(PROBE_INTERVAL, TcpStream::connect(self.server.address)).await;
         // One that is reset was taken first: whoever did so lives.
         let is_refused = |error: std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
         let is_refused = opened.is_ok_and(|opened| opened.is_err_and(is_refused));
         if is_refused {
-            poison.reach.failed(self);
+            poison.reach.record_failure(self);
         }
-        let found = match is_refused {
-            false => Found::Lives,
-            true if !poison.reach.is_doubtful() || any_keeps(&others()).await => Found::Ended,
-            true => Found::Unclear,
+        let liveness = match is_refused {
+            false => Liveness::Alive,
+            true if !poison.reach.is_doubtful() || any_accepts(&others()).await => Liveness::Ended,
+            true => Liveness::Unclear,
         };
         // From its end on: those who wait for a look that takes all its time share what it found.
         let now = clock::steady();
-        *looked = Some((now, found));
-        if found == Found::Ended {
-            self.note_ended(now);
+        *last_probe = Some((now, liveness));
+        if liveness == Liveness::Ended {
+            self.record_ended(now);
             log::info!(target: "route", backend:% = self.id; "backend server ended");
-            poison.ended(&self.id);
+            poison.record_ended(&self.id);
         }
-        found
+        liveness
     }
 
     /// Whether it takes a connection and does not break it off at once.
     pub async fn keeps_connections(&self) -> bool {
-        let Ok(connection) = Connection::open(self.server.address, PROBE).await else {
+        let Ok(connection) = Connection::open(self.server.address, CONNECT_TIMEOUT).await else {
             return false;
         };
-        tokio::time::sleep(KEPT).await;
-        connection.usable(PROBE)
+        tokio::time::sleep(STABLE_AFTER).await;
+        connection.usable(CONNECT_TIMEOUT)
     }
 
     /// Opens a connection and closes it: a host that is unreachable, or behind a cut, takes none.
-    pub async fn takes_connections(&self) -> bool {
-        let taken = Connection::open(self.server.address, PROBE).await.is_ok();
-        if taken {
-            self.heard(clock::steady());
+    pub async fn accepts_connections(&self) -> bool {
+        let is_accepted = Connection::open(self.server.address, CONNECT_TIMEOUT).await.is_ok();
+        if is_accepted {
+            self.record_contact(clock::steady());
         }
-        taken
+        is_accepted
     }
 
     /// Asks in the background whether it takes connections again, unless that was just done.
-    pub fn probe_soon(self: &Arc<Self>) {
+    pub fn probe_recovery(self: &Arc<Self>) {
         let now = clock::steady();
-        let mut belief = self.lock();
-        if now.since(belief.asked_at) < ASK_MS {
+        let mut observations = self.lock();
+        if now.since(observations.probed_at) < RECOVERY_PROBE_INTERVAL_MS {
             return;
         }
-        belief.asked_at = now;
-        drop(belief);
+        observations.probed_at = now;
+        drop(observations);
         let backend = Arc::clone(self);
         tokio::spawn(async move {
-            if backend.takes_connections().await {
+            if backend.accepts_connections().await {
                 log::info!(target: "route", backend:% = backend.id; "backend server reached again");
                 backend.server.note_success(clock::steady());
             }
@@ -151,7 +152,7 @@
 }
 
 /// Whether one of these servers takes connections.
-pub async fn any_keeps(backends: &[Arc<Backend>]) -> bool {
-    let looks = backends.iter().map(|backend| backend.keeps_connections());
-    futures::future::join_all(looks).await.contains(&true)
+pub async fn any_accepts(backends: &[Arc<Backend>]) -> bool {
+    let probes = backends.iter().map(|backend| backend.keeps_connections());
+    futures::future::join_all(probes).await.contains(&true)
 }
--- a/crates/gateway/src/backend/restriction.rs
+++ b/crates/gateway/src/backend/restriction.rs
@@ -11,7 +11,7 @@
 
 policy::domain! {
     /// What a backend server says of how much it takes, as other hosts are notified of it.
-    pub struct Restricted {
+    pub struct RestrictionNotice {
         /// The backend server.
         pub backend: Name,
         /// When the start of it began that says so, see [`Backend::born`].
@@ -44,12 +44,12 @@
 impl Backend {
     /// What it says of how much it takes, in the answer to a request that was sent then; what the other
     /// hosts are to be notified of.
-    pub fn note_statement(
+    pub fn record_statement(
         &self,
         statement: &Statement,
         sent: Millis,
         now: Millis,
-    ) -> Vec<Restricted> {
+    ) -> Vec<RestrictionNotice> {
         let draw = rand::random();
         let news = self.with_intake(|intake| intake.heard(statement, sent, draw, now));
         if news.is_pause {
@@ -102,7 +102,7 @@
     ///
     /// A server that is back under its id is empty, so that all hosts would send to it at once, and
     /// end it once more before it is warm.
-    pub fn may_start_again(&self, warmup: Warmup, now: Millis) -> Option<Restricted> {
+    pub fn expect_restart(&self, warmup: Warmup, now: Millis) -> Option<RestrictionNotice> {
         let limit = Limit::warmup(warmup.per_second, now + warmup.ms, now);
         let is_news = self.with_intake(|intake| intake.learn(limit, now));
         is_news.then(|| {
@@ -114,15 +114,15 @@
 
     /// What the other hosts should know of how much it takes.
     #[must_use]
-    pub fn restrictions(&self, now: Millis) -> Vec<Restricted> {
+    pub fn restrictions(&self, now: Millis) -> Vec<RestrictionNotice> {
         let intake = self.with_intake(|intake| *intake);
         let limit = intake.throttle.shared(now).map(Restriction::Limit);
         let leaving = intake.is_leaving().then_some(Restriction::Leaving);
         limit.into_iter().chain(leaving).map(|restriction| self.restricted(restriction)).collect()
     }
 
-    fn restricted(&self, restriction: Restriction) -> Restricted {
-        Restricted { backend: self.id.clone(), born: self.born, restriction }
+    fn restricted(&self, restriction: Restriction) -> RestrictionNotice {
+        RestrictionNotice { backend: self.id.clone(), born: self.born, restriction }
     }
 
     /// Uses what is known of how much it takes.
--- a/crates/gateway/src/volume.rs
+++ b/crates/gateway/src/buffers.rs
@@ -11,52 +11,60 @@
 /// An answer up to this length is read whatever the others take.
 const SMALL_BYTES: usize = 64 << 10;
 /// Part of a host's memory that all of them may take.
-const PART: u64 = 8;
+const MEMORY_DIVISOR: u64 = 8;
 /// The same of a host that does not say how much it has, in bytes.
-const USUAL_BYTES: u64 = 32 << 20;
+const DEFAULT_BYTES_MAX: u64 = 32 << 20;
 
 /// What all answers of a host take.
 #[derive(Debug)]
-pub struct Volume {
-    held: Arc<AtomicUsize>,
-    most: usize,
+pub struct BufferBudget {
+    held_bytes: Arc<AtomicUsize>,
+    bytes_max: usize,
 }
 
-impl Volume {
+impl BufferBudget {
     /// Of a host with so much memory, in bytes, if that is known.
     #[must_use]
     pub fn new(memory: Option<u64>) -> Self {
-        let most = memory.map_or(USUAL_BYTES, |memory| memory / PART);
-        Self { held: Arc::default(), most: usize::try_from(most).unwrap_or(usize::MAX) }
+        let bytes_max = memory.map_or(DEFAULT_BYTES_MAX, |memory| memory / MEMORY_DIVISOR);
+        Self {
+            held_bytes: Arc::default(),
+            bytes_max: usize::try_from(bytes_max).unwrap_or(usize::MAX),
+        }
     }
 
     /// One answer's.
     #[must_use]
-    pub fn share(&self) -> Share {
-        Share { held: Arc::clone(&self.held), most: self.most, own: 0 }
+    pub fn reserve(&self) -> Reservation {
+        Reservation {
+            held_bytes: Arc::clone(&self.held_bytes),
+            bytes_max: self.bytes_max,
+            own_bytes: 0,
+        }
     }
 }
 
 /// What one answer takes; given back when dropped.
 #[derive(Debug)]
-pub struct Share {
-    held: Arc<AtomicUsize>,
-    most: usize,
-    own: usize,
+pub struct Reservation {
+    held_bytes: Arc<AtomicUsize>,
+    bytes_max: usize,
+    own_bytes: usize,
 }
 
-impl Share {
+impl Reservation {
     /// Takes more; whether it may. One that may not is given up by whoever reads it.
     #[must_use]
     pub fn grow(&mut self, bytes: usize) -> bool {
-        self.own += bytes;
-        let all = self.held.fetch_add(bytes, Ordering::Relaxed) + bytes;
-        self.own <= SMALL_BYTES || (self.own <= ANSWER_BYTES_MAX && all <= self.most)
+        self.own_bytes += bytes;
+        let total = self.held_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
+        self.own_bytes <= SMALL_BYTES
+            || (self.own_bytes <= ANSWER_BYTES_MAX && total <= self.bytes_max)
     }
 }
 
-impl Drop for Share {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.held.fetch_sub(self.own, Ordering::Relaxed);
+        self.held_bytes.fetch_sub(self.own_bytes, Ordering::Relaxed);
     }
 }
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -13,11 +13,11 @@
 
 use crate::attempt::{self, Failure, Reply};
 use crate::backend::Backend;
-use crate::codec::{Codec, Sending};
+use crate::codec::{AttemptInfo, Codec};
 use crate::handle::Origin;
 use crate::job::Job;
 use crate::pick;
-use crate::relay::Live;
+use crate::relay::LiveStream;
 use crate::resume::Obstacle;
 
 /// Connections that may fail to open for want of an answer before a request is given up. Refused
@@ -25,11 +25,11 @@
 const UNSENT_MAX: u32 = 4;
 
 /// An answer that may be passed on.
-pub enum Accepted {
+pub enum AcceptedAnswer {
     /// All of it.
     Whole(Parts, Bytes),
     /// Its beginning, and where the rest comes from.
-    Stream(Parts, Box<Live>),
+    Stream(Parts, Box<LiveStream>),
 }
 
 impl<C: Codec> Job<C> {
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// A refusal; one that says "not run" only if no backend server can have run it.
-    pub async fn answer(&mut self) -> Result<Accepted, Refusal> {
+    pub async fn answer(&mut self) -> Result<AcceptedAnswer, Refusal> {
         // One that another host has passed on is counted there, and so are its repeats.
         if self.origin == Origin::Caller {
             self.window(|window, allowance| window.request(allowance, clock::steady()));
@@ -50,21 +50,23 @@
     ///
     /// # Errors
     /// What stands against another try.
-    pub fn go_on(&self) -> Result<(), Obstacle> {
-        let tries = &self.tries;
+    pub fn claim_attempt(&self) -> Result<(), Obstacle> {
+        let attempts = &self.attempts;
         let attempt = Attempt {
             may_repeat: self.route().kind.may_repeat(),
-            first_byte_written: tries.may_have_run,
+            first_byte_written: attempts.may_have_run,
             answer_begun: false,
-            left_ms: u64::try_from(self.left().as_millis()).unwrap_or(u64::MAX),
+            left_ms: u64::try_from(self.time_left().as_millis()).unwrap_or(u64::MAX),
             expected_ms: 1,
         };
         match () {
-            () if self.left().is_zero() => Err(Obstacle::Late),
+            () if self.time_left().is_zero() => Err(Obstacle::Late),
             () if !retry::may_try_elsewhere(&attempt) => Err(Obstacle::Kind),
-            () if tries.sent >= self.attempts_max => Err(Obstacle::Attempts),
-            () if tries.unsent >= UNSENT_MAX && !self.has_host() => Err(Obstacle::Connections),
-            () if tries.sent == 0 || tries.paid.swap(false, Ordering::Relaxed) => Ok(()),
+            () if attempts.sent >= self.attempts_max => Err(Obstacle::Attempts),
+            () if attempts.unsent >= UNSENT_MAX && !self.has_detour() => Err(Obstacle::Connections),
+            () if attempts.sent == 0 || attempts.is_repeat_taken.swap(false, Ordering::Relaxed) => {
+                Ok(())
+            }
             () if self.take_repeat() => Ok(()),
             () => Err(Obstacle::Repeats),
         }
@@ -72,28 +74,28 @@
 
     /// Takes a repeat of the host's, if there is one for this request.
     pub fn take_repeat(&self) -> bool {
-        let streams = if self.tries.is_passed_on { 0 } else { self.streams() };
+        let streams = if self.attempts.has_stream_begun { 0 } else { self.streams_in_flight() };
         self.window(|window, allowance| window.take_beside(streams, allowance, clock::steady()))
     }
 
     /// Streams under way that may need a repeat of those that this request's service has; a plain
     /// service has none.
-    fn streams(&self) -> usize {
+    fn streams_in_flight(&self) -> usize {
         if self.route().kind.is_stream() { self.state.relays.len() } else { 0 }
     }
 
     /// Takes a repeat for a better answer; the next try is paid for then.
     pub fn take_spare_repeat(&self) -> bool {
-        let streams = self.streams();
+        let streams = self.streams_in_flight();
         let taken =
             self.window(|window, allowance| window.take_spare(streams, allowance, clock::steady()));
-        self.tries.paid.fetch_or(taken, Ordering::Relaxed);
+        self.attempts.is_repeat_taken.fetch_or(taken, Ordering::Relaxed);
         taken
     }
 
     /// Whether a repeat for a better answer is left.
     pub fn has_spare_repeat(&self) -> bool {
-        let streams = self.streams();
+        let streams = self.streams_in_flight();
         self.window(|window, allowance| {
             window.has_spare_beside(streams, allowance, clock::steady())
         })
@@ -101,60 +103,60 @@
 
     /// Where the request is tried next: at a backend server, or by way of another host if none can be
     /// reached.
-    pub fn next_place(&mut self) -> Option<Arc<Backend>> {
+    pub fn next_destination(&mut self) -> Option<Arc<Backend>> {
         match self.prefers_detour() {
-            true => self.next_host().or_else(|| self.next_backend()),
-            false => self.next_backend().or_else(|| self.next_host()),
+            true => self.next_detour_host().or_else(|| self.next_backend()),
+            false => self.next_backend().or_else(|| self.next_detour_host()),
         }
     }
 
     /// The backend server that is tried next.
     pub fn next_backend(&mut self) -> Option<Arc<Backend>> {
-        let world = self.state.world.load_full();
-        let pool = world.pools.get(&self.service)?;
+        let snapshot = self.state.snapshot.load_full();
+        let pool = snapshot.pools.get(&self.service)?;
         let now = clock::steady();
-        let version = match &self.tries.version {
+        let version = match &self.attempts.version {
             // A stream and a session stay on their version while it has another server.
-            Some(version) if pool.keeps(version, now) => version.clone(),
+            Some(version) if pool.stays_on(version, now) => version.clone(),
             _ => pool.version(self.subject(), now).clone(),
         };
-        let stopped = pool
+        let is_stopped = pool
             .rollout
             .as_ref()
             .is_some_and(|trial| trial.target == version && trial.share(now) == 0.0);
-        let chosen = if stopped { None } else { pick::choose(self, pool, &version) };
+        let chosen = if is_stopped { None } else { pick::choose(self, pool, &version) };
         let chosen = chosen.or_else(|| {
             let other = pool.fallback(&version, now)?;
             pick::choose(self, pool, other)
         });
-        chosen.inspect(|backend| self.tries.version = Some(backend.version.clone()))
+        chosen.inspect(|backend| self.attempts.version = Some(backend.version.clone()))
     }
 
     /// Sends the request to a backend server or another host, and waits for the head of its answer.
     ///
     /// # Errors
     /// See [`attempt::send`] and [`Job::forward`].
-    pub async fn try_at(
+    pub async fn attempt_at(
         &mut self,
         backend: &Arc<Backend>,
         last_event: Option<u64>,
     ) -> Result<Reply, Failure> {
-        self.tries.answering = false;
-        self.tries.begun_at = None;
+        self.attempts.is_answering = false;
+        self.attempts.answer_began_at = None;
         let reply = match backend.is_host {
             true => self.forward(backend, last_event).await,
             false => self.send(backend, last_event).await,
         };
-        self.tries.answering = reply.is_ok();
+        self.attempts.is_answering = reply.is_ok();
         if let Ok(reply) = &reply {
-            self.tries.expected_ms = reply.expected_ms as u64;
-            self.tries.head_ms = reply.first_ms as u64;
+            self.attempts.expected_ms = reply.expected_ms as u64;
+            self.attempts.head_ms = reply.head_ms as u64;
         }
         // What was tried by way of another host is counted with its answer.
         let was_sent = !matches!(reply, Err(Failure::Unsent(_) | Failure::Unwanted));
         if was_sent && !backend.is_host {
-            self.tries.sent += 1;
-            self.tries.backend = Some(backend.id.clone());
+            self.attempts.sent += 1;
+            self.attempts.backend = Some(backend.id.clone());
         }
         reply
     }
@@ -164,26 +166,26 @@
         backend: &Arc<Backend>,
         last_event: Option<u64>,
     ) -> Result<Reply, Failure> {
-        let sending = Sending {
+        let attempt_info = AttemptInfo {
             backend: &backend.id,
             account: self.account.as_ref(),
-            left_ms: u64::try_from(self.left().as_millis()).unwrap_or(u64::MAX),
+            left_ms: u64::try_from(self.time_left().as_millis()).unwrap_or(u64::MAX),
             model: self.model(),
             last_event,
             priority: self.engine_priority(),
         };
-        attempt::send(self, backend, &sending).await
+        attempt::send(self, backend, &attempt_info).await
     }
 
     /// Where an engine puts the request among others; 0 is served first, none for plain services.
     #[must_use]
     pub fn engine_priority(&self) -> Option<u8> {
-        let is_engine = !self.ask.parts.is_empty();
+        let is_engine = !self.info.parts.is_empty();
         let request = precedence::Request {
-            read_ms: f64::from(self.ask.prompt_tokens) / self.tokens_per_ms(self.tries.model),
+            read_ms: f64::from(self.info.prompt_tokens) / self.tokens_per_ms(self.attempts.model),
             priority: self.priority,
-            is_again: self.tries.sent > 0,
-            is_resumed: self.ask.last_event.is_some(),
+            is_again: self.attempts.sent > 0,
+            is_resumed: self.info.last_event.is_some(),
         };
         is_engine.then(|| precedence::place(&request))
     }
@@ -191,22 +193,22 @@
 
 impl<C: Codec> carry::Request for Job<C> {
     type Server = Arc<Backend>;
-    type Answer = Accepted;
+    type Answer = AcceptedAnswer;
     type Failure = Failure;
 
     fn choose(&mut self) -> Option<Arc<Backend>> {
-        self.next_place()
+        self.next_destination()
     }
 
-    async fn attempt(&mut self, backend: &Arc<Backend>) -> Step<Accepted, Failure> {
+    async fn attempt(&mut self, backend: &Arc<Backend>) -> Step<AcceptedAnswer, Failure> {
         if let Err(refusal) = self.permit(backend).await {
             return Step::Refused(refusal);
         }
-        let reply = match self.try_at(backend, self.ask.last_event).await {
+        let reply = match self.attempt_at(backend, self.info.last_event).await {
             Ok(reply) => reply,
             Err(failure) => return Step::Failed(failure),
         };
-        if backend.is_host && !reply.said.is_signed {
+        if backend.is_host && !reply.info.is_signed {
             return Step::Refused(self.refused_elsewhere(&reply));
         }
         match self.judge(reply).await {
@@ -221,16 +223,16 @@
     }
 
     fn may_go_on(&mut self) -> bool {
-        self.go_on().is_ok()
+        self.claim_attempt().is_ok()
     }
 
     /// The last answer there is: a backend server's own failure, or a refusal.
-    fn give_up(&mut self) -> Result<Accepted, Refusal> {
-        if let Some((head, body)) = self.tries.failure.take() {
-            return Ok(Accepted::Whole(head, body));
+    fn give_up(&mut self) -> Result<AcceptedAnswer, Refusal> {
+        if let Some((head, body)) = self.attempts.failure_answer.take() {
+            return Ok(AcceptedAnswer::Whole(head, body));
         }
-        match self.tries.elsewhere.take() {
-            Some(refusal) if !self.tries.may_have_run => Err(refusal),
+        match self.attempts.host_refusal.take() {
+            Some(refusal) if !self.attempts.may_have_run => Err(refusal),
             _ => Err(self.refusal()),
         }
     }
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -11,7 +11,7 @@
 /// A part of a prompt. Requests share parts; an engine that holds all parts up to one in its
 /// cache need not read them again.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Part {
+pub struct PromptPart {
     /// Names its content.
     pub id: u64,
     /// Its length in tokens.
@@ -20,7 +20,7 @@
 
 /// What a caller says of its request.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct RequestInfo {
     /// Names this try of the caller's; must come back unchanged.
     pub id: Name,
     /// How long the caller waits, in milliseconds.
@@ -32,21 +32,21 @@
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
     /// The prompt's parts in order; the last one belongs to the request or its session alone.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
     /// The last event the caller has; a stream goes on behind it.
     pub last_event: Option<u64>,
 }
 
-impl Ask {
+impl RequestInfo {
     /// The parts of its prompt that other requests may have as well.
     #[must_use]
-    pub fn shared_parts(&self) -> &[Part] {
+    pub fn shared_parts(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 }
 
 /// Parts of a prompt as they stand in a log: their ids.
-pub struct Ids<'a>(pub &'a [Part]);
+pub struct Ids<'a>(pub &'a [PromptPart]);
 
 impl fmt::Display for Ids<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -60,7 +60,7 @@
 
 /// What a request is sent to a backend server with.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending<'a> {
+pub struct AttemptInfo<'a> {
     /// The start of the backend server that alone may run it.
     pub backend: &'a Name,
     /// The account that the caller's key belongs to.
@@ -86,7 +86,7 @@
 
 /// What a backend server says of its answer.
 #[derive(Clone, Debug, Default)]
-pub struct Head {
+pub struct AnswerInfo {
     /// The request it answers, as it says.
     pub id: Option<Name>,
     /// It signed the answer as its own.
@@ -110,26 +110,22 @@
 /// How callers and backend servers spell all this.
 pub trait Codec: Send + Sync + 'static {
     /// Reads what a caller says. What can't be read is left out.
-    fn ask(&self, headers: &HeaderMap) -> Ask;
+    fn request_info(&self, headers: &HeaderMap) -> RequestInfo;
 
     /// The headers for a backend server, from the caller's.
-    fn forward(&self, headers: &HeaderMap, sending: &Sending<'_>) -> HeaderMap;
+    fn backend_headers(&self, headers: &HeaderMap, sending: &AttemptInfo<'_>) -> HeaderMap;
 
     /// The headers for another host, which does what this one would have done: the caller's, with the
     /// time that is left and the last event that the caller has.
-    fn forward_to_host(
-        &self,
-        headers: &HeaderMap,
-        left_ms: u64,
-        last_event: Option<u64>,
-    ) -> HeaderMap;
+    fn host_headers(&self, headers: &HeaderMap, left_ms: u64, last_event: Option<u64>)
+    -> HeaderMap;
 
     /// Reads what a backend server says.
-    fn head(&self, status: StatusCode, headers: &HeaderMap) -> Head;
+    fn answer_info(&self, status: StatusCode, headers: &HeaderMap) -> AnswerInfo;
 
     /// The headers for the caller, from the backend server's.
-    fn answer(&self, head: &Parts) -> HeaderMap;
+    fn caller_headers(&self, head: &Parts) -> HeaderMap;
 
     /// Adds to a refusal's headers what tells the caller its request and when to come back.
-    fn refuse(&self, headers: &mut HeaderMap, id: &Name, refusal: &Refusal);
+    fn add_refusal_headers(&self, headers: &mut HeaderMap, id: &Name, refusal: &Refusal);
 }
--- a/crates/gateway/src/detour.rs
+++ b/crates/gateway/src/detour.rs
@@ -25,16 +25,16 @@
 use crate::attempt::{self, Failure, Reply};
 use crate::backend::Backend;
 use crate::codec::{Codec, Load};
-use crate::forward::{number, text};
+use crate::forward::{header_number, header_text};
 use crate::handle::Origin;
 use crate::job::Job;
 use crate::recall::Forwarding;
 
 /// Connections to backend servers that stay silent for one request before it goes by another host.
-const SILENT_MAX: u32 = 2;
+const SILENT_CONNECTS_MAX: u32 = 2;
 
 /// What another host says beside an answer.
-struct Said {
+struct ForwardReport {
     /// The start of the server that it was last sent to.
     server: Option<Name>,
     /// Servers that the request was sent to; none if the host says nothing of it.
@@ -45,19 +45,19 @@
     has_ended: bool,
 }
 
-impl Said {
+impl ForwardReport {
     /// Takes it out of the headers: it is not for the caller.
-    fn take(headers: &mut HeaderMap) -> Self {
-        let said = Self {
-            server: text(headers, SERVER).map(Name::from),
-            sent: number(headers, TRIES),
-            load: number(headers, LOAD),
+    fn take_from(headers: &mut HeaderMap) -> Self {
+        let report = Self {
+            server: header_text(headers, SERVER).map(Name::from),
+            sent: header_number(headers, TRIES),
+            load: header_number(headers, LOAD),
             has_ended: headers.contains_key(ENDED),
         };
         for name in [SERVER, TRIES, LOAD, ENDED] {
             headers.remove(name);
         }
-        said
+        report
     }
 }
 
@@ -65,40 +65,45 @@
     /// Whether this request is tried by way of another host before any backend server.
     #[must_use]
     pub fn prefers_detour(&self) -> bool {
-        self.state.reach.is_isolated() || self.tries.unsent >= SILENT_MAX
+        self.state.reach.is_isolated() || self.attempts.unsent >= SILENT_CONNECTS_MAX
     }
 
     /// The host that the request goes by next; none if it may go by none.
-    pub fn next_host(&self) -> Option<Arc<Backend>> {
+    pub fn next_detour_host(&self) -> Option<Arc<Backend>> {
         if !self.may_detour() {
             return None;
         }
-        let chosen = self.state.helpers.choose(&self.tries.tried, rand::random(), clock::steady());
+        let chosen = self.state.detour_hosts.choose(
+            &self.attempts.excluded,
+            rand::random(),
+            clock::steady(),
+        );
         if chosen.is_none() {
-            self.state.helpers.wanted.notify_one();
+            self.state.detour_hosts.wanted.notify_one();
         }
         chosen
     }
 
     /// Whether it may go by another host, and one is known that takes it.
     #[must_use]
-    pub fn has_host(&self) -> bool {
+    pub fn has_detour(&self) -> bool {
         let now = clock::steady();
-        self.may_detour() && self.state.helpers.has_untried(&self.tries.tried, now)
+        self.may_detour() && self.state.detour_hosts.has_untried(&self.attempts.excluded, now)
     }
 
     /// Whether it may go by another host: it has come from none, and servers of its service that could
     /// answer it are out of reach.
     fn may_detour(&self) -> bool {
-        let world = self.state.world.load();
-        let Some(pool) = world.pools.get(&self.service) else { return false };
+        let snapshot = self.state.snapshot.load();
+        let Some(pool) = snapshot.pools.get(&self.service) else { return false };
         let now = clock::steady();
         let is_out_of_reach = || {
             self.state.reach.is_isolated()
-                || self.tries.unsent + self.tries.refused > 0
+                || self.attempts.unsent + self.attempts.refused > 0
                 || pool.backends.iter().any(|backend| backend.server.is_ill(now))
         };
-        let may_detour = self.origin == Origin::Caller && self.tries.hosts < detour::TRIES_MAX;
+        let may_detour =
+            self.origin == Origin::Caller && self.attempts.failed_detours < detour::TRIES_MAX;
         may_detour && !pool.backends.is_empty() && is_out_of_reach()
     }
 
@@ -113,38 +118,38 @@
         host: &Arc<Backend>,
         last_event: Option<u64>,
     ) -> Result<Reply, Failure> {
-        self.tries.hosts += 1;
-        self.tries.tried.push(host.id.clone());
-        self.tries.was_tried = false;
-        self.tries.backend = None;
+        self.attempts.failed_detours += 1;
+        self.attempts.excluded.push(host.id.clone());
+        self.attempts.was_attempted = false;
+        self.attempts.backend = None;
         let mut connection = attempt::open(self, host).await?;
-        let mut forwarding = Forwarding::new(host, &self.ask.id);
-        let request = self.forwarded(last_event, &forwarding);
+        let mut forwarding = Forwarding::new(host, &self.info.id);
+        let request = self.forward_request(last_event, &forwarding);
         let request = request.ok_or(Failure::Unsent(Cause::Broken))?;
         let lease = Lease::new(Arc::clone(&host.server));
         let (sent_at, sent) = (Instant::now(), clock::steady());
         let answered = tokio::select! {
-            answered = attempt::patient(self, host, connection.send(request, self.left())) => answered,
-            () = forwarding.lost(last_event) => Err(Failure::Lost(Cause::Silent)),
+            answered = attempt::wait_for_head(self, host, connection.send(request, self.time_left())) => answered,
+            () = forwarding.wait_until_lost(last_event) => Err(Failure::Lost(Cause::Silent)),
         };
         let response = match answered {
             Ok(response) => response,
             Err(failure) => {
                 match failure {
                     Failure::Lost(_) => {
-                        self.tries.sent = detour::spent(self.tries.sent, detour::LENT, None);
-                        self.tries.was_tried = true;
+                        self.attempts.sent = detour::spent(self.attempts.sent, detour::LENT, None);
+                        self.attempts.was_attempted = true;
                     }
-                    _ => forwarding.end(),
+                    _ => forwarding.complete(),
                 }
                 return Err(failure);
             }
         };
-        self.heard(host, response, (connection, lease, forwarding), (sent_at, sent))
+        self.receive_answer(host, response, (connection, lease, forwarding), (sent_at, sent))
     }
 
     /// Another host has answered.
-    fn heard(
+    fn receive_answer(
         &mut self,
         host: &Arc<Backend>,
         response: Response<Incoming>,
@@ -153,53 +158,55 @@
     ) -> Result<Reply, Failure> {
         let now = clock::steady();
         let (mut head, body) = response.into_parts();
-        host.heard(now);
-        let passed = Said::take(&mut head.headers);
-        if let Some(requests) = passed.load {
-            host.note_load(Load { requests, slots: 0 }, now);
+        host.record_contact(now);
+        let report = ForwardReport::take_from(&mut head.headers);
+        if let Some(requests) = report.load {
+            host.record_load(Load { requests, slots: 0 }, now);
         }
-        let said = self.state.codec.head(head.status, &head.headers);
+        let info = self.state.codec.answer_info(head.status, &head.headers);
         let is_misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         let lent = if is_misdirected { 0 } else { detour::LENT };
-        let tries = detour::spent(self.tries.sent, lent, passed.sent);
-        self.tries.was_tried = tries > self.tries.sent;
-        self.tries.sent = tries;
-        log::info!(target: "route", request:% = self.ask.id, host:% = host.id,
-            server:% = passed.server.as_deref().unwrap_or_default(),
-            status = head.status.as_u16(), sent = tries; "request went by another host");
+        let attempts = detour::spent(self.attempts.sent, lent, report.sent);
+        self.attempts.was_attempted = attempts > self.attempts.sent;
+        self.attempts.sent = attempts;
+        log::info!(target: "route", request:% = self.info.id, host:% = host.id,
+            server:% = report.server.as_deref().unwrap_or_default(),
+            status = head.status.as_u16(), sent = attempts; "request went by another host");
         let outcome = if is_misdirected { "misdirected" } else { "answered" };
         metrics::counter!("gateway_detours_total", "outcome" => outcome).increment(1);
-        if self.tries.was_tried {
-            self.note_tried(host, passed.server, passed.has_ended);
+        if self.attempts.was_attempted {
+            self.record_forwarded_attempt(host, report.server, report.has_ended);
         }
-        let is_refused = !said.is_signed;
+        let is_refused = !info.is_signed;
         if is_refused {
-            forwarding.end();
+            forwarding.complete();
         }
         match () {
             () if is_misdirected => {
                 Err(Failure::NotRun { misdirected: head.headers.contains_key(AWAY) })
             }
-            () if said.id.as_ref().is_some_and(|id| *id != self.ask.id) => {
+            () if info.id.as_ref().is_some_and(|id| *id != self.info.id) => {
                 Err(Failure::Lost(Cause::Crossed))
             }
-            () if is_refused && self.tries.was_tried => Err(self.failed_elsewhere(&head)),
+            () if is_refused && self.attempts.was_attempted => Err(self.failed_elsewhere(&head)),
             () => {
-                if let Some(server) = self.tries.backend.as_ref().and_then(|id| self.backend(id)) {
-                    attempt::note_statement(self, &server, &said, sent);
-                    self.tries.version = Some(server.version.clone());
+                if let Some(server) =
+                    self.attempts.backend.as_ref().and_then(|id| self.find_backend(id))
+                {
+                    attempt::record_statement(self, &server, &info, sent);
+                    self.attempts.version = Some(server.version.clone());
                 }
-                let first_ms = sent_at.elapsed().as_secs_f64() * 1_000.0;
+                let head_ms = sent_at.elapsed().as_secs_f64() * 1_000.0;
                 Ok(Reply {
                     head,
-                    said,
+                    info,
                     body,
                     connection,
                     lease,
                     backend: Arc::clone(host),
                     sent_at,
-                    first_ms,
-                    expected_ms: first_ms,
+                    head_ms,
+                    expected_ms: head_ms,
                     forwarding: Some(forwarding),
                 })
             }
@@ -208,23 +215,23 @@
 
     /// The other host has sent it to a server: it serves, and may be asked again for the next try, which
     /// is not to go to the same server.
-    fn note_tried(&mut self, host: &Backend, server: Option<Name>, has_ended: bool) {
-        self.tries.hosts -= 1;
-        self.tries.tried.retain(|tried| *tried != host.id);
-        self.tries.backend = server;
-        let server = self.tries.backend.as_ref().and_then(|id| self.backend(id));
+    fn record_forwarded_attempt(&mut self, host: &Backend, server: Option<Name>, has_ended: bool) {
+        self.attempts.failed_detours -= 1;
+        self.attempts.excluded.retain(|tried| *tried != host.id);
+        self.attempts.backend = server;
+        let server = self.attempts.backend.as_ref().and_then(|id| self.find_backend(id));
         if let Some(server) = server.filter(|_| has_ended) {
-            self.note_ended_under(&server);
+            self.record_crash(&server);
         }
     }
 
     /// What a server's failure behind another host comes to.
     fn failed_elsewhere(&mut self, head: &Parts) -> Failure {
-        let refusal = refusal(head);
+        let refusal = refusal_from(head);
         match refusal.ran {
             Ran::No => {
-                self.tries.not_run += 1;
-                self.tries.elsewhere = Some(refusal);
+                self.attempts.not_run += 1;
+                self.attempts.host_refusal = Some(refusal);
                 Failure::NotRun { misdirected: false }
             }
             _ => Failure::Lost(Cause::Failed(head.status.as_u16())),
@@ -232,31 +239,31 @@
     }
 
     /// The request for another host: as the caller sent it, with what is known of it here.
-    fn forwarded(
+    fn forward_request(
         &self,
         last_event: Option<u64>,
         forwarding: &Forwarding,
     ) -> Option<Request<Full<bytes::Bytes>>> {
-        let left_ms = u64::try_from(self.left().as_millis()).unwrap_or(u64::MAX);
+        let left_ms = u64::try_from(self.time_left().as_millis()).unwrap_or(u64::MAX);
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.path.clone();
-        let mut headers = self.state.codec.forward_to_host(&self.headers, left_ms, last_event);
+        let mut headers = self.state.codec.host_headers(&self.headers, left_ms, last_event);
         headers.insert(HOST, self.headers.get(HOST)?.clone());
         for name in WITH_REQUEST {
             headers.remove(name);
         }
-        let tried: Vec<&str> = self.tries.failed_at.iter().map(Name::as_str).collect();
+        let tried: Vec<&str> = self.attempts.failed_servers.iter().map(Name::as_str).collect();
         let mut tell = |name, value: HeaderValue| {
             headers.insert(HeaderName::from_static(name), value);
         };
-        tell(TRIES, HeaderValue::from(self.tries.sent));
+        tell(TRIES, HeaderValue::from(self.attempts.sent));
         tell(TRIED, HeaderValue::from_str(&tried.join(",")).ok()?);
         tell(NUMBER, HeaderValue::from(forwarding.number()));
         if !self.route().models.is_empty() {
-            tell(MODEL, HeaderValue::from(self.tries.model));
+            tell(MODEL, HeaderValue::from(self.attempts.model));
         }
-        if let Some(version) = &self.tries.version {
+        if let Some(version) = &self.attempts.version {
             tell(VERSION, HeaderValue::from_str(version).ok()?);
         }
         *request.headers_mut() = headers;
@@ -266,32 +273,32 @@
     /// The refusal of another host that did not try the request, as its caller gets it.
     #[must_use]
     pub fn refused_elsewhere(&self, reply: &Reply) -> Refusal {
-        match refusal(&reply.head) {
+        match refusal_from(&reply.head) {
             // The other host knows nothing of what was tried here.
-            Refusal { ran: Ran::No, .. } if self.tries.may_have_run => self.refusal(),
+            Refusal { ran: Ran::No, .. } if self.attempts.may_have_run => self.refusal(),
             refusal => refusal,
         }
     }
 
     /// A backend server of the request's service.
-    fn backend(&self, id: &Name) -> Option<Arc<Backend>> {
-        let world = self.state.world.load();
-        let pool = world.pools.get(&self.service)?;
+    fn find_backend(&self, id: &Name) -> Option<Arc<Backend>> {
+        let snapshot = self.state.snapshot.load();
+        let pool = snapshot.pools.get(&self.service)?;
         pool.backends.iter().find(|backend| backend.id == *id).cloned()
     }
 }
 
 /// Another host's refusal, as this one tells it.
-fn refusal(head: &Parts) -> Refusal {
-    const WHY: &str = "refused by the host that it went by";
-    let seconds: Option<f64> = number(&head.headers, RETRY_AFTER.as_str());
+fn refusal_from(head: &Parts) -> Refusal {
+    const MESSAGE: &str = "refused by the host that it went by";
+    let seconds: Option<f64> = header_number(&head.headers, RETRY_AFTER.as_str());
     let refusal = match head.status {
-        StatusCode::SERVICE_UNAVAILABLE => Refusal::not_run(Code::Overloaded, WHY),
-        StatusCode::TOO_MANY_REQUESTS => Refusal::not_run(Code::AccountLimit, WHY),
-        StatusCode::REQUEST_TIMEOUT => Refusal::not_run(Code::TooSlow, WHY),
-        StatusCode::PAYLOAD_TOO_LARGE => Refusal::not_run(Code::TooLarge, WHY),
-        StatusCode::GATEWAY_TIMEOUT => Refusal::may_have_run(Code::DeadlinePassed, WHY),
-        _ => Refusal::may_have_run(Code::BackendFailed, WHY),
+        StatusCode::SERVICE_UNAVAILABLE => Refusal::not_run(Code::Overloaded, MESSAGE),
+        StatusCode::TOO_MANY_REQUESTS => Refusal::not_run(Code::AccountLimit, MESSAGE),
+        StatusCode::REQUEST_TIMEOUT => Refusal::not_run(Code::TooSlow, MESSAGE),
+        StatusCode::PAYLOAD_TOO_LARGE => Refusal::not_run(Code::TooLarge, MESSAGE),
+        StatusCode::GATEWAY_TIMEOUT => Refusal::may_have_run(Code::DeadlinePassed, MESSAGE),
+        _ => Refusal::may_have_run(Code::BackendFailed, MESSAGE),
     };
     match seconds.filter(|seconds| seconds.is_finite() && *seconds >= 0.0) {
         Some(seconds) => refusal.retry_after((seconds * 1_000.0) as u64),
--- a/crates/gateway/src/helpers.rs
+++ b/crates/gateway/src/detour_hosts.rs
@@ -15,7 +15,7 @@
 
 /// Hosts that pass on requests of others, by name.
 #[derive(Default)]
-pub struct Helpers {
+pub struct DetourHosts {
     hosts: Mutex<HashMap<Name, Arc<Backend>>>,
     /// Other hosts of this failure domain, those that are cut off among them.
     neighbours: AtomicUsize,
@@ -23,9 +23,9 @@
     pub wanted: Notify,
 }
 
-impl Helpers {
+impl DetourHosts {
     /// A host passes requests on that come to an address.
-    pub fn add(&self, name: &Name, address: SocketAddr, failure_domain: &Name, near: bool) {
+    pub fn add(&self, name: &Name, address: SocketAddr, failure_domain: &Name, is_near: bool) {
         let mut hosts = self.lock();
         match hosts.get(name) {
             // Whatever it failed before, it lives.
@@ -33,7 +33,7 @@
                 known.server.note_success(clock::steady());
             }
             _ => {
-                let host = Backend::host(name.clone(), address, failure_domain.clone(), near);
+                let host = Backend::host(name.clone(), address, failure_domain.clone(), is_near);
                 hosts.insert(name.clone(), Arc::new(host));
             }
         }
@@ -46,7 +46,7 @@
 
     /// Forgets the hosts of this failure domain that are not among these.
     pub fn retain_near(&self, is_there: impl Fn(&Name) -> bool) {
-        self.lock().retain(|name, host| !host.near || is_there(name));
+        self.lock().retain(|name, host| !host.is_near || is_there(name));
     }
 
     /// This failure domain has so many other hosts, those that are cut off among them.
@@ -58,7 +58,7 @@
     #[must_use]
     pub fn wants_far(&self, now: Millis) -> bool {
         let hosts = self.lock();
-        let usable = hosts.values().filter(|host| !host.near && host.server.takes_work(now));
+        let usable = hosts.values().filter(|host| !host.is_near && host.server.takes_work(now));
         self.domain(&hosts).wants_far(usable.count())
     }
 
@@ -73,11 +73,11 @@
     pub fn choose(&self, tried: &[Name], seed: u64, now: Millis) -> Option<Arc<Backend>> {
         let hosts = self.lock();
         let untried = hosts.values().filter(|host| is_untried(host, tried, now));
-        let (mut near, mut far): (Vec<_>, Vec<_>) = untried.partition(|host| host.near);
-        near.sort_unstable_by_key(|host| host.hash);
-        far.sort_unstable_by_key(|host| host.hash);
+        let (mut near, mut far): (Vec<_>, Vec<_>) = untried.partition(|host| host.is_near);
+        near.sort_unstable_by_key(|host| host.id_hash);
+        far.sort_unstable_by_key(|host| host.id_hash);
         let loads = |hosts: &[&Arc<Backend>]| -> Vec<Load> {
-            hosts.iter().map(|host| host.requests(now)).collect()
+            hosts.iter().map(|host| host.recent_requests(now)).collect()
         };
         match self.domain(&hosts).choose(&loads(&near), &loads(&far), seed)? {
             Choice::Near(index) => Some(Arc::clone(near[index])),
@@ -86,7 +86,7 @@
     }
 
     fn domain(&self, hosts: &HashMap<Name, Arc<Backend>>) -> Domain {
-        let serving = hosts.values().filter(|host| host.near).count();
+        let serving = hosts.values().filter(|host| host.is_near).count();
         let neighbours = self.neighbours.load(Ordering::Relaxed);
         Domain { serving, isolated: 1 + neighbours.saturating_sub(serving) }
     }
--- a/crates/gateway/src/end.rs
+++ b/crates/gateway/src/end.rs
@@ -53,63 +53,63 @@
 
 /// What was passed on of a stream; nothing of a plain answer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Passed {
+pub struct RelayProgress {
     /// Events.
     pub events: u32,
     /// Longest pause between two pieces, in milliseconds.
     pub pause_ms: u64,
     /// When the last piece was passed on.
-    pub last: Option<Instant>,
+    pub last_at: Option<Instant>,
 }
 
-impl Passed {
+impl RelayProgress {
     /// A piece was passed on.
-    pub fn piece(&mut self, now: Instant) {
-        let pause = self.last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
+    pub fn record_piece(&mut self, now: Instant) {
+        let pause = self.last_at.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
         self.pause_ms = self.pause_ms.max(u64::try_from(pause.as_millis()).unwrap_or(u64::MAX));
-        self.last = Some(now);
+        self.last_at = Some(now);
     }
 }
 
 /// Logs and counts the end of a request.
-pub fn log<C: Codec>(job: &Job<C>, end: End, passed: Passed) {
+pub fn log<C: Codec>(job: &Job<C>, end: End, progress: RelayProgress) {
     let ms = job.started.elapsed().as_secs_f64() * 1_000.0;
     let route = &job.route().name;
     metrics::counter!("gateway_requests_total", "route" => route.to_string(), "end" => end.label())
         .increment(1);
     metrics::histogram!("gateway_request_seconds", "route" => route.to_string())
         .record(ms / 1_000.0);
-    let tries = &job.tries;
-    log::info!(target: "route", request:% = job.ask.id, route:% = route, service:% = job.service,
-        version:% = shown(tries.version.as_ref()), backend:% = shown(tries.backend.as_ref()),
-        model:% = shown(job.model()), doubted:% = shown(tries.doubted), sent = tries.sent,
-        unsent = tries.unsent, refused = tries.refused, not_run = tries.not_run,
-        events = passed.events, pause_ms = passed.pause_ms,
+    let attempts = &job.attempts;
+    log::info!(target: "route", request:% = job.info.id, route:% = route, service:% = job.service,
+        version:% = display(attempts.version.as_ref()), backend:% = display(attempts.backend.as_ref()),
+        model:% = display(job.model()), doubted:% = display(attempts.dropped_confidence), sent = attempts.sent,
+        unsent = attempts.unsent, refused = attempts.refused, not_run = attempts.not_run,
+        events = progress.events, pause_ms = progress.pause_ms,
         gap_ms = job.route().gap_ms.unwrap_or_default(), objective_ms = job.route().objective_ms,
-        prompt = job.ask.prompt_tokens, expected_ms = tries.expected_ms, head_ms = tries.head_ms,
-        first_ms = tries.begun_ms, ms = ms as u64,
-        table = job.state.world.load().index.version, outcome:? = end; "request ended");
+        prompt = job.info.prompt_tokens, expected_ms = attempts.expected_ms, head_ms = attempts.head_ms,
+        first_ms = attempts.began_after_ms, ms = ms as u64,
+        table = job.state.snapshot.load().index.version, outcome:? = end; "request ended");
 }
 
 /// Logs and counts a stream that broke off and that no other backend server took up.
 pub fn log_stranded<C: Codec>(job: &Job<C>, obstacle: Obstacle) {
     let now = clock::steady();
-    let tries = &job.tries;
+    let attempts = &job.attempts;
     let repeats = job.window(|window, allowance| window.left(allowance, now));
-    let world = job.state.world.load();
-    let pool = world.pools.get(&job.service);
+    let snapshot = job.state.snapshot.load();
+    let pool = snapshot.pools.get(&job.service);
     let takes_work = |version| {
-        let servers = pool.into_iter().flat_map(|pool| pool.of(version));
+        let servers = pool.into_iter().flat_map(|pool| pool.servers(version));
         servers.filter(|backend| backend.server.takes_work(now)).count()
     };
     let rollout = pool.and_then(|pool| pool.rollout.as_ref());
     metrics::counter!("gateway_streams_stranded_total", "why" => obstacle.label()).increment(1);
-    log::warn!(target: "route", request:% = job.ask.id, why:? = obstacle, sent = tries.sent,
-        unsent = tries.unsent, refused = tries.refused, not_run = tries.not_run,
-        repeats, left_ms = job.left().as_millis() as u64,
-        version:% = shown(tries.version.as_ref()),
-        servers = tries.version.as_ref().map_or(0, takes_work),
-        target:% = shown(rollout.map(|rollout| &rollout.target)),
+    log::warn!(target: "route", request:% = job.info.id, why:? = obstacle, sent = attempts.sent,
+        unsent = attempts.unsent, refused = attempts.refused, not_run = attempts.not_run,
+        repeats, left_ms = job.time_left().as_millis() as u64,
+        version:% = display(attempts.version.as_ref()),
+        servers = attempts.version.as_ref().map_or(0, takes_work),
+        target:% = display(rollout.map(|rollout| &rollout.target)),
         stage:? = rollout.map(|rollout| rollout.stage),
         share = rollout.map_or(0.0, |rollout| rollout.share(now)),
         target_servers = rollout.map_or(0, |rollout| takes_work(&rollout.target));
@@ -117,6 +117,6 @@
 }
 
 /// A value that may be absent, as it stands in a log.
-fn shown<T: std::fmt::Display>(value: Option<T>) -> String {
+fn display<T: std::fmt::Display>(value: Option<T>) -> String {
     value.map(|value| value.to_string()).unwrap_or_default()
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -7,7 +7,7 @@
 /// Most that comes without an event of a new number; more is no stream but bytes without end.
 const UNNUMBERED_BYTES_MAX: usize = 1 << 20;
 const BLANK_LINE: &[u8] = b"\n\n";
-const ID: &[u8] = b"id:";
+const ID_FIELD: &[u8] = b"id:";
 
 /// Why a stream can't go on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -25,24 +25,24 @@
 /// its end has come. After a resumption the new run may begin with events that the caller has;
 /// those are dropped.
 #[derive(Clone, Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     pending: BytesMut,
-    last: Option<u64>,
+    last_id: Option<u64>,
     /// Bytes of whole events that have come since the last one with a new number.
     unnumbered: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Behind an event that the caller has.
     #[must_use]
-    pub fn behind(last: Option<u64>) -> Self {
-        Self { last, ..Self::default() }
+    pub fn resume_after(last_id: Option<u64>) -> Self {
+        Self { last_id, ..Self::default() }
     }
 
     /// The last event passed on.
     #[must_use]
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
     /// Whether no part of an event is held back.
@@ -58,7 +58,7 @@
     /// [`Fault`]; nothing more can be made of the stream.
     pub fn feed(&mut self, piece: &Bytes) -> Result<(Bytes, u32), Fault> {
         if self.pending.is_empty() && piece.ends_with(BLANK_LINE) {
-            return self.sift_some(piece);
+            return self.filter_limited(piece);
         }
         // What was there before has no end but perhaps the first half of one.
         let seen = self.pending.len().saturating_sub(1);
@@ -70,25 +70,25 @@
             };
         };
         let whole = self.pending.split_to(end).freeze();
-        self.sift_some(&whole)
+        self.filter_limited(&whole)
     }
 
     /// Of whole events, those that the caller has not got, unless too much has come without a new number.
-    fn sift_some(&mut self, whole: &Bytes) -> Result<(Bytes, u32), Fault> {
-        let before = self.last;
-        let sifted = self.sift(whole);
-        self.unnumbered = match self.last > before {
+    fn filter_limited(&mut self, whole: &Bytes) -> Result<(Bytes, u32), Fault> {
+        let before = self.last_id;
+        let filtered = self.filter_new(whole);
+        self.unnumbered = match self.last_id > before {
             true => 0,
             false => self.unnumbered + whole.len(),
         };
         match self.unnumbered > UNNUMBERED_BYTES_MAX {
             true => Err(Fault::Unnumbered),
-            false => Ok(sifted),
+            false => Ok(filtered),
         }
     }
 
     /// Of whole events, those that the caller has not got.
-    fn sift(&mut self, whole: &Bytes) -> (Bytes, u32) {
+    fn filter_new(&mut self, whole: &Bytes) -> (Bytes, u32) {
         let mut kept = 0;
         let mut dropped = false;
         let mut out = BytesMut::new();
@@ -96,7 +96,7 @@
         while let Some(length) = first_end(&whole[at..]) {
             let event = &whole[at..at + length];
             let id = event_id(event);
-            let is_new = id.is_none_or(|id| self.last.is_none_or(|last| id > last));
+            let is_new = id.is_none_or(|id| self.last_id.is_none_or(|last| id > last));
             kept += u32::from(is_new && !is_comment(event));
             match (is_new, dropped) {
                 (true, false) => {}
@@ -108,7 +108,7 @@
                 (false, true) => {}
             }
             if is_new {
-                self.last = id.or(self.last);
+                self.last_id = id.or(self.last_id);
             }
             at += length;
         }
@@ -134,6 +134,6 @@
 
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
-    let id = lines.find_map(|line| line.strip_prefix(ID))?;
+    let id = lines.find_map(|line| line.strip_prefix(ID_FIELD))?;
     std::str::from_utf8(id.trim_ascii()).ok()?.parse().ok()
 }
--- a/crates/gateway/src/evidence.rs
+++ b/crates/gateway/src/evidence.rs
@@ -8,7 +8,7 @@
 
 /// Which version gave an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Origin {
+pub enum Cohort {
     /// The one before.
     Old,
     /// The one under trial, with a share of the requests.
@@ -21,9 +21,9 @@
 
 /// An answer as it was counted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Counted {
+pub struct CountedAnswer {
     /// Which version gave it.
-    pub origin: Origin,
+    pub cohort: Cohort,
     /// What it said of the version.
     pub sign: Sign,
 }
@@ -34,20 +34,20 @@
 
 impl Tally {
     /// Counts an answer.
-    pub fn note(&self, service: &Name, route: &Name, origin: Origin, sign: Sign) {
+    pub fn record(&self, service: &Name, route: &Name, cohort: Cohort, sign: Sign) {
         let mut tally = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let of_service = tally.entry(service.clone()).or_default();
         let evidence = of_service
             .entry(route.clone())
             .or_insert_with(|| Evidence { route: route.clone(), ..Evidence::default() });
-        match origin {
-            Origin::Old => evidence.old.note(sign),
-            Origin::New => evidence.new.note(sign),
-            Origin::NewAtPeak => {
+        match cohort {
+            Cohort::Old => evidence.old.note(sign),
+            Cohort::New => evidence.new.note(sign),
+            Cohort::NewAtPeak => {
                 evidence.new.note(sign);
                 evidence.peak.note(sign);
             }
-            Origin::NewAtFull => {
+            Cohort::NewAtFull => {
                 evidence.new.note(sign);
                 evidence.full.note(sign);
             }
@@ -56,19 +56,19 @@
 
     /// Takes an answer back. A stream that was counted by its first events and breaks later is counted
     /// as failed; counted twice, a version that fails so would seem to fail half as often.
-    pub fn forget(&self, service: &Name, route: &Name, counted: Counted) {
+    pub fn retract(&self, service: &Name, route: &Name, counted: CountedAnswer) {
         let mut tally = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(evidence) = tally.get_mut(service).and_then(|routes| routes.get_mut(route)) else {
             return;
         };
-        match counted.origin {
-            Origin::Old => evidence.old.forget(counted.sign),
-            Origin::New => evidence.new.forget(counted.sign),
-            Origin::NewAtPeak => {
+        match counted.cohort {
+            Cohort::Old => evidence.old.forget(counted.sign),
+            Cohort::New => evidence.new.forget(counted.sign),
+            Cohort::NewAtPeak => {
                 evidence.new.forget(counted.sign);
                 evidence.peak.forget(counted.sign);
             }
-            Origin::NewAtFull => {
+            Cohort::NewAtFull => {
                 evidence.new.forget(counted.sign);
                 evidence.full.forget(counted.sign);
             }
@@ -77,7 +77,7 @@
 
     /// What was counted for a service.
     #[must_use]
-    pub fn of(&self, service: &Name) -> Vec<Evidence> {
+    pub fn evidence(&self, service: &Name) -> Vec<Evidence> {
         let tally = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         tally.get(service).map(|routes| routes.values().cloned().collect()).unwrap_or_default()
     }
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -7,19 +7,19 @@
 use crate::job::Job;
 
 /// Parts of one prompt that are watched; a caller could fill the table with one request otherwise.
-const PARTS_MAX: usize = 64;
+const WATCHED_PARTS_MAX: usize = 64;
 
 /// The digest of what a caller sent. Every host works out the same one; nobody can make a request
 /// that is taken for another account's.
 #[must_use]
-pub fn digest(account: &str, method: &str, path: &str, body: &[u8]) -> Digest {
+pub fn request_digest(account: &str, method: &str, path: &str, body: &[u8]) -> Digest {
     hash(&[account.as_bytes(), method.as_bytes(), path.as_bytes(), body])
 }
 
 /// The digest of a part of prompts to a service, whichever account sends it: what the service's servers
 /// do with it doesn't depend on that.
 #[must_use]
-pub fn part(service: &str, id: u64) -> Digest {
+pub fn part_digest(service: &str, id: u64) -> Digest {
     hash(&[service.as_bytes(), &id.to_be_bytes()])
 }
 
@@ -42,10 +42,10 @@
         self.fingerprint.get_or_init(|| {
             let account = self.account.as_deref().unwrap_or_default();
             let path = self.path.path_and_query().map(|path| path.as_str()).unwrap_or_default();
-            let parts = self.ask.shared_parts().iter().take(PARTS_MAX);
+            let parts = self.info.shared_parts().iter().take(WATCHED_PARTS_MAX);
             Fingerprint {
-                request: digest(account, self.method.as_str(), path, &self.body),
-                parts: parts.map(|shared| part(&self.service, shared.id)).collect(),
+                request: request_digest(account, self.method.as_str(), path, &self.body),
+                parts: parts.map(|shared| part_digest(&self.service, shared.id)).collect(),
                 service: self.service.clone(),
             }
         })
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -20,28 +20,29 @@
 };
 use wire::refusal::{Code, Refusal};
 
-use crate::backend::Found;
+use crate::backend::Liveness;
 use crate::codec::Codec;
 use crate::handle;
 use crate::job::Job;
-use crate::recall::{self, Question, Registered};
+use crate::recall::{self, Message, Registration};
 use crate::refuse;
 use crate::state::State;
 
 /// Takes what other hosts pass on.
-pub struct Port<C>(pub Arc<State<C>>);
+pub struct PeerHandler<C>(pub Arc<State<C>>);
 
-impl<C: Codec> Handler for Port<C> {
+impl<C: Codec> Handler for PeerHandler<C> {
     async fn handle(self: Arc<Self>, mut request: Request<Incoming>) -> Response<Answer> {
         let state = &self.0;
-        if let Some(question) = Question::read(request.headers()) {
-            return recall::response(state.registry.answer(question));
+        if let Some(message) = Message::parse(request.headers()) {
+            return recall::response(state.registry.handle(message));
         }
-        let registered =
-            number(request.headers(), NUMBER).map(|number| state.registry.enter(number));
-        let forwarded = Forwarded { registered, ..Forwarded::take(request.headers_mut()) };
-        let recalled = forwarded.registered.as_ref().map(Registered::recalled);
-        let id = state.codec.ask(request.headers()).id;
+        let registration =
+            header_number(request.headers(), NUMBER).map(|number| state.registry.register(number));
+        let forwarded =
+            ForwardedRequest { registration, ..ForwardedRequest::take_from(request.headers_mut()) };
+        let recalled = forwarded.registration.as_ref().map(Registration::recalled);
+        let id = state.codec.request_info(request.headers()).id;
         tokio::select! {
             response = handle::answer(state, request, Some(forwarded)) => response,
             // Dropped with its connection to the backend server, which stops the work there.
@@ -58,29 +59,29 @@
 
 /// A request of another host's caller.
 #[derive(Default)]
-pub struct Forwarded {
+pub struct ForwardedRequest {
     /// Backend servers that it was sent to before.
     pub sent: u32,
     /// Those that it is not sent to again.
-    pub tried: Vec<Name>,
+    pub excluded: Vec<Name>,
     /// Index of the model that is asked, if its host has chosen one.
     pub model: Option<usize>,
     /// The version that it stays on.
     pub version: Option<Name>,
     /// Its entry among the requests of other hosts that are under way here.
-    pub registered: Option<Registered>,
+    pub registration: Option<Registration>,
 }
 
-impl Forwarded {
+impl ForwardedRequest {
     /// Takes what its host says of it out of its headers.
-    fn take(headers: &mut HeaderMap) -> Self {
-        let tried = text(headers, TRIED).unwrap_or_default();
+    fn take_from(headers: &mut HeaderMap) -> Self {
+        let excluded = header_text(headers, TRIED).unwrap_or_default();
         let forwarded = Self {
-            sent: number(headers, TRIES).unwrap_or_default(),
-            tried: tried.split(',').filter(|id| !id.is_empty()).map(Name::from).collect(),
-            model: number(headers, MODEL),
-            version: text(headers, VERSION).map(Name::from),
-            registered: None,
+            sent: header_number(headers, TRIES).unwrap_or_default(),
+            excluded: excluded.split(',').filter(|id| !id.is_empty()).map(Name::from).collect(),
+            model: header_number(headers, MODEL),
+            version: header_text(headers, VERSION).map(Name::from),
+            registration: None,
         };
         for name in WITH_REQUEST {
             headers.remove(name);
@@ -90,23 +91,23 @@
 }
 
 /// What another host learns of a request that it has passed on here.
-pub fn describe<C: Codec>(job: &Job<C>, headers: &mut HeaderMap) {
+pub fn add_report_headers<C: Codec>(job: &Job<C>, headers: &mut HeaderMap) {
     let in_flight = job.state.in_flight.load(Ordering::Relaxed);
     headers.insert(LOAD, HeaderValue::from(in_flight));
-    headers.insert(TRIES, HeaderValue::from(job.tries.sent));
-    let server = job.tries.backend.as_ref();
+    headers.insert(TRIES, HeaderValue::from(job.attempts.sent));
+    let server = job.attempts.backend.as_ref();
     if let Some(server) = server.and_then(|server| HeaderValue::from_str(server).ok()) {
         headers.insert(SERVER, server);
     }
 }
 
 /// The same of one that is refused: also whether a server ended under it.
-pub async fn describe_refused<C: Codec>(job: &mut Job<C>) -> HeaderMap {
+pub async fn refusal_report_headers<C: Codec>(job: &mut Job<C>) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    describe(job, &mut headers);
-    let broke_at = job.tries.broke_at.take();
+    add_report_headers(job, &mut headers);
+    let broke_at = job.attempts.unprobed_server.take();
     if let Some(server) = broke_at
-        && job.state.look(&server).await == Found::Ended
+        && job.state.probe(&server).await == Liveness::Ended
     {
         headers.insert(ENDED, HeaderValue::from_static("1"));
     }
@@ -128,9 +129,9 @@
 
 /// The refusal of a request that another host is to be asked for.
 #[must_use]
-pub fn misdirected<C>(state: &State<C>, mut response: Response<Answer>) -> Response<Answer> {
+pub fn mark_misdirected<C>(state: &State<C>, mut response: Response<Answer>) -> Response<Answer> {
     *response.status_mut() = StatusCode::MISDIRECTED_REQUEST;
-    if state.reach.is_isolated() || !state.world.load().is_complete {
+    if state.reach.is_isolated() || !state.snapshot.load().is_complete {
         response.headers_mut().insert(AWAY, HeaderValue::from_static("1"));
     }
     response
@@ -138,12 +139,12 @@
 
 /// A header's text.
 #[must_use]
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 /// A header's number.
 #[must_use]
-pub fn number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
-    text(headers, name)?.parse().ok()
+pub fn header_number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
+    header_text(headers, name)?.parse().ok()
 }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -18,12 +18,12 @@
 use wire::refusal::Refusal;
 use wire::routing::{Route, Target};
 
-use crate::carry::Accepted;
-use crate::codec::{Ask, Codec};
-use crate::end::{self, End, Passed};
-use crate::forward::Forwarded;
-use crate::index::{Index, Known};
-use crate::job::{Job, Tries};
+use crate::carry::AcceptedAnswer;
+use crate::codec::{Codec, RequestInfo};
+use crate::end::{self, End, RelayProgress};
+use crate::forward::ForwardedRequest;
+use crate::index::{Index, IndexedRoute};
+use crate::job::{Attempts, Job};
 use crate::state::State;
 use crate::{forward, refuse, relay};
 
@@ -56,17 +56,17 @@
 }
 
 /// A request counted as under way until dropped.
-struct Counted<C>(Arc<State<C>>);
+struct InFlightGuard<C>(Arc<State<C>>);
 
-impl<C> Drop for Counted<C> {
+impl<C> Drop for InFlightGuard<C> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// What is known of a request before its body is read.
-struct Entered {
-    known: Arc<Known>,
+struct Admission {
+    indexed: Arc<IndexedRoute>,
     account: Option<Name>,
     priority: u8,
     body_bytes: usize,
@@ -78,7 +78,7 @@
     }
 
     fn bounds(&self) -> Bounds {
-        let limits = &self.world.load().index.limits;
+        let limits = &self.snapshot.load().index.limits;
         Bounds {
             header_bytes: limits.header_bytes,
             idle: Duration::from_millis(limits.idle_ms) + IDLE_SLACK,
@@ -86,7 +86,7 @@
     }
 
     fn takes_connection(&self) -> bool {
-        self.shed.takes(clock::steady())
+        self.shed.accepts(clock::steady())
     }
 }
 
@@ -94,14 +94,14 @@
 pub async fn answer<C: Codec>(
     state: &Arc<State<C>>,
     request: Request<Incoming>,
-    forwarded: Option<Forwarded>,
+    forwarded: Option<ForwardedRequest>,
 ) -> Response<Answer> {
     let origin = if forwarded.is_some() { Origin::Host } else { Origin::Caller };
     state.in_flight.fetch_add(1, Ordering::Relaxed);
-    let _counted = Counted(Arc::clone(state));
-    let ask = state.codec.ask(request.headers());
-    let id = ask.id.clone();
-    let mut response = match serve(state, ask, request, forwarded).await {
+    let _counted = InFlightGuard(Arc::clone(state));
+    let info = state.codec.request_info(request.headers());
+    let id = info.id.clone();
+    let mut response = match serve(state, info, request, forwarded).await {
         Ok(response) => response,
         Err(Refused { refusal, headers }) => {
             let code = refusal.code.status();
@@ -112,7 +112,7 @@
             let is_misdirected = origin != Origin::Caller && forward::is_for_another_host(&refusal);
             let mut response = refuse::response(&state.codec, &id, refusal);
             response.headers_mut().extend(headers);
-            if is_misdirected { forward::misdirected(state, response) } else { response }
+            if is_misdirected { forward::mark_misdirected(state, response) } else { response }
         }
     };
     if state.stop.is_cancelled() {
@@ -123,72 +123,72 @@
 
 async fn serve<C: Codec>(
     state: &Arc<State<C>>,
-    ask: Ask,
+    info: RequestInfo,
     request: Request<Incoming>,
-    forwarded: Option<Forwarded>,
+    forwarded: Option<ForwardedRequest>,
 ) -> Result<Response<Answer>, Refused> {
     let started = Instant::now();
     let (head, body) = request.into_parts();
     if forwarded.is_none() {
-        wait_for_start(state, ask.patience_ms).await;
+        wait_for_start(state, info.patience_ms).await;
     }
-    let entered = enter(&state.world.load().index, &ask, &head.headers, head.uri.path())?;
+    let admission = admit(&state.snapshot.load().index, &info, &head.headers, head.uri.path())?;
     let bounds = wire::settings::Bounds {
-        body_bytes: entered.body_bytes,
+        body_bytes: admission.body_bytes,
         slow_ms: BODY_SLOW_MS,
         ..wire::settings::Bounds::default()
     };
     let body = call::read_body(body, &bounds).await?;
-    let route = &entered.known.route;
-    let wait_ms = ask.patience_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
-    let subject = ask.session.as_ref().unwrap_or(&ask.id);
-    let service = service(route, subject);
+    let route = &admission.indexed.route;
+    let wait_ms = info.patience_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
+    let subject = info.session.as_ref().unwrap_or(&info.id);
+    let service = choose_service(route, subject);
     let attempts_max =
         forwarded.as_ref().map_or(route.attempts_max, |forwarded| forwarded.sent + detour::LENT);
     let origin = if forwarded.is_some() { Origin::Host } else { Origin::Caller };
     let forwarded = forwarded.unwrap_or_default();
     let largest = route.models.len().saturating_sub(1);
-    let tries = Tries {
+    let attempts = Attempts {
         sent: forwarded.sent,
-        tried: forwarded.tried,
+        excluded: forwarded.excluded,
         model: forwarded.model.unwrap_or_default().min(largest),
         version: forwarded.version,
-        ..Tries::default()
+        ..Attempts::default()
     };
     let mut job = Job {
         state: Arc::clone(state),
         service,
-        ask,
+        info,
         method: head.method,
         path: head.uri,
         headers: head.headers,
         body,
-        account: entered.account,
-        priority: entered.priority,
+        account: admission.account,
+        priority: admission.priority,
         started,
-        until: started + Duration::from_millis(wait_ms),
-        known: entered.known,
+        deadline: started + Duration::from_millis(wait_ms),
+        indexed: admission.indexed,
         fingerprint: OnceLock::new(),
         origin,
         attempts_max,
-        registered: forwarded.registered,
-        tries,
+        registration: forwarded.registration,
+        attempts,
     };
     match job.answer().await {
-        Ok(Accepted::Whole(head, bytes)) => {
-            end::log(&job, End::Answered, Passed::default());
-            let headers = headers(&job, &head);
+        Ok(AcceptedAnswer::Whole(head, bytes)) => {
+            end::log(&job, End::Answered, RelayProgress::default());
+            let headers = answer_headers(&job, &head);
             Ok(response(head.status, headers, Answer::whole(bytes)))
         }
-        Ok(Accepted::Stream(head, live)) => {
-            let headers = headers(&job, &head);
+        Ok(AcceptedAnswer::Stream(head, live)) => {
+            let headers = answer_headers(&job, &head);
             Ok(response(head.status, headers, relay::start(job, live)))
         }
         Err(refusal) => {
-            end::log(&job, End::Refused(refusal.code.status()), Passed::default());
+            end::log(&job, End::Refused(refusal.code.status()), RelayProgress::default());
             let headers = match job.origin {
                 Origin::Caller => HeaderMap::new(),
-                Origin::Host => forward::describe_refused(&mut job).await,
+                Origin::Host => forward::refusal_report_headers(&mut job).await,
             };
             Err(Refused { refusal, headers })
         }
@@ -196,10 +196,10 @@
 }
 
 /// The headers of an answer that is passed on.
-fn headers<C: Codec>(job: &Job<C>, head: &Parts) -> HeaderMap {
-    let mut headers = job.state.codec.answer(head);
+fn answer_headers<C: Codec>(job: &Job<C>, head: &Parts) -> HeaderMap {
+    let mut headers = job.state.codec.caller_headers(head);
     if job.origin != Origin::Caller {
-        forward::describe(job, &mut headers);
+        forward::add_report_headers(job, &mut headers);
     }
     headers
 }
@@ -217,27 +217,32 @@
 /// before they are ready. A refusal would cost such a caller its retry and half a second, for want
 /// of a table that is there ten milliseconds later. While the store can't be read nobody waits.
 async fn wait_for_start<C>(state: &State<C>, patience_ms: Option<u64>) {
-    if !state.world.load().is_complete {
+    if !state.snapshot.load().is_complete {
         let longest = Duration::from_millis(bootstrap::wait_ms(patience_ms));
         // Read or not: what is known by then decides.
         let _ = tokio::time::timeout(longest, state.started.cancelled()).await;
     }
 }
 
-fn enter(index: &Index, ask: &Ask, headers: &HeaderMap, path: &str) -> Result<Entered, Refusal> {
+fn admit(
+    index: &Index,
+    info: &RequestInfo,
+    headers: &HeaderMap,
+    path: &str,
+) -> Result<Admission, Refusal> {
     if index.version == 0 {
         return Err(refuse::not_ready());
     }
     let host = headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let host = host.split(':').next().unwrap_or_default();
-    let known = index.route(host, path).ok_or_else(refuse::no_route)?;
-    let account = ask.key.as_ref().and_then(|key| index.account(key));
-    if account.is_none() && index.has_accounts() && !known.route.anonymous {
+    let indexed = index.route(host, path).ok_or_else(refuse::no_route)?;
+    let account = info.key.as_ref().and_then(|key| index.account(key));
+    if account.is_none() && index.has_accounts() && !indexed.route.anonymous {
         return Err(refuse::unknown_key());
     }
-    let priority = account.and_then(|account| account.priority).unwrap_or(known.route.priority);
-    Ok(Entered {
-        known: Arc::clone(known),
+    let priority = account.and_then(|account| account.priority).unwrap_or(indexed.route.priority);
+    Ok(Admission {
+        indexed: Arc::clone(indexed),
         account: account.map(|account| account.name.clone()),
         priority,
         body_bytes: index.limits.body_bytes,
@@ -245,7 +250,7 @@
 }
 
 /// One of a route's services, by weight; requests of one session go to the same.
-fn service(route: &Route, subject: &Name) -> Name {
+fn choose_service(route: &Route, subject: &Name) -> Name {
     let total: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
     let mut place = mix(hash(subject.as_bytes())) % total.max(1);
     let holds = |target: &&Target| {
--- a/crates/gateway/src/index.rs
+++ b/crates/gateway/src/index.rs
@@ -8,7 +8,7 @@
 
 /// A route, and what is worked out of it once.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct IndexedRoute {
     /// The route.
     pub route: Route,
     /// Names under which the times of its answers are kept, by model; one if it has no models.
@@ -25,7 +25,7 @@
     /// Services by name.
     pub services: HashMap<Name, Service>,
     /// By host, longest prefix first.
-    routes: HashMap<Name, Vec<Arc<Known>>>,
+    routes: HashMap<Name, Vec<Arc<IndexedRoute>>>,
     accounts: HashMap<Name, Arc<Account>>,
 }
 
@@ -33,13 +33,13 @@
     /// Indexes a table.
     #[must_use]
     pub fn new(table: Table) -> Self {
-        let mut routes: HashMap<Name, Vec<Arc<Known>>> = HashMap::new();
+        let mut routes: HashMap<Name, Vec<Arc<IndexedRoute>>> = HashMap::new();
         for route in table.routes {
-            let known = Known { timings: timings(&route), route };
-            routes.entry(known.route.host.clone()).or_default().push(Arc::new(known));
+            let indexed = IndexedRoute { timings: timings(&route), route };
+            routes.entry(indexed.route.host.clone()).or_default().push(Arc::new(indexed));
         }
         for of_host in routes.values_mut() {
-            of_host.sort_by_key(|known| std::cmp::Reverse(known.route.prefix.len()));
+            of_host.sort_by_key(|indexed| std::cmp::Reverse(indexed.route.prefix.len()));
         }
         let mut accounts = HashMap::new();
         for account in table.accounts.into_iter().map(Arc::new) {
@@ -53,12 +53,12 @@
 
     /// The route of a host and path: of those whose prefix begins the path, the longest.
     #[must_use]
-    pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Known>> {
+    pub fn route(&self, host: &str, path: &str) -> Option<&Arc<IndexedRoute>> {
         let of_host = match self.routes.get(host) {
             Some(of_host) => of_host,
             None => self.routes.get(host.to_ascii_lowercase().as_str())?,
         };
-        of_host.iter().find(|known| path.starts_with(known.route.prefix.as_str()))
+        of_host.iter().find(|indexed| path.starts_with(indexed.route.prefix.as_str()))
     }
 
     /// The account that a key belongs to.
--- a/crates/gateway/src/judge.rs
+++ b/crates/gateway/src/judge.rs
@@ -20,13 +20,13 @@
 
 use crate::attempt::{Failure, Reply};
 use crate::backend::Backend;
-use crate::carry::Accepted;
+use crate::carry::AcceptedAnswer;
 use crate::codec::Codec;
-use crate::evidence::{Counted, Origin};
+use crate::evidence::{Cohort, CountedAnswer};
 use crate::job::Job;
 use crate::pick;
 use crate::pool::Pool;
-use crate::relay::Live;
+use crate::relay::LiveStream;
 use crate::timing::Timing;
 
 /// Whether the end of an answer's body can be distinguished from a connection that is lost.
@@ -40,50 +40,50 @@
     ///
     /// # Errors
     /// The answer broke; the request may have run.
-    pub async fn judge(&mut self, reply: Reply) -> Result<Option<Accepted>, Failure> {
+    pub async fn judge(&mut self, reply: Reply) -> Result<Option<AcceptedAnswer>, Failure> {
         let status = reply.head.status;
         if status.is_server_error() {
             return self.judge_failure(reply).await;
         }
-        self.note_gain(&reply);
-        if let Some(larger) = self.escalates(&reply) {
-            self.tries.doubted = reply.said.confidence;
-            self.tries.model = larger;
-            self.tries.may_have_run = true;
-            reply.backend.note(false, clock::steady());
-            self.note_given_up(&reply.backend);
+        self.record_gain(&reply);
+        if let Some(larger) = self.escalation(&reply) {
+            self.attempts.dropped_confidence = reply.info.confidence;
+            self.attempts.model = larger;
+            self.attempts.may_have_run = true;
+            reply.backend.record_outcome(false, clock::steady());
+            self.record_abandoned(&reply.backend);
             return Ok(None);
         }
         if self.route().kind.is_stream() && status == StatusCode::OK {
             let head = reply.head.clone();
-            let live = Live::begin(self, reply, self.ask.last_event).await?;
-            self.tries.begun_at = Some(Instant::now());
-            self.note_begun();
-            return Ok(Some(Accepted::Stream(head, Box::new(live))));
+            let live = LiveStream::begin(self, reply, self.info.last_event).await?;
+            self.attempts.answer_began_at = Some(Instant::now());
+            self.record_begun();
+            return Ok(Some(AcceptedAnswer::Stream(head, Box::new(live))));
         }
-        self.tries.begun_at = Some(Instant::now());
+        self.attempts.answer_began_at = Some(Instant::now());
         let (head, body) = self.read_whole(reply).await?;
-        Ok(Some(Accepted::Whole(head, body)))
+        Ok(Some(AcceptedAnswer::Whole(head, body)))
     }
 
     /// A backend server's own failure: it ran the request. It is passed on unless the request may
     /// run again.
-    async fn judge_failure(&mut self, reply: Reply) -> Result<Option<Accepted>, Failure> {
+    async fn judge_failure(&mut self, reply: Reply) -> Result<Option<AcceptedAnswer>, Failure> {
         let backend = Arc::clone(&reply.backend);
-        backend.note(true, clock::steady());
-        self.note_version(&backend, None);
-        self.tries.may_have_run = true;
+        backend.record_outcome(true, clock::steady());
+        self.record_for_rollout(&backend, None);
+        self.attempts.may_have_run = true;
         let (head, body) = self.read_whole(reply).await?;
         // Another host may be asked again, for another server.
-        self.note_failed_at(self.tries.backend.clone());
-        log::info!(target: "route", request:% = self.ask.id, backend:% = backend.id,
-            status = head.status.as_u16(), sent = self.tries.sent; "backend server failed");
+        self.record_failed_server(self.attempts.backend.clone());
+        log::info!(target: "route", request:% = self.info.id, backend:% = backend.id,
+            status = head.status.as_u16(), sent = self.attempts.sent; "backend server failed");
         match self.route().kind.may_repeat() {
             true => {
-                self.tries.failure = Some((head, body));
+                self.attempts.failure_answer = Some((head, body));
                 Ok(None)
             }
-            false => Ok(Some(Accepted::Whole(head, body))),
+            false => Ok(Some(AcceptedAnswer::Whole(head, body))),
         }
     }
 
@@ -92,18 +92,18 @@
     /// # Errors
     /// It broke off, or the request's time is over.
     async fn collect(&self, mut body: Incoming) -> Result<Bytes, Failure> {
-        let mut share = self.state.volume.share();
+        let mut reservation = self.state.buffers.reserve();
         let mut pieces: Vec<Bytes> = Vec::new();
         loop {
-            let frame = match tokio::time::timeout_at(self.until.into(), body.frame()).await {
-                Ok(None) => return Ok(joined(pieces)),
+            let frame = match tokio::time::timeout_at(self.deadline.into(), body.frame()).await {
+                Ok(None) => return Ok(join(pieces)),
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(_))) => return Err(Failure::Lost(Cause::Truncated)),
                 Err(_) => return Err(Failure::Lost(Cause::Deadline)),
             };
             // Trailers are not passed on.
             let data = frame.into_data().unwrap_or_default();
-            if !share.grow(data.len()) {
+            if !reservation.grow(data.len()) {
                 return Err(Failure::Lost(Cause::Truncated));
             }
             pieces.push(data);
@@ -114,21 +114,23 @@
         let is_framed = is_framed(&reply);
         let Reply { head, body, mut connection, lease, backend, sent_at, forwarding, .. } = reply;
         let body = self.collect(body).await?;
-        forwarding.into_iter().for_each(|mut forwarding| forwarding.end());
-        self.note_answered(match () {
+        forwarding.into_iter().for_each(|mut forwarding| forwarding.complete());
+        self.record_answered(match () {
             () if !head.status.is_success() => Answer::Failure,
             () if is_framed => Answer::Whole,
             () => Answer::Unframed,
         });
         if !head.status.is_server_error() {
-            backend.note(false, clock::steady());
+            backend.record_outcome(false, clock::steady());
         }
-        if self.timed(&backend) {
+        if self.is_timed(&backend) {
             let ms = sent_at.elapsed().as_secs_f64() * 1_000.0;
-            self.state.timings.with(self.timing(), |timing| timing.whole.note(ms, clock::steady()));
+            self.state
+                .timings
+                .with(self.timing_key(), |timing| timing.whole.note(ms, clock::steady()));
         }
         if !head.status.is_server_error() {
-            self.note_version(&backend, Some(sent_at.elapsed().as_secs_f64() * 1_000.0));
+            self.record_for_rollout(&backend, Some(sent_at.elapsed().as_secs_f64() * 1_000.0));
         }
         if self.route().kind == Kind::Idempotent {
             connection.mark_proven();
@@ -138,16 +140,16 @@
     }
 
     /// The model whose answer a small one's doubtful answer is dropped for.
-    fn escalates(&self, reply: &Reply) -> Option<usize> {
+    fn escalation(&self, reply: &Reply) -> Option<usize> {
         let models = &self.route().models;
         let largest = models.len().saturating_sub(1);
-        let may = self.route().kind.may_repeat() && self.tries.sent < self.attempts_max;
-        if reply.head.status != StatusCode::OK || self.tries.model >= largest || !may {
+        let may = self.route().kind.may_repeat() && self.attempts.sent < self.attempts_max;
+        if reply.head.status != StatusCode::OK || self.attempts.model >= largest || !may {
             return None;
         }
-        let larger = self.larger(reply.said.confidence?, self.delay());
-        let doubt = self.doubt(larger, reply.said.confidence);
-        let has_place = pick::has_server(self) || self.has_host();
+        let larger = self.next_larger_model(reply.info.confidence?, self.delay_share());
+        let doubt = self.doubt(larger, reply.info.confidence);
+        let has_place = pick::has_server(self) || self.has_detour();
         let may_ask = escalate::escalate(&doubt) && has_place;
         (may_ask && self.take_spare_repeat()).then_some(larger)
     }
@@ -160,17 +162,17 @@
             return;
         }
         if escalate::begins_with_largest(&self.doubt(largest, None)) {
-            self.tries.model = largest;
+            self.attempts.model = largest;
         }
     }
 
     /// What is known of an answer that a larger model would give in place of a doubtful one.
     fn doubt(&self, larger: usize, confidence: Option<u8>) -> Doubt {
         let objective_ms = self.route().objective_ms as f64;
-        let timing = self.state.timings.with(&self.known.timings[larger], |timing| *timing);
+        let timing = self.state.timings.with(&self.indexed.timings[larger], |timing| *timing);
         let usual_ms = timing.first.faded_ms(objective_ms / 4.0, clock::steady());
         // A prompt far longer than usual keeps an engine for seconds, and all that wait there.
-        let read_ms = f64::from(self.ask.prompt_tokens) / self.tokens_per_ms(larger);
+        let read_ms = f64::from(self.info.prompt_tokens) / self.tokens_per_ms(larger);
         Doubt {
             confidence,
             priority: self.priority,
@@ -178,99 +180,102 @@
             larger_ms: usual_ms.max(read_ms),
             read_ms,
             objective_ms,
-            delay: self.delay(),
+            delay: self.delay_share(),
         }
     }
 
     /// How long callers wait for streams to begin lately, as a part of their objective.
-    fn delay(&self) -> f64 {
+    fn delay_share(&self) -> f64 {
         let now = clock::steady();
         self.state.delays.with(&self.service, |delay| delay.faded_ms(0.0, now))
     }
 
     /// The larger model that is asked after a doubtful answer.
-    fn larger(&self, confidence: u8, delay: f64) -> usize {
+    fn next_larger_model(&self, confidence: u8, delay_share: f64) -> usize {
         let largest = self.route().models.len() - 1;
         // One that doubts its answer as well must leave a try for the largest.
-        if self.tries.model > 0 || self.tries.sent + 1 >= self.attempts_max {
+        if self.attempts.model > 0 || self.attempts.sent + 1 >= self.attempts_max {
             return largest;
         }
         let between = &self.route().models[1..largest];
         let gain = |model| self.state.gains.with(model, |gain| *gain);
         let gains: Vec<_> = between.iter().map(gain).collect();
-        1 + gain::choose(confidence, escalate::threshold(self.priority, delay), &gains)
+        1 + gain::choose(confidence, escalate::threshold(self.priority, delay_share), &gains)
     }
 
     /// A larger model has answered a request that the smallest had answered before.
-    fn note_gain(&self, reply: &Reply) {
+    fn record_gain(&self, reply: &Reply) {
         if let (Some(small), Some(larger), Some(model)) =
-            (self.tries.doubted, reply.said.confidence, self.model())
+            (self.attempts.dropped_confidence, reply.info.confidence, self.model())
         {
             self.state.gains.with(model, |gain| gain.note(small, larger));
         }
     }
 
     /// The caller gets the beginning of its answer now.
-    pub fn note_begun(&mut self) {
+    pub fn record_begun(&mut self) {
         let waited = self.started.elapsed().as_secs_f64() * 1_000.0;
-        self.tries.begun_ms = waited as u64;
-        self.tries.is_passed_on = true;
+        self.attempts.began_after_ms = waited as u64;
+        self.attempts.has_stream_begun = true;
         let part = waited / self.route().objective_ms.max(1) as f64;
         self.state.delays.with(&self.service, |delay| delay.note(part, clock::steady()));
     }
 
     /// Counts an answer for the roll-out under way: the time that it took, of a stream for each of
     /// its events, in milliseconds; none if it failed.
-    pub fn note_version(&self, backend: &Backend, took_ms: Option<f64>) {
+    pub fn record_for_rollout(&self, backend: &Backend, took_ms: Option<f64>) {
         if backend.is_host {
             return;
         }
         let sign = match took_ms {
             None => Sign::Failed,
-            Some(ms) => self.compare(backend, ms, |timing| &mut timing.short),
+            Some(ms) => self.compare_with_usual(backend, ms, |timing| &mut timing.short),
         };
-        self.note_sign(backend, sign);
+        self.record_sign(backend, sign);
     }
 
     /// Counts a stream for the roll-out under way by its pace, in milliseconds an event.
     ///
     /// Of a slow version few streams end before the verdict. Counted only at their ends, those
     /// that had been fast would speak for it.
-    pub fn note_pace(&self, backend: &Backend, pace_ms: f64) -> Option<Counted> {
+    pub fn record_pace(&self, backend: &Backend, pace_ms: f64) -> Option<CountedAnswer> {
         if backend.is_host {
             return None;
         }
-        self.note_sign(backend, self.compare(backend, pace_ms, |timing| &mut timing.pace))
+        self.record_sign(
+            backend,
+            self.compare_with_usual(backend, pace_ms, |timing| &mut timing.pace),
+        )
     }
 
     /// Learns from the pace of a stream that has ended how fast its engine is.
-    pub fn note_speed(&self, backend: &Backend, pace_ms: f64) {
+    pub fn record_engine_speed(&self, backend: &Backend, pace_ms: f64) {
         // What came by another host is counted there.
         if backend.is_host {
             return;
         }
-        let shown = self.state.timings.with(self.timing(), |timing| timing.best.note(pace_ms));
-        backend.note_streams(shown, clock::steady());
-        if backend.near {
-            self.state.paces.note(&backend.id, shown);
+        let shown = self.state.timings.with(self.timing_key(), |timing| timing.best.note(pace_ms));
+        backend.record_streams(shown, clock::steady());
+        if backend.is_near {
+            self.state.paces.record(&backend.id, shown);
         }
     }
 
     /// Takes a stream back that was counted by its pace, and has broken now.
-    pub fn forget_pace(&self, counted: Counted) {
-        self.state.tally.forget(&self.service, &self.route().name, counted);
+    pub fn retract_pace(&self, counted: CountedAnswer) {
+        self.state.tally.retract(&self.service, &self.route().name, counted);
     }
 
     /// Whether a time is much longer than usual; the versions before make up what is usual.
-    fn compare(
+    fn compare_with_usual(
         &self,
         backend: &Backend,
         ms: f64,
-        of: impl FnOnce(&mut Timing) -> &mut Patience,
+        select: impl FnOnce(&mut Timing) -> &mut Patience,
     ) -> Sign {
-        let is_usual = self.timed(backend);
-        let usual_ms = self.state.timings.with(self.timing(), |timing| {
-            let usual = of(timing);
+        let is_usual = self.is_timed(backend);
+        let usual_ms = self.state.timings.with(self.timing_key(), |timing| {
+            let usual = select(timing);
             let before = usual.mean_ms(f64::INFINITY);
             if is_usual {
                 usual.note(ms, clock::steady());
@@ -280,27 +285,27 @@
         if canary::is_slow(ms, usual_ms) { Sign::Slow } else { Sign::Good }
     }
 
-    fn note_sign(&self, backend: &Backend, sign: Sign) -> Option<Counted> {
-        let world = self.state.world.load();
-        let pool: Option<&Arc<Pool>> = world.pools.get(&self.service);
+    fn record_sign(&self, backend: &Backend, sign: Sign) -> Option<CountedAnswer> {
+        let snapshot = self.state.snapshot.load();
+        let pool: Option<&Arc<Pool>> = snapshot.pools.get(&self.service);
         let trial = pool.and_then(|pool| pool.rollout.as_ref()).filter(|trial| trial.is_open());
         let trial = trial?;
         let now = clock::steady();
         let came = now - self.started.elapsed().as_millis() as u64;
-        let origin = match backend.version == trial.target {
-            false => Origin::Old,
+        let cohort = match backend.version == trial.target {
+            false => Cohort::Old,
             // What came then is under way for a while with all that came with it.
-            true if trial.is_at_peak(came) => Origin::NewAtPeak,
-            true if trial.has_all(now) => Origin::NewAtFull,
-            true => Origin::New,
+            true if trial.is_at_peak(came) => Cohort::NewAtPeak,
+            true if trial.has_all(now) => Cohort::NewAtFull,
+            true => Cohort::New,
         };
-        self.state.tally.note(&self.service, &self.route().name, origin, sign);
-        Some(Counted { origin, sign })
+        self.state.tally.record(&self.service, &self.route().name, cohort, sign);
+        Some(CountedAnswer { cohort, sign })
     }
 }
 
 /// Most answers come in one piece.
-fn joined(mut pieces: Vec<Bytes>) -> Bytes {
+fn join(mut pieces: Vec<Bytes>) -> Bytes {
     match pieces.len() {
         0 | 1 => pieces.pop().unwrap_or_default(),
         _ => pieces.concat().into(),
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -13,17 +13,17 @@
 use crate::state::Peers;
 
 /// Where this host stands among those that may send to a service's servers.
-pub struct Limits {
+pub struct SendLimits {
     peers: Arc<Option<Peers>>,
     domains: usize,
     /// Rejected requests a second that a server of the service tolerates, if they fall over beyond that.
     tolerance: Option<f64>,
 }
 
-impl Limits {
+impl SendLimits {
     /// As it is now.
     #[must_use]
-    pub fn of<C: Codec>(job: &Job<C>, pool: &Pool) -> Self {
+    pub fn current<C: Codec>(job: &Job<C>, pool: &Pool) -> Self {
         Self {
             peers: job.state.peers.load_full(),
             domains: pool.domains(),
@@ -49,22 +49,22 @@
     }
 
     /// This host sends the server a request.
-    pub fn sent(&self, backend: &Backend, now: Millis) {
+    pub fn record_sent(&self, backend: &Backend, now: Millis) {
         if backend.server.is_restricted() {
             let place = self.place(backend);
             backend.with_intake(|intake| intake.sent(place.as_ref(), now));
         }
         if self.tolerance.is_some() {
-            backend.chosen(now);
+            backend.record_chosen(now);
         }
     }
 
     fn place(&self, backend: &Backend) -> Option<Place> {
         let peers = self.peers.as_ref().as_ref()?;
         Some(Place {
-            before: peers.before(backend.hash),
+            before: peers.count_before(backend.id_hash),
             hosts: peers.others.len() + 1,
-            is_near: backend.near,
+            is_near: backend.is_near,
             domains: self.domains,
         })
     }
--- a/crates/gateway/src/paces.rs
+++ b/crates/gateway/src/paces.rs
@@ -8,7 +8,7 @@
 
 policy::domain! {
     /// What streams of one engine showed, as other hosts are notified of it.
-    pub struct Seen {
+    pub struct PaceSample {
         /// The backend server's start.
         pub backend: Name,
         /// What they showed.
@@ -22,15 +22,15 @@
 
 impl Paces {
     /// A stream of a backend server has ended.
-    pub fn note(&self, backend: &Name, shown: Shown) {
+    pub fn record(&self, backend: &Name, shown: Shown) {
         let mut paces = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let held = paces.entry(backend.clone()).or_default();
-        *held = held.and(shown);
+        let sample = paces.entry(backend.clone()).or_default();
+        *sample = sample.and(shown);
     }
 
     /// What the others have not been notified of yet.
-    pub fn take(&self) -> Vec<Seen> {
+    pub fn take(&self) -> Vec<PaceSample> {
         let paces = std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
-        paces.into_iter().map(|(backend, shown)| Seen { backend, shown }).collect()
+        paces.into_iter().map(|(backend, shown)| PaceSample { backend, shown }).collect()
     }
 }
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -14,14 +14,14 @@
 use crate::backend::Backend;
 use crate::codec::Codec;
 use crate::job::Job;
-use crate::limits::Limits;
-use crate::pool::{Looked, Pool};
+use crate::limits::SendLimits;
+use crate::pool::{Candidates, Pool};
 
 /// Another failure domain costs an engine's request this part of its objective: the bytes between
 /// failure domains have a price, and a near answer is soon enough until its queue is that long.
-const FAR_ENGINE: f64 = 1.0 / 8.0;
+const FAR_ENGINE_SHARE: f64 = 1.0 / 8.0;
 /// The same for a plain service, whose requests are small and short.
-const FAR_PLAIN: f64 = 1.0 / 4.0;
+const FAR_PLAIN_SHARE: f64 = 1.0 / 4.0;
 
 /// Backend servers that can't be reached and are asked for one request, at most.
 const PROBED_MAX: usize = 64;
@@ -35,40 +35,43 @@
 pub fn choose<C: Codec>(job: &Job<C>, pool: &Pool, version: &Name) -> Option<Arc<Backend>> {
     let now = clock::steady();
     let load = if is_engine(job) { canary::USUAL_LOAD } else { canary::PEAK_LOAD };
-    let looked = pool.look(version, load, subject(job), rand::random(), now);
-    let chosen = choose_of(job, pool, version, &looked, now);
+    let candidates = pool.candidates(version, load, shared_part(job), rand::random(), now);
+    let chosen = choose_among(job, pool, version, &candidates, now);
     // None of those drawn takes it; of thousands another one does, if the service works.
     let chosen = chosen.or_else(|| {
-        let all = || Looked { backends: pool.open(version, load, now), ..Looked::default() };
-        if looked.is_sample { choose_of(job, pool, version, &all(), now) } else { None }
+        let all =
+            || Candidates { backends: pool.active(version, load, now), ..Candidates::default() };
+        if candidates.is_sample { choose_among(job, pool, version, &all(), now) } else { None }
     });
-    chosen.inspect(|backend| Limits::of(job, pool).sent(backend, now))
+    chosen.inspect(|backend| SendLimits::current(job, pool).record_sent(backend, now))
 }
 
 /// The best of those that the request looks at.
-fn choose_of<C: Codec>(
+fn choose_among<C: Codec>(
     job: &Job<C>,
     pool: &Pool,
     version: &Name,
-    looked: &Looked<'_>,
+    candidates: &Candidates<'_>,
     now: Millis,
 ) -> Option<Arc<Backend>> {
-    let limits = Limits::of(job, pool);
-    let open = looked.backends.iter().copied();
-    let untried = open.filter(|backend| !job.tries.tried.contains(&backend.id));
+    let limits = SendLimits::current(job, pool);
+    let open = candidates.backends.iter().copied();
+    let untried = open.filter(|backend| !job.attempts.excluded.contains(&backend.id));
     let untried = untried.filter(|backend| limits.may_send(backend, now));
     let (reachable, unreachable): (Vec<_>, Vec<_>) = untried
-        .partition(|backend| !job.tries.unreachable.contains(&backend.server.failure_domain));
+        .partition(|backend| !job.attempts.silent_domains.contains(&backend.server.failure_domain));
     let (well, ill): (Vec<_>, Vec<_>) =
         reachable.into_iter().partition(|backend| backend.server.takes_work(now));
     match (well.as_slice(), unreachable.as_slice()) {
         ([], []) => {
             let probed = sample::draw(ill.len(), PROBED_MAX, rand::random());
-            probed.for_each(|index| ill[index].probe_soon());
+            probed.for_each(|index| ill[index].probe_recovery());
             None
         }
-        ([], unreachable) => best(job, unreachable, looked.preferred, now),
-        (well, _) => best(job, loaded(job, pool, version, well, now), looked.preferred, now),
+        ([], unreachable) => best(job, unreachable, candidates.preferred, now),
+        (well, _) => {
+            best(job, peak_subset(job, pool, version, well, now), candidates.preferred, now)
+        }
     }
 }
 
@@ -76,14 +79,14 @@
 /// dropped where there is nobody to ask for another one.
 #[must_use]
 pub fn has_server<C: Codec>(job: &Job<C>) -> bool {
-    let world = job.state.world.load();
-    let Some(pool) = world.pools.get(&job.service) else { return false };
+    let snapshot = job.state.snapshot.load();
+    let Some(pool) = snapshot.pools.get(&job.service) else { return false };
     let now = clock::steady();
-    let limits = Limits::of(job, pool);
-    let version = job.tries.version.as_ref();
+    let limits = SendLimits::current(job, pool);
+    let version = job.attempts.version.as_ref();
     let mut backends = pool.backends.iter().filter(|backend| {
         version.is_none_or(|version| backend.version == *version)
-            && !job.tries.tried.contains(&backend.id)
+            && !job.attempts.excluded.contains(&backend.id)
             && backend.server.takes_work(now)
     });
     backends.any(|backend| limits.may_send(backend, now))
@@ -91,7 +94,7 @@
 
 /// Of the servers of a version on trial, the one that is to have the load of a peak; all of other
 /// versions'.
-fn loaded<'a, 'b, C: Codec>(
+fn peak_subset<'a, 'b, C: Codec>(
     job: &Job<C>,
     pool: &Pool,
     version: &Name,
@@ -115,7 +118,7 @@
     now: Millis,
 ) -> Option<Arc<Backend>> {
     let engines = engines(job, backends, preferred, now);
-    let index = engine::choose(&engines, &ask(job), rand::random())?;
+    let index = engine::choose(&engines, &engine_request(job), rand::random())?;
     backends.get(index).map(|backend| Arc::clone(backend))
 }
 
@@ -136,19 +139,19 @@
         .iter()
         .enumerate()
         .map(|(index, backend)| {
-            let seen = backend.seen(model, &job.ask.parts, rank, now);
+            let estimate = backend.estimate(model, &job.info.parts, rank, now);
             Engine {
                 own: backend.server.in_flight.load(std::sync::atomic::Ordering::Relaxed),
-                reported: seen.reported,
-                own_then: seen.own_then,
-                report_age_ms: engine::age(seen.reported_at, now),
+                reported: estimate.reported,
+                own_then: estimate.own_at_report,
+                report_age_ms: engine::age(estimate.reported_at, now),
                 slots: backend.slots,
-                wait_ms: seen.wait_ms,
-                cached: seen.cached,
+                wait_ms: estimate.wait_ms,
+                cached: estimate.cached_tokens,
                 preferred: preferred == Some(index),
-                near: backend.near,
-                suspicion: seen.suspicion,
-                slowdown: seen.slowdown - 1.0,
+                near: backend.is_near,
+                suspicion: estimate.suspicion,
+                slowdown: estimate.slowdown - 1.0,
             }
         })
         .collect()
@@ -156,32 +159,32 @@
 
 /// Whether it is answered by an engine, and not by a plain service.
 fn is_engine<C: Codec>(job: &Job<C>) -> bool {
-    !job.ask.parts.is_empty()
+    !job.info.parts.is_empty()
 }
 
-fn ask<C: Codec>(job: &Job<C>) -> Ask {
-    let timing = job.state.timings.with(job.timing(), |timing| *timing);
+fn engine_request<C: Codec>(job: &Job<C>) -> Ask {
+    let timing = job.state.timings.with(job.timing_key(), |timing| *timing);
     let objective = job.route().objective_ms as f64;
-    let shared = job.ask.parts.split_last().map_or(&[][..], |(_, shared)| shared);
+    let shared = job.info.parts.split_last().map_or(&[][..], |(_, shared)| shared);
     Ask {
-        prompt: f64::from(job.ask.prompt_tokens),
+        prompt: f64::from(job.info.prompt_tokens),
         shared: shared.iter().map(|part| f64::from(part.tokens)).sum(),
-        tokens_per_ms: job.tokens_per_ms(job.tries.model),
+        tokens_per_ms: job.tokens_per_ms(job.attempts.model),
         service_ms: timing.whole.mean_ms(objective),
-        far_ms: objective * if is_engine(job) { FAR_ENGINE } else { FAR_PLAIN },
+        far_ms: objective * if is_engine(job) { FAR_ENGINE_SHARE } else { FAR_PLAIN_SHARE },
         failure_ms: objective,
     }
 }
 
 /// The last part of the prompt that other requests share.
-fn subject<C: Codec>(job: &Job<C>) -> Option<u64> {
-    let (_, shared) = job.ask.parts.split_last()?;
+fn shared_part<C: Codec>(job: &Job<C>) -> Option<u64> {
+    let (_, shared) = job.info.parts.split_last()?;
     shared.last().map(|part| part.id)
 }
 
 /// The near engine that all hosts of the failure domain prefer for the prompt's last shared part.
 fn preferred<C: Codec>(job: &Job<C>, backends: &[&Arc<Backend>]) -> Option<usize> {
-    let subject = subject(job)?;
-    let near = backends.iter().enumerate().filter(|(_, backend)| backend.near);
-    near.max_by_key(|(_, backend)| mix(backend.hash ^ subject)).map(|(index, _)| index)
+    let shared_part = shared_part(job)?;
+    let near = backends.iter().enumerate().filter(|(_, backend)| backend.is_near);
+    near.max_by_key(|(_, backend)| mix(backend.id_hash ^ shared_part)).map(|(index, _)| index)
 }
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -16,26 +16,26 @@
 use crate::backend::Backend;
 use crate::codec::Codec;
 use crate::job::Job;
-use crate::reach::Reach;
+use crate::reach::Reachability;
 
 /// An answer that has been coming for this long was not just begun.
-const SETTLED: Duration = Duration::from_secs(1);
+const SETTLED_AFTER: Duration = Duration::from_secs(1);
 /// Longest wait for leave to try such a request. The store answers in a few milliseconds.
-const TRIAL_WAIT: Duration = Duration::from_millis(500);
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
 /// When a caller may come back whose request another host is trying, in milliseconds.
-const TRIED_MS: u64 = 2_000;
+const TRIAL_RETRY_MS: u64 = 2_000;
 
 /// A message to the task that speaks with the store, about a try that one host of all may make.
-pub enum Trial {
+pub enum TrialMessage {
     /// A request asks for leave.
-    Ask(Ask),
+    Request(TrialRequest),
     /// A server has answered the one that had leave: hosts that ask are to hear of it.
     Answered(Digest),
 }
 
 /// Asks for leave to try a request that servers ended under, or one with a part that they ended under: of
 /// all hosts one may.
-pub struct Ask {
+pub struct TrialRequest {
     /// The request or part.
     pub digest: Digest,
     /// Which of the two.
@@ -53,22 +53,22 @@
     book: Mutex<Book>,
     polls: Mutex<Polls>,
     /// Nothing speaks against any request, so none needs to be looked up.
-    is_calm: AtomicBool,
+    is_empty: AtomicBool,
     /// Wakes whoever tells the other hosts.
     pub changed: Notify,
     /// Whether this host reaches any server: one that it can't reach has not ended.
-    pub reach: Arc<Reach>,
-    trials: mpsc::Sender<Trial>,
+    pub reach: Arc<Reachability>,
+    trials: mpsc::Sender<TrialMessage>,
 }
 
 impl Guard {
     /// Nothing known yet.
     #[must_use]
-    pub fn new(trials: mpsc::Sender<Trial>) -> Self {
+    pub fn new(trials: mpsc::Sender<TrialMessage>) -> Self {
         Self {
             book: Mutex::default(),
             polls: Mutex::default(),
-            is_calm: AtomicBool::new(true),
+            is_empty: AtomicBool::new(true),
             changed: Notify::new(),
             reach: Arc::default(),
             trials,
@@ -76,10 +76,10 @@
     }
 
     /// Uses what is known.
-    pub fn with<T>(&self, use_it: impl FnOnce(&mut Book) -> T) -> T {
+    pub fn with_book<T>(&self, use_it: impl FnOnce(&mut Book) -> T) -> T {
         let mut book = self.lock();
         let used = use_it(&mut book);
-        self.is_calm.store(book.is_empty(), Ordering::Relaxed);
+        self.is_empty.store(book.is_empty(), Ordering::Relaxed);
         used
     }
 
@@ -88,30 +88,30 @@
     }
 
     /// Uses the times at which the store is read for what others know.
-    pub fn polls<T>(&self, use_them: impl FnOnce(&mut Polls) -> T) -> T {
+    pub fn with_polls<T>(&self, use_them: impl FnOnce(&mut Polls) -> T) -> T {
         use_them(&mut self.polls.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// A server ended, here or elsewhere: others may know more.
     pub fn alarm(&self) {
-        self.polls(|polls| polls.alarm(clock::steady()));
+        self.with_polls(|polls| polls.alarm(clock::steady()));
         self.changed.notify_one();
     }
 
     /// Whether something is to be sent or read, now or soon.
     pub fn is_awake(&self) -> bool {
-        self.polls(|polls| polls.is_awake()) || self.lock().has_unsent()
+        self.with_polls(|polls| polls.is_awake()) || self.lock().has_unsent()
     }
 
     /// Something was learnt of a request, with times of this host's clock; whether it is news.
     pub fn learn(&self, heard: &Suspect, source: Source) -> bool {
         let now = clock::steady();
-        let (is_news, verdict) = self.with(|book| {
+        let (is_news, verdict) = self.with_book(|book| {
             let is_news = book.learn(heard, source, now);
             (is_news, book.verdict(heard.digest, now))
         });
         if is_news {
-            self.polls(|polls| polls.hurry(now));
+            self.with_polls(|polls| polls.hurry(now));
             self.changed.notify_one();
         }
         // Of victims every host hears; what is decided by is sent to them.
@@ -122,14 +122,14 @@
         is_news
     }
 
-    fn is_calm(&self) -> bool {
-        self.is_calm.load(Ordering::Relaxed)
+    fn is_empty(&self) -> bool {
+        self.is_empty.load(Ordering::Relaxed)
     }
 
     /// A server has ended.
-    pub fn ended(&self, server: &Name) {
+    pub fn record_ended(&self, server: &Name) {
         let now = clock::steady();
-        let lost = self.with(|book| {
+        let lost = self.with_book(|book| {
             let requests = book.ended(server, now).into_iter();
             let count = |digest| book.suspect(digest).map_or(0, |suspect| suspect.servers(now));
             let counted = requests.map(|request| {
@@ -148,18 +148,23 @@
                 "request lost with its server");
         }
         if !lost.is_empty() {
-            self.polls(|polls| polls.hurry(now));
+            self.with_polls(|polls| polls.hurry(now));
             self.changed.notify_one();
         }
     }
 
-    async fn may_try(&self, (digest, kind): (Digest, Kind), servers: u32, alone_ms: u64) -> bool {
+    async fn request_trial(
+        &self,
+        (digest, kind): (Digest, Kind),
+        servers: u32,
+        alone_ms: u64,
+    ) -> bool {
         let (granted, answer) = oneshot::channel();
-        let ask = Ask { digest, kind, servers, alone_ms, granted };
-        if self.trials.try_send(Trial::Ask(ask)).is_err() {
+        let request = TrialRequest { digest, kind, servers, alone_ms, granted };
+        if self.trials.try_send(TrialMessage::Request(request)).is_err() {
             return false;
         }
-        matches!(tokio::time::timeout(TRIAL_WAIT, answer).await, Ok(Ok(true)))
+        matches!(tokio::time::timeout(TRIAL_TIMEOUT, answer).await, Ok(Ok(true)))
     }
 }
 
@@ -169,57 +174,59 @@
     /// # Errors
     /// A refusal: it is held back, since it was lost with server after server.
     pub async fn permit(&mut self, place: &Backend) -> Result<(), Refusal> {
-        if let Some(backend) = self.tries.broke_at.take() {
+        if let Some(backend) = self.attempts.unprobed_server.take() {
             // What the last try came to decides about the next one.
-            self.state.look(&backend).await;
+            self.state.probe(&backend).await;
         }
-        if self.state.poison.is_calm() {
+        if self.state.poison.is_empty() {
             return Ok(());
         }
         let now = clock::steady();
-        let judged = self.state.poison.with(|book| book.judge(self.fingerprint(), now));
+        let judged = self.state.poison.with_book(|book| book.judge(self.fingerprint(), now));
         let Some(cause) = judged.cause else { return Ok(()) };
         match judged.verdict {
             Verdict::Run => Ok(()),
-            Verdict::Hold(ms) => Err(self.held(cause, ms)),
+            Verdict::Hold(ms) => Err(self.hold(cause, ms)),
             // The other host asks for leave itself: of all hosts one may have it.
             Verdict::Trial { .. } if place.is_host => Ok(()),
             // It was not sent yet, or a small model's answer was dropped: no server has ended since.
-            Verdict::Trial { servers, .. } if self.tries.trial == Some((cause.0, servers)) => {
+            Verdict::Trial { servers, .. }
+                if self.attempts.granted_trial == Some((cause.0, servers)) =>
+            {
                 Ok(())
             }
             Verdict::Trial { servers, alone_ms }
-                if self.state.poison.may_try(cause, servers, alone_ms).await =>
+                if self.state.poison.request_trial(cause, servers, alone_ms).await =>
             {
-                self.tries.trial = Some((cause.0, servers));
-                log::info!(target: "route", request:% = self.ask.id, digest:% = cause.0,
+                self.attempts.granted_trial = Some((cause.0, servers));
+                log::info!(target: "route", request:% = self.info.id, digest:% = cause.0,
                     kind:? = cause.1, servers; "suspect request tried");
                 Ok(())
             }
-            Verdict::Trial { .. } => Err(self.held(cause, TRIED_MS)),
+            Verdict::Trial { .. } => Err(self.hold(cause, TRIAL_RETRY_MS)),
         }
     }
 
-    fn held(&self, (digest, kind): (Digest, Kind), ms: u64) -> Refusal {
+    fn hold(&self, (digest, kind): (Digest, Kind), ms: u64) -> Refusal {
         let label = match kind {
             Kind::Request => "request",
             Kind::Part => "part",
         };
         metrics::counter!("gateway_requests_held_total", "cause" => label).increment(1);
-        let crashes = self.state.poison.with(|book| {
+        let crashes = self.state.poison.with_book(|book| {
             let suspect = book.suspect(digest);
             suspect.map(|suspect| suspect.crashes.clone()).unwrap_or_default()
         });
         let servers: Vec<&str> = crashes.iter().map(|crash| &*crash.server).collect();
-        log::warn!(target: "route", request:% = self.ask.id, digest:% = digest, kind:? = kind,
+        log::warn!(target: "route", request:% = self.info.id, digest:% = digest, kind:? = kind,
             prompt_part:% = self.part_id(digest).unwrap_or_default(), hold_ms = ms,
-            servers:% = servers.join(" "), sent = self.tries.sent;
+            servers:% = servers.join(" "), sent = self.attempts.sent;
             "request held, servers ended under it");
-        const WHY: &str = "held back, servers ended when they ran this request";
-        const WHY_PART: &str =
+        const HELD_REQUEST: &str = "held back, servers ended when they ran this request";
+        const HELD_PART: &str =
             "held back, servers ended when they ran a prompt with one of its parts";
-        let why = if kind == Kind::Part { WHY_PART } else { WHY };
-        match self.tries.may_have_run {
+        let why = if kind == Kind::Part { HELD_PART } else { HELD_REQUEST };
+        match self.attempts.may_have_run {
             true => Refusal::may_have_run(Code::BackendFailed, why),
             false => Refusal::not_run(Code::Held, why).retry_after(ms),
         }
@@ -229,56 +236,56 @@
     fn part_id(&self, digest: Digest) -> Option<String> {
         let mut parts = self.fingerprint().parts.iter();
         let index = parts.position(|part| *part == digest)?;
-        self.ask.parts.get(index).map(|part| format!("{:x}", part.id))
+        self.info.parts.get(index).map(|part| format!("{:x}", part.id))
     }
 
     /// A try broke off; what it says of the request is known when its server was looked at.
-    pub fn note_broken(&mut self, backend: &Arc<Backend>, cause: Cause) {
+    pub fn record_broken(&mut self, backend: &Arc<Backend>, cause: Cause) {
         if !matches!(cause, Cause::Broken | Cause::Truncated | Cause::Silent) {
             return;
         }
         let run = self.run_at(backend);
-        self.state.poison.with(|book| book.lost(run, clock::steady()));
+        self.state.poison.with_book(|book| book.lost(run, clock::steady()));
         if cause != Cause::Silent {
-            self.tries.broke_at = Some(Arc::clone(backend));
-            self.state.look_soon(backend);
+            self.attempts.unprobed_server = Some(Arc::clone(backend));
+            self.state.probe_soon(backend);
         }
     }
 
     /// A server ended under it that another host had sent it to.
-    pub fn note_ended_under(&self, backend: &Backend) {
+    pub fn record_crash(&self, backend: &Backend) {
         let run = self.run_at(backend);
-        self.state.poison.with(|book| book.lost(run, clock::steady()));
-        self.state.poison.ended(&backend.id);
+        self.state.poison.with_book(|book| book.lost(run, clock::steady()));
+        self.state.poison.record_ended(&backend.id);
     }
 
     /// A run is given up while its server works on it. The server may end of it all the same.
-    pub fn note_given_up(&self, backend: &Backend) {
+    pub fn record_abandoned(&self, backend: &Backend) {
         if backend.is_host {
             return;
         }
         let run = self.run_at(backend);
-        self.state.poison.with(|book| book.given_up(run, clock::steady()));
+        self.state.poison.with_book(|book| book.given_up(run, clock::steady()));
     }
 
     /// A server has answered the request.
-    pub fn note_answered(&self, answer: Answer) {
+    pub fn record_answered(&self, answer: Answer) {
         let now = clock::steady();
-        self.state.poison.with(|book| book.answered(self.fingerprint(), answer, now));
-        let acquitted = self.tries.trial.filter(|_| answer == Answer::Whole);
+        self.state.poison.with_book(|book| book.answered(self.fingerprint(), answer, now));
+        let acquitted = self.attempts.granted_trial.filter(|_| answer == Answer::Whole);
         if let Some((digest, _)) = acquitted {
             // When too many wait the others find out by tries of their own.
-            let _ = self.state.poison.trials.try_send(Trial::Answered(digest));
+            let _ = self.state.poison.trials.try_send(TrialMessage::Answered(digest));
         }
     }
 
     fn run_at(&self, backend: &Backend) -> Run {
-        let is_settled = |begun: Instant| begun.elapsed() >= SETTLED;
+        let is_settled = |begun: Instant| begun.elapsed() >= SETTLED_AFTER;
         Run {
             request: self.fingerprint().clone(),
             server: backend.id.clone(),
             born: backend.born,
-            is_early: !self.tries.begun_at.is_some_and(is_settled),
+            is_early: !self.attempts.answer_began_at.is_some_and(is_settled),
         }
     }
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -21,11 +21,11 @@
     /// How far it has come.
     pub stage: Stage,
     /// When it began, by this host's clock.
-    pub began: Millis,
+    pub began_at: Millis,
     /// How long it may take, in milliseconds.
     pub within_ms: u64,
     /// Part of all requests that a bad version may get in that time.
-    pub allowed: f64,
+    pub exposure_share: f64,
     /// This host's own answers speak against the new version: it stops at once, before the other
     /// hosts know.
     pub halted: Arc<AtomicBool>,
@@ -35,7 +35,7 @@
     /// How far it is in its time.
     #[must_use]
     pub fn elapsed(&self, now: Millis) -> f64 {
-        canary::elapsed(now.since(self.began), self.within_ms)
+        canary::elapsed(now.since(self.began_at), self.within_ms)
     }
 
     /// The share of requests that the new version gets.
@@ -43,14 +43,14 @@
     pub fn share(&self, now: Millis) -> f64 {
         match self.halted.load(Ordering::Relaxed) {
             true => 0.0,
-            false => canary::share(self.stage, self.elapsed(now), self.allowed),
+            false => canary::share(self.stage, self.elapsed(now), self.exposure_share),
         }
     }
 
     /// Whether the new version gets all requests.
     #[must_use]
     pub fn has_all(&self, now: Millis) -> bool {
-        canary::share(self.stage, self.elapsed(now), self.allowed) >= 1.0
+        canary::share(self.stage, self.elapsed(now), self.exposure_share) >= 1.0
     }
 
     /// Whether its requests go to few servers, that have the load of a peak.
@@ -81,7 +81,7 @@
 
 /// Backend servers that one request looks at.
 #[derive(Default)]
-pub struct Looked<'a> {
+pub struct Candidates<'a> {
     /// They.
     pub backends: Vec<&'a Arc<Backend>>,
     /// The one that all hosts of the failure domain prefer for the request's subject, if these are not
@@ -92,16 +92,17 @@
 }
 
 /// What is worked out of a pool's backend servers once, when the first request looks for one.
-struct Worked {
+struct Derived {
     versions: HashMap<Name, Members>,
     domains: usize,
 }
 
 impl Members {
     fn new(mut all: Vec<Arc<Backend>>) -> Self {
-        all.sort_unstable_by_key(|backend| mix(backend.hash));
-        let (near, far): (Vec<_>, Vec<_>) = all.iter().cloned().partition(|backend| backend.near);
-        let near_places = near.iter().map(|backend| mix(backend.hash)).collect();
+        all.sort_unstable_by_key(|backend| mix(backend.id_hash));
+        let (near, far): (Vec<_>, Vec<_>) =
+            all.iter().cloned().partition(|backend| backend.is_near);
+        let near_places = near.iter().map(|backend| mix(backend.id_hash)).collect();
         Self { all, near, near_places, far }
     }
 
@@ -113,7 +114,7 @@
 
     /// Some that a seed draws, and the preferred one for a subject.
     #[must_use]
-    pub fn some(&self, subject: Option<u64>, seed: u64) -> Looked<'_> {
+    pub fn sample(&self, subject: Option<u64>, seed: u64) -> Candidates<'_> {
         let preferred =
             subject.and_then(|subject| sample::successor(&self.near_places, mix(subject)));
         let preferred = preferred.map(|index| &self.near[index]);
@@ -123,7 +124,7 @@
             preferred.is_none_or(|preferred| !Arc::ptr_eq(preferred, backend))
         };
         let backends = preferred.into_iter().chain(near.chain(far).filter(is_other)).collect();
-        Looked { backends, preferred, is_sample: true }
+        Candidates { backends, preferred, is_sample: true }
     }
 }
 
@@ -140,7 +141,7 @@
     pub evacuated: usize,
     /// The roll-out under way or last decided.
     pub rollout: Option<Rollout>,
-    worked: OnceLock<Worked>,
+    derived: OnceLock<Derived>,
 }
 
 impl Pool {
@@ -156,15 +157,15 @@
         Self { rollout: Some(rollout), ..self }
     }
 
-    fn worked(&self) -> &Worked {
-        self.worked.get_or_init(|| {
+    fn derived(&self) -> &Derived {
+        self.derived.get_or_init(|| {
             let mut versions: HashMap<Name, Vec<Arc<Backend>>> = HashMap::new();
             for backend in &self.backends {
                 versions.entry(backend.version.clone()).or_default().push(Arc::clone(backend));
             }
             let versions = versions.into_iter();
             let domains = self.backends.iter().map(|backend| &backend.server.failure_domain);
-            Worked {
+            Derived {
                 versions: versions.map(|(name, all)| (name, Members::new(all))).collect(),
                 domains: domains.collect::<HashSet<_>>().len(),
             }
@@ -174,13 +175,13 @@
     /// Failure domains that its backend servers stand in.
     #[must_use]
     pub fn domains(&self) -> usize {
-        self.worked().domains
+        self.derived().domains
     }
 
     /// The backend servers of a version; none if it has none.
     #[must_use]
     pub fn members(&self, version: &Name) -> Option<&Members> {
-        self.worked().versions.get(version)
+        self.derived().versions.get(version)
     }
 
     /// The version for a request; `subject` is its session, or the request itself.
@@ -195,7 +196,7 @@
     }
 
     /// Backend servers of a version.
-    pub fn of<'a>(&'a self, version: &Name) -> impl Iterator<Item = &'a Arc<Backend>> {
+    pub fn servers<'a>(&'a self, version: &Name) -> impl Iterator<Item = &'a Arc<Backend>> {
         self.members(version).into_iter().flat_map(|members| &members.all)
     }
 
@@ -219,7 +220,7 @@
         let share = self.rollout.as_ref()?.share(now);
         let before = &self.members(&self.base)?.all;
         let drawn = sample::draw(before.len(), NEAR_MAX, seed);
-        let reported = drawn.filter_map(|index| before[index].reported());
+        let reported = drawn.filter_map(|index| before[index].reported_requests());
         peak::expected(share, before.len(), reported)
     }
 
@@ -229,7 +230,7 @@
     /// many times the load to come. Spread over all they would leave each one idle on trial, and a
     /// version that fails only under load would show it when nothing can be taken back.
     #[must_use]
-    pub fn open<'a>(&'a self, version: &Name, load: f64, now: Millis) -> Vec<&'a Arc<Backend>> {
+    pub fn active<'a>(&'a self, version: &Name, load: f64, now: Millis) -> Vec<&'a Arc<Backend>> {
         let all = self.members(version).map(|members| members.all.as_slice()).unwrap_or_default();
         let trial = self.rollout.as_ref();
         let trial = trial.filter(|trial| trial.target == *version && trial.is_open());
@@ -240,20 +241,20 @@
 
     /// Those of them that one request looks at: of thousands, some that a seed draws.
     #[must_use]
-    pub fn look<'a>(
+    pub fn candidates<'a>(
         &'a self,
         version: &Name,
         load: f64,
         subject: Option<u64>,
         seed: u64,
         now: Millis,
-    ) -> Looked<'a> {
+    ) -> Candidates<'a> {
         let trial = self.rollout.as_ref().filter(|trial| trial.target == *version);
         match (trial.filter(|trial| trial.is_open()), self.members(version)) {
-            (None, Some(members)) if members.is_large() => members.some(subject, seed),
+            (None, Some(members)) if members.is_large() => members.sample(subject, seed),
             _ => {
-                let backends = self.open(version, load, now);
-                Looked { backends, preferred: None, is_sample: false }
+                let backends = self.active(version, load, now);
+                Candidates { backends, preferred: None, is_sample: false }
             }
         }
     }
@@ -266,10 +267,10 @@
     /// stopped before all hosts know of the success, so it is enough that the new version has all
     /// requests.
     #[must_use]
-    pub fn keeps(&self, version: &Name, now: Millis) -> bool {
+    pub fn stays_on(&self, version: &Name, now: Millis) -> bool {
         let full = self.rollout.as_ref().filter(|rollout| rollout.share(now) >= 1.0);
         let is_left = full.is_some_and(|rollout| rollout.target != *version);
-        !is_left && self.of(version).next().is_some()
+        !is_left && self.servers(version).next().is_some()
     }
 
     /// The version that a request may go to instead when this one has no server left for it.
@@ -285,7 +286,7 @@
         let rollout = self.rollout.as_ref()?;
         let may_be_done = canary::may_be_done(rollout.stage, rollout.elapsed(now));
         let is_gone = |backend: &Arc<Backend>| may_be_done && backend.has_ended(now);
-        let is_base_gone = || self.of(&self.base).all(is_gone);
+        let is_base_gone = || self.servers(&self.base).all(is_gone);
         match () {
             () if *version == rollout.target => Some(&self.base),
             () if rollout.share(now) > 0.0 && is_base_gone() => Some(&rollout.target),
--- a/crates/gateway/src/reach.rs
+++ b/crates/gateway/src/reach.rs
@@ -9,32 +9,32 @@
 use policy::sample;
 use tokio::sync::watch;
 
-use crate::backend::look::any_keeps;
-use crate::backend::{Backend, Found};
+use crate::backend::probe::any_accepts;
+use crate::backend::{Backend, Liveness};
 use crate::codec::Codec;
 use crate::state::State;
 
 /// Between two looks for servers that take connections.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// Servers that are looked at at once.
-const LOOKED_AT: usize = 2;
+const PROBED_COUNT: usize = 2;
 /// Looks at one server until it is clear whether it has ended. What was lost there is remembered for as
 /// long.
-const LOOKS_MAX: usize = 20;
+const PROBES_MAX: usize = 20;
 /// Others that are looked at before a server that refuses is taken for ended: some may have ended as
 /// well, and nobody knows yet.
-const CONTROLS: usize = 4;
+const CONTROLS_MAX: usize = 4;
 
 /// What this host knows of its way to the backend servers.
 #[derive(Default)]
-pub struct Reach {
+pub struct Reachability {
     isolation: Mutex<Isolation>,
     /// Nothing speaks for it: most connections open, and need no lock to say so.
     is_calm: AtomicBool,
     isolated: watch::Sender<bool>,
 }
 
-impl Reach {
+impl Reachability {
     /// Whether this host is cut off from all backend servers.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
@@ -50,7 +50,7 @@
 
     /// Whether a server is among those that failed since one last answered.
     fn has_failed(&self, backend: &Backend) -> bool {
-        self.with(|isolation| isolation.has_failed(backend.hash))
+        self.with(|isolation| isolation.has_failed(backend.id_hash))
     }
 
     /// Tells when that changes.
@@ -60,8 +60,8 @@
     }
 
     /// A backend server took no connection, or broke one off without an answer.
-    pub fn failed(&self, backend: &Backend) {
-        if self.with(|isolation| isolation.failed(backend.hash, clock::steady())) {
+    pub fn record_failure(&self, backend: &Backend) {
+        if self.with(|isolation| isolation.failed(backend.id_hash, clock::steady())) {
             log::warn!(target: "route", backend:% = backend.id;
                 "this host reaches no backend server");
             metrics::gauge!("gateway_isolated").set(1.0);
@@ -71,7 +71,7 @@
     }
 
     /// A backend server answered on a new connection; whether the host had been cut off.
-    fn reached(&self) -> bool {
+    fn record_reached(&self) -> bool {
         if self.is_calm.load(Ordering::Relaxed) {
             return false;
         }
@@ -93,61 +93,62 @@
 
 impl<C: Codec> State<C> {
     /// A backend server answered on a new connection.
-    pub fn reached(&self) {
-        if !self.reach.reached() {
+    pub fn record_reached(&self) {
+        if !self.reach.record_reached() {
             return;
         }
         // It was this host, and not they: to wait for the time that each is held ill would keep
         // requests on their way by other hosts.
-        let (world, now) = (self.world.load(), clock::steady());
-        let backends = world.pools.values().flat_map(|pool| &pool.backends);
+        let (snapshot, now) = (self.snapshot.load(), clock::steady());
+        let backends = snapshot.pools.values().flat_map(|pool| &pool.backends);
         backends.for_each(|backend| backend.server.note_success(now));
     }
 
     /// Looks for a server that takes connections whenever this host reaches none, until the process ends.
-    pub async fn look_for_servers(self: Arc<Self>) {
+    pub async fn probe_while_isolated(self: Arc<Self>) {
         let mut isolated = self.reach.watch();
         // The sender lives as long as the state.
         while isolated.wait_for(|isolated| *isolated).await.is_ok() {
-            if any_keeps(&self.some_servers(LOOKED_AT, |_| true)).await {
-                self.reached();
+            if any_accepts(&self.sample_servers(PROBED_COUNT, |_| true)).await {
+                self.record_reached();
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 
     /// Looks, in the background, whether a server has ended: a connection that breaks alone says nothing
     /// of the server.
-    pub fn look_soon(self: &Arc<Self>, backend: &Arc<Backend>) {
+    pub fn probe_soon(self: &Arc<Self>, backend: &Arc<Backend>) {
         let (state, backend) = (Arc::clone(self), Arc::clone(backend));
         tokio::spawn(async move {
-            for _ in 0..LOOKS_MAX {
+            for _ in 0..PROBES_MAX {
                 // Other servers may have ended in the same moment. What was lost here must not be
                 // forgotten for that.
-                if state.look(&backend).await != Found::Unclear {
+                if state.probe(&backend).await != Liveness::Unclear {
                     return;
                 }
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(PROBE_INTERVAL).await;
             }
         });
     }
 
     /// Looks whether a server has ended.
-    pub async fn look(&self, backend: &Arc<Backend>) -> Found {
+    pub async fn probe(&self, backend: &Arc<Backend>) -> Liveness {
         let now = clock::steady();
         let is_well = |other: &Backend| !other.server.is_ill(now) && !self.reach.has_failed(other);
-        let found = backend.look(&self.poison, || self.some_servers(CONTROLS, is_well)).await;
-        if found == Found::Ended && self.reach.is_doubtful() {
-            self.reached();
+        let liveness =
+            backend.probe(&self.poison, || self.sample_servers(CONTROLS_MAX, is_well)).await;
+        if liveness == Liveness::Ended && self.reach.is_doubtful() {
+            self.record_reached();
         }
-        found
+        liveness
     }
 
     /// Some of the servers that are so, so many at most.
-    fn some_servers(&self, max: usize, is_so: impl Fn(&Backend) -> bool) -> Vec<Arc<Backend>> {
-        let world = self.world.load();
-        let backends = world.pools.values().flat_map(|pool| &pool.backends);
-        let backends: Vec<&Arc<Backend>> = backends.filter(|backend| is_so(backend)).collect();
+    fn sample_servers(&self, max: usize, matches: impl Fn(&Backend) -> bool) -> Vec<Arc<Backend>> {
+        let snapshot = self.snapshot.load();
+        let backends = snapshot.pools.values().flat_map(|pool| &pool.backends);
+        let backends: Vec<&Arc<Backend>> = backends.filter(|backend| matches(backend)).collect();
         let drawn = sample::draw(backends.len(), max, rand::random());
         drawn.map(|index| Arc::clone(backends[index])).collect()
     }
--- a/crates/gateway/src/recall.rs
+++ b/crates/gateway/src/recall.rs
@@ -23,29 +23,29 @@
 use crate::forward;
 
 /// Longest wait for a connection to the other host, and for its answer.
-const WITHIN: Duration = Duration::from_millis(250);
+const TIMEOUT: Duration = Duration::from_millis(250);
 /// Before the first question after a request, and between two while it may be over.
-const ASK_AFTER: Duration = Duration::from_millis(250);
+const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest time between two questions; it doubles while the request is under way.
-const ASK_EVERY_MAX: Duration = Duration::from_secs(2);
+const QUERY_INTERVAL_MAX: Duration = Duration::from_secs(2);
 /// Answers in a row that the other host has sent more than has come, from which on that is lost: it may
 /// still be on its way when the first question is answered.
-const LOST_AFTER: u32 = 2;
+const LOST_ANSWERS_MIN: u32 = 2;
 /// Recalls that are remembered: one may overtake its request.
-const REMEMBERED: usize = 256;
+const RECALLS_MAX: usize = 256;
 
 /// Requests of other hosts that are under way here.
 #[derive(Default)]
-pub struct Registry(Mutex<Known>);
+pub struct Registry(Mutex<Requests>);
 
 #[derive(Default)]
-struct Known {
-    under_way: HashMap<u64, Arc<Entry>>,
+struct Requests {
+    in_flight: HashMap<u64, Arc<Entry>>,
     recalled: VecDeque<u64>,
 }
 
 /// Another host's request, under way until dropped.
-pub struct Registered {
+pub struct Registration {
     registry: Arc<Registry>,
     number: u64,
     entry: Arc<Entry>,
@@ -72,54 +72,54 @@
 
 /// What another host wants to know or to have done.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Question {
+pub enum Message {
     /// The request is to end.
     Recall(u64),
     /// Whether the request is under way.
-    Ask(u64),
+    Query(u64),
 }
 
 impl Registry {
     /// A request comes in.
     #[must_use]
-    pub fn enter(self: &Arc<Self>, number: u64) -> Registered {
+    pub fn register(self: &Arc<Self>, number: u64) -> Registration {
         let entry = Arc::<Entry>::default();
-        let mut known = self.lock();
-        if known.recalled.contains(&number) {
+        let mut requests = self.lock();
+        if requests.recalled.contains(&number) {
             entry.recalled.cancel();
         }
-        known.under_way.insert(number, Arc::clone(&entry));
-        drop(known);
-        Registered { registry: Arc::clone(self), number, entry }
+        requests.in_flight.insert(number, Arc::clone(&entry));
+        drop(requests);
+        Registration { registry: Arc::clone(self), number, entry }
     }
 
     /// Whether the request that is asked after is under way; one that is recalled ends.
-    pub fn answer(&self, question: Question) -> Status {
-        let mut known = self.lock();
-        let number = match question {
-            Question::Ask(number) => number,
-            Question::Recall(number) => {
-                if known.recalled.len() >= REMEMBERED {
-                    known.recalled.pop_front();
+    pub fn handle(&self, message: Message) -> Status {
+        let mut requests = self.lock();
+        let number = match message {
+            Message::Query(number) => number,
+            Message::Recall(number) => {
+                if requests.recalled.len() >= RECALLS_MAX {
+                    requests.recalled.pop_front();
                 }
-                known.recalled.push_back(number);
+                requests.recalled.push_back(number);
                 number
             }
         };
-        let Some(entry) = known.under_way.get(&number) else { return Status::Over };
-        if matches!(question, Question::Recall(_)) {
+        let Some(entry) = requests.in_flight.get(&number) else { return Status::Over };
+        if matches!(message, Message::Recall(_)) {
             entry.recalled.cancel();
         }
         let last_event = Some(entry.last_event.load(Ordering::Relaxed)).filter(|last| *last > 0);
         Status::UnderWay { last_event }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
+    fn lock(&self) -> MutexGuard<'_, Requests> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Registered {
+impl Registration {
     /// Cancelled when its host takes it back.
     #[must_use]
     pub fn recalled(&self) -> CancellationToken {
@@ -127,43 +127,43 @@
     }
 
     /// Its stream was passed on up to this event.
-    pub fn note_passed(&self, last_event: u64) {
+    pub fn record_passed_on(&self, last_event: u64) {
         self.entry.last_event.store(last_event, Ordering::Relaxed);
     }
 }
 
-impl Drop for Registered {
+impl Drop for Registration {
     fn drop(&mut self) {
-        self.registry.lock().under_way.remove(&self.number);
+        self.registry.lock().in_flight.remove(&self.number);
     }
 }
 
-impl Question {
+impl Message {
     /// The question that came in place of a request, if it is one.
     #[must_use]
-    pub fn read(headers: &HeaderMap) -> Option<Self> {
+    pub fn parse(headers: &HeaderMap) -> Option<Self> {
         let number = |name| headers.get(name)?.to_str().ok()?.parse().ok();
-        number(RECALL).map(Self::Recall).or_else(|| number(ASK).map(Self::Ask))
+        number(RECALL).map(Self::Recall).or_else(|| number(ASK).map(Self::Query))
     }
 
     fn header(self) -> (&'static str, u64) {
         match self {
             Self::Recall(number) => (RECALL, number),
-            Self::Ask(number) => (ASK, number),
+            Self::Query(number) => (ASK, number),
         }
     }
 
     /// Asks a host whether the request is under way there; none if that is not known.
     async fn send(self, host: &Backend) -> Option<Status> {
-        let mut connection = Connection::open(host.server.address, WITHIN).await.ok()?;
+        let mut connection = Connection::open(host.server.address, TIMEOUT).await.ok()?;
         let mut request = Request::new(Full::new(Bytes::new()));
         let (name, number) = self.header();
         request.headers_mut().insert(name, HeaderValue::from(number));
         request.headers_mut().insert(HOST, HeaderValue::from_static("host"));
-        let response = connection.send(request, WITHIN).await.ok()?;
+        let response = connection.send(request, TIMEOUT).await.ok()?;
         match response.status() {
             StatusCode::OK => {
-                let last_event = forward::number(response.headers(), LAST_EVENT);
+                let last_event = forward::header_number(response.headers(), LAST_EVENT);
                 Some(Status::UnderWay { last_event })
             }
             StatusCode::NO_CONTENT => Some(Status::Over),
@@ -192,7 +192,7 @@
     host: Arc<Backend>,
     request: Name,
     number: u64,
-    is_over: bool,
+    is_complete: bool,
 }
 
 impl Forwarding {
@@ -200,7 +200,7 @@
     #[must_use]
     pub fn new(host: &Arc<Backend>, request: &Name) -> Self {
         let (host, request) = (Arc::clone(host), request.clone());
-        Self { host, request, number: rand::random(), is_over: false }
+        Self { host, request, number: rand::random(), is_complete: false }
     }
 
     /// See [`wire::forward::NUMBER`].
@@ -210,24 +210,24 @@
     }
 
     /// Its answer was read whole.
-    pub fn end(&mut self) {
-        self.is_over = true;
+    pub fn complete(&mut self) {
+        self.is_complete = true;
     }
 
     /// Waits until the other host has sent more than has come, which is up to an event of a stream or nothing
     /// yet: the connection is silent.
     ///
     /// A host that can't be asked may still be at it.
-    pub async fn lost(&self, last_event: Option<u64>) {
-        let (mut ahead, mut pause) = (0, ASK_AFTER);
-        while ahead < LOST_AFTER {
+    pub async fn wait_until_lost(&self, last_event: Option<u64>) {
+        let (mut ahead, mut pause) = (0, QUERY_INTERVAL);
+        while ahead < LOST_ANSWERS_MIN {
             tokio::time::sleep(pause).await;
-            (ahead, pause) = match Question::Ask(self.number).send(&self.host).await {
-                Some(Status::Over) => (ahead + 1, ASK_AFTER),
+            (ahead, pause) = match Message::Query(self.number).send(&self.host).await {
+                Some(Status::Over) => (ahead + 1, QUERY_INTERVAL),
                 Some(Status::UnderWay { last_event: sent }) if sent > last_event => {
-                    (ahead + 1, ASK_AFTER)
+                    (ahead + 1, QUERY_INTERVAL)
                 }
-                Some(Status::UnderWay { .. }) | None => (0, (pause * 2).min(ASK_EVERY_MAX)),
+                Some(Status::UnderWay { .. }) | None => (0, (pause * 2).min(QUERY_INTERVAL_MAX)),
             };
         }
     }
@@ -235,7 +235,7 @@
 
 impl Drop for Forwarding {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_complete {
             return;
         }
         let (host, request) = (Arc::clone(&self.host), self.request.clone());
@@ -243,7 +243,7 @@
         // None outside of a runtime: then the process ends, and its connections with it.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
-                let status = Question::Recall(number).send(&host).await;
+                let status = Message::Recall(number).send(&host).await;
                 log::info!(target: "route", request:% = request, host:% = host.id,
                     status:?; "request recalled from another host");
                 let outcome = match status {
--- a/crates/gateway/src/refuse.rs
+++ b/crates/gateway/src/refuse.rs
@@ -18,9 +18,9 @@
 /// Before there is a table of routes.
 const NOT_READY_RETRY_MS: u64 = 500;
 /// Requests a second of a service below which callers are asked to come back as if it took so many.
-const LIMITED_MIN: f64 = 0.2;
+const LIMITED_PER_SECOND_MIN: f64 = 0.2;
 /// Least time after which a caller of a full service comes back.
-const BUSY_RETRY_MS: f64 = 100.0;
+const BUSY_RETRY_MS_MIN: f64 = 100.0;
 
 /// There is no table of routes yet.
 #[must_use]
@@ -44,7 +44,7 @@
 /// uniform draw that keeps callers refused together from coming back together.
 #[must_use]
 pub fn busy(service_ms: f64, draw: f64) -> Refusal {
-    let ms = service_ms.max(BUSY_RETRY_MS) * (1.0 + draw);
+    let ms = service_ms.max(BUSY_RETRY_MS_MIN) * (1.0 + draw);
     Refusal::not_run(Code::Overloaded, "every backend server is full").retry_after(ms as u64)
 }
 
@@ -52,7 +52,8 @@
 /// all; `draw` as above.
 #[must_use]
 pub fn limited(per_second: f64, draw: f64) -> Refusal {
-    let ms = (1_000.0 / per_second.max(LIMITED_MIN)).max(BUSY_RETRY_MS) * (1.0 + draw);
+    let ms =
+        (1_000.0 / per_second.max(LIMITED_PER_SECOND_MIN)).max(BUSY_RETRY_MS_MIN) * (1.0 + draw);
     Refusal::not_run(Code::Overloaded, "every backend server has reached its limit")
         .retry_after(ms as u64)
 }
@@ -62,7 +63,7 @@
 /// come in the moment in which it ends.
 #[must_use]
 pub fn paused(ms: u64, draw: f64) -> Refusal {
-    let spread = draw * (ms as f64 / 4.0).max(BUSY_RETRY_MS);
+    let spread = draw * (ms as f64 / 4.0).max(BUSY_RETRY_MS_MIN);
     Refusal::not_run(Code::Overloaded, "every backend server wants a pause")
         .retry_after(ms + spread as u64)
 }
@@ -100,6 +101,6 @@
 pub fn response<C: Codec>(codec: &C, id: &Name, mut refusal: Refusal) -> Response<Answer> {
     refusal.request = Some(id.clone());
     let mut response = entry::refuse::response(refusal.clone());
-    codec.refuse(response.headers_mut(), id, &refusal);
+    codec.add_refusal_headers(response.headers_mut(), id, &refusal);
     response
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -19,9 +19,9 @@
 use crate::attempt::{Failure, Reply};
 use crate::backend::Backend;
 use crate::codec::Codec;
-use crate::end::{self, End, Passed};
-use crate::events::Splitter;
-use crate::evidence::Counted;
+use crate::end::{self, End, RelayProgress};
+use crate::events::EventSplitter;
+use crate::evidence::CountedAnswer;
 use crate::handle::Origin;
 use crate::job::Job;
 use crate::judge::is_framed;
@@ -29,32 +29,32 @@
 use crate::resume::Obstacle;
 
 /// Pieces on their way to a caller that reads slowly; then the backend server waits as well.
-const AHEAD: usize = 16;
+const PIECES_AHEAD_MAX: usize = 16;
 
 type Pieces = mpsc::Sender<Result<Bytes, Broken>>;
 
 /// A stream that is coming.
-pub struct Live {
+pub struct LiveStream {
     body: Incoming,
-    splitter: Splitter,
+    splitter: EventSplitter,
     /// What came before the first event.
     comments: BytesMut,
     /// Events that have come and are not yet passed on.
-    begun: Bytes,
-    ended: bool,
+    unsent_events: Bytes,
+    is_ended: bool,
     /// Its end can be distinguished from a connection that is lost.
     is_framed: bool,
     backend: Arc<Backend>,
     sent_at: Instant,
-    passed: Passed,
+    progress: RelayProgress,
     /// How soon its events follow one another, and when the last ones came.
     pace: Pace,
-    came: Option<Instant>,
+    last_events_at: Option<Instant>,
     /// Since when no event has come. Bytes that make none are as good as silence: a server in trouble may send them
     /// without end.
     quiet_since: Instant,
     /// As it was counted for a roll-out.
-    counted: Option<Counted>,
+    counted: Option<CountedAnswer>,
     // Dropped with the stream: closes the connection, which stops the backend server's work.
     _connection: Connection,
     _lease: Lease,
@@ -67,7 +67,7 @@
     End,
 }
 
-impl Live {
+impl LiveStream {
     /// Reads up to the first whole event. Until then the caller has got nothing, and the request
     /// can still be answered otherwise.
     ///
@@ -82,16 +82,16 @@
         let Reply { body, connection, lease, backend, sent_at, forwarding, .. } = reply;
         let mut live = Self {
             body,
-            splitter: Splitter::behind(last),
+            splitter: EventSplitter::resume_after(last),
             comments: BytesMut::new(),
-            begun: Bytes::new(),
-            ended: false,
+            unsent_events: Bytes::new(),
+            is_ended: false,
             is_framed,
             backend,
             sent_at,
-            passed: Passed::default(),
+            progress: RelayProgress::default(),
             pace: Pace::default(),
-            came: None,
+            last_events_at: None,
             quiet_since: Instant::now(),
             counted: None,
             _connection: connection,
@@ -99,9 +99,9 @@
             forwarding,
         };
         match live.next(job).await.map_err(Failure::Lost)? {
-            Piece::Events(events) => live.begun = events,
+            Piece::Events(events) => live.unsent_events = events,
             // A run that goes on behind the last event has nothing more to say.
-            Piece::End if last.is_some() => live.ended = true,
+            Piece::End if last.is_some() => live.is_ended = true,
             Piece::End => return Err(Failure::Lost(Cause::Truncated)),
         }
         Ok(live)
@@ -110,11 +110,11 @@
     /// Whole events, or the end.
     async fn next<C: Codec>(&mut self, job: &Job<C>) -> Result<Piece, Cause> {
         loop {
-            let framed = self.frame(job).await;
+            let framed = self.next_data(job).await;
             if let (Ok(None) | Err(Cause::Truncated), Some(forwarding)) =
                 (&framed, &mut self.forwarding)
             {
-                forwarding.end();
+                forwarding.complete();
             }
             let data = match framed? {
                 None if self.splitter.is_empty() => return Ok(Piece::End),
@@ -122,26 +122,26 @@
                 Some(data) => data,
             };
             let (events, count) = self.splitter.feed(&data).map_err(|_| Cause::Broken)?;
-            if count == 0 && self.passed.events == 0 {
+            if count == 0 && self.progress.events == 0 {
                 // Passed on, comments alone would make an answer that can't be had from another server any more.
                 self.comments.extend_from_slice(&events);
                 continue;
             }
-            self.passed.events += count;
+            self.progress.events += count;
             if count > 0 {
-                self.backend.heard(clock::steady());
+                self.backend.record_contact(clock::steady());
                 self.quiet_since = Instant::now();
             }
-            let events = self.behind_comments(events);
+            let events = self.prepend_comments(events);
             if !events.is_empty() {
-                self.note_pace(job, count);
+                self.record_pace(job, count);
                 return Ok(Piece::Events(events));
             }
         }
     }
 
     /// Events, with the comments that came before the first of them.
-    fn behind_comments(&mut self, events: Bytes) -> Bytes {
+    fn prepend_comments(&mut self, events: Bytes) -> Bytes {
         if self.comments.is_empty() {
             return events;
         }
@@ -151,27 +151,27 @@
     }
 
     /// Events have come; counts the stream for a roll-out once its pace is known.
-    fn note_pace<C: Codec>(&mut self, job: &Job<C>, events: u32) {
+    fn record_pace<C: Codec>(&mut self, job: &Job<C>, events: u32) {
         let now = Instant::now();
-        let Some(before) = self.came.replace(now) else { return };
+        let Some(before) = self.last_events_at.replace(now) else { return };
         let ms = now.saturating_duration_since(before).as_secs_f64() * 1_000.0;
         if let Some(pace_ms) = self.pace.note(events, ms) {
-            self.counted = job.note_pace(&self.backend, pace_ms);
+            self.counted = job.record_pace(&self.backend, pace_ms);
         }
     }
 
     /// Events have been passed on.
-    fn note_passed<C: Codec>(&mut self, job: &Job<C>) {
-        self.passed.piece(Instant::now());
-        if let (Some(registered), Some(last)) = (&job.registered, self.splitter.last()) {
-            registered.note_passed(last);
+    fn record_passed_on<C: Codec>(&mut self, job: &Job<C>) {
+        self.progress.record_piece(Instant::now());
+        if let (Some(registered), Some(last)) = (&job.registration, self.splitter.last_id()) {
+            registered.record_passed_on(last);
         }
     }
 
     /// No more events come; its engine is judged by all that have.
-    fn note_speed<C: Codec>(&self, job: &Job<C>) {
+    fn record_engine_speed<C: Codec>(&self, job: &Job<C>) {
         if let Some(pace_ms) = self.pace.best_ms() {
-            job.note_speed(&self.backend, pace_ms);
+            job.record_engine_speed(&self.backend, pace_ms);
         }
     }
 
@@ -179,14 +179,15 @@
     ///
     /// A silent stream is given up only for another run of it. Where there is none to be had, its
     /// backend server's answer is the only one that can still come.
-    async fn frame<C: Codec>(&mut self, job: &Job<C>) -> Result<Option<Bytes>, Cause> {
+    async fn next_data<C: Codec>(&mut self, job: &Job<C>) -> Result<Option<Bytes>, Cause> {
         let route = job.route();
         let useful_ms = route.gap_ms.unwrap_or(route.objective_ms) as f64;
         let since = self.quiet_since;
-        let until = tokio::time::Instant::from(job.until);
+        let until = tokio::time::Instant::from(job.deadline);
         let Self { body, backend, forwarding, splitter, .. } = self;
-        let mut lost = std::pin::pin!(lost(forwarding.as_ref(), splitter.last()));
-        let mut wait = backend.tolerates(&silence::BETWEEN, since.elapsed(), useful_ms).await;
+        let mut lost = std::pin::pin!(wait_until_lost(forwarding.as_ref(), splitter.last_id()));
+        let mut wait =
+            backend.tolerated_silence(&silence::BETWEEN, since.elapsed(), useful_ms).await;
         loop {
             let limit = until.min(tokio::time::Instant::now() + wait.unwrap_or_default());
             let framed = tokio::select! {
@@ -205,9 +206,9 @@
                 Err(_) => {}
             }
             let silent = since.elapsed();
-            wait = match backend.tolerates(&silence::BETWEEN, silent, useful_ms).await {
-                None if job.leave(backend) => return Err(Cause::Silent),
-                None => Some(job.left()),
+            wait = match backend.tolerated_silence(&silence::BETWEEN, silent, useful_ms).await {
+                None if job.claim_leave(backend) => return Err(Cause::Silent),
+                None => Some(job.time_left()),
                 still => still,
             };
         }
@@ -215,17 +216,17 @@
 }
 
 /// Waits until what comes by another host is lost on its way; for ever if it doesn't.
-async fn lost(forwarding: Option<&Forwarding>, last_event: Option<u64>) {
+async fn wait_until_lost(forwarding: Option<&Forwarding>, last_event: Option<u64>) {
     match forwarding {
-        Some(forwarding) => forwarding.lost(last_event).await,
+        Some(forwarding) => forwarding.wait_until_lost(last_event).await,
         None => std::future::pending().await,
     }
 }
 
 /// Starts a relay; the answer is what the caller reads from it.
 #[must_use]
-pub fn start<C: Codec>(job: Job<C>, live: Box<Live>) -> Answer {
-    let (pieces, answer) = mpsc::channel(AHEAD);
+pub fn start<C: Codec>(job: Job<C>, live: Box<LiveStream>) -> Answer {
+    let (pieces, answer) = mpsc::channel(PIECES_AHEAD_MAX);
     let relays = job.state.relays.clone();
     relays.spawn(run(job, live, pieces));
     Answer::Pieces(answer)
@@ -233,14 +234,14 @@
 
 /// Waits until nobody wants the answer any more: its caller has left, or the host that passed the request
 /// on has taken it back.
-async fn unwanted(pieces: &Pieces, recalled: &CancellationToken) {
+async fn wait_until_unwanted(pieces: &Pieces, recalled: &CancellationToken) {
     tokio::select! {
         () = pieces.closed() => {}
         () = recalled.cancelled() => {}
     }
 }
 
-async fn run<C: Codec>(job: Job<C>, live: Box<Live>, pieces: Pieces) {
+async fn run<C: Codec>(job: Job<C>, live: Box<LiveStream>, pieces: Pieces) {
     if !pass_all(job, live, &pieces).await {
         // The caller learns of it by a connection that closes before the stream's end.
         let _ = pieces.send(Err(Broken)).await;
@@ -248,13 +249,13 @@
 }
 
 /// Passes all of a stream on; whether it came to its end.
-async fn pass_all<C: Codec>(mut job: Job<C>, live: Box<Live>, pieces: &Pieces) -> bool {
+async fn pass_all<C: Codec>(mut job: Job<C>, live: Box<LiveStream>, pieces: &Pieces) -> bool {
     let mut live = live;
     let recalled = job.recalled();
     loop {
         let end = tokio::select! {
             // Also while nothing comes: the caller's leaving must stop the work at once.
-            () = unwanted(pieces, &recalled) => Err(End::CallerGone),
+            () = wait_until_unwanted(pieces, &recalled) => Err(End::CallerGone),
             end = pass_on(&mut live, &job, pieces) => end,
         };
         let cause = match end {
@@ -268,20 +269,20 @@
                 return false;
             }
         };
-        live.note_speed(&job);
+        live.record_engine_speed(&job);
         let backend = Arc::clone(&live.backend);
-        if let Some(counted) = live.counted.filter(|_| !job.left().is_zero()) {
-            job.forget_pace(counted);
+        if let Some(counted) = live.counted.filter(|_| !job.time_left().is_zero()) {
+            job.retract_pace(counted);
         }
         job.blame(&backend, Failure::Lost(cause));
-        let last = live.splitter.last();
-        let passed = live.passed;
+        let last = live.splitter.last_id();
+        let progress = live.progress;
         // Closes the old run's connection before another run begins.
         drop(live);
         let resumed = match last {
             Some(last) => tokio::select! {
-                () = unwanted(pieces, &recalled) => {
-                    end::log(&job, End::CallerGone, passed);
+                () = wait_until_unwanted(pieces, &recalled) => {
+                    end::log(&job, End::CallerGone, progress);
                     return false;
                 }
                 resumed = job.resume(last) => resumed,
@@ -292,57 +293,64 @@
             Ok(next) => {
                 live = Box::new(next);
                 // A pause that another run ends is a pause for the caller.
-                let Passed { pause_ms, last, .. } = passed;
-                live.passed = Passed { pause_ms, last, ..live.passed };
+                let RelayProgress { pause_ms, last_at, .. } = progress;
+                live.progress = RelayProgress { pause_ms, last_at, ..live.progress };
             }
             Err(obstacle) => {
                 // The host that passed it on decides what follows.
                 if job.origin == Origin::Caller {
                     end::log_stranded(&job, obstacle);
                 }
-                end::log(&job, End::Broken(cause), passed);
+                end::log(&job, End::Broken(cause), progress);
                 return false;
             }
         }
     }
 }
 
-fn finish<C: Codec>(job: &Job<C>, live: &Live, end: End) {
-    live.note_speed(job);
+fn finish<C: Codec>(job: &Job<C>, live: &LiveStream, end: End) {
+    live.record_engine_speed(job);
     if end == End::Answered {
-        live.backend.note(false, clock::steady());
-        job.note_answered(match live.is_framed {
+        live.backend.record_outcome(false, clock::steady());
+        job.record_answered(match live.is_framed {
             true => poison::Answer::Whole,
             false => poison::Answer::Unframed,
         });
         let ms = live.sent_at.elapsed().as_secs_f64() * 1_000.0;
         if !live.pace.is_known() {
-            job.note_version(&live.backend, Some(ms / f64::from(live.passed.events.max(1))));
+            job.record_for_rollout(
+                &live.backend,
+                Some(ms / f64::from(live.progress.events.max(1))),
+            );
         }
-        if job.timed(&live.backend) {
+        if job.is_timed(&live.backend) {
             let now = clock::steady();
-            job.state.timings.with(job.timing(), |timing| timing.whole.note(ms, now));
+            job.state.timings.with(job.timing_key(), |timing| timing.whole.note(ms, now));
         }
     }
     if end == End::CallerGone {
-        job.note_given_up(&live.backend);
+        job.record_abandoned(&live.backend);
     }
-    end::log(job, end, live.passed);
+    end::log(job, end, live.progress);
 }
 
-async fn pass_on<C: Codec>(live: &mut Live, job: &Job<C>, pieces: &Pieces) -> Result<(), End> {
-    let begun = std::mem::take(&mut live.begun);
-    if !begun.is_empty() {
-        send(pieces, begun, job).await?;
-        live.note_passed(job);
+async fn pass_on<C: Codec>(
+    live: &mut LiveStream,
+    job: &Job<C>,
+    pieces: &Pieces,
+) -> Result<(), End> {
+    let unsent_events = std::mem::take(&mut live.unsent_events);
+    if !unsent_events.is_empty() {
+        send(pieces, unsent_events, job).await?;
+        live.record_passed_on(job);
     }
-    while !live.ended {
+    while !live.is_ended {
         match live.next(job).await {
             Ok(Piece::Events(events)) => {
                 send(pieces, events, job).await?;
-                live.note_passed(job);
+                live.record_passed_on(job);
             }
-            Ok(Piece::End) => live.ended = true,
+            Ok(Piece::End) => live.is_ended = true,
             Err(cause) => return Err(End::Broken(cause)),
         }
     }
@@ -350,7 +358,7 @@
 }
 
 async fn send<C: Codec>(pieces: &Pieces, data: Bytes, job: &Job<C>) -> Result<(), End> {
-    match tokio::time::timeout_at(job.until.into(), pieces.send(Ok(data))).await {
+    match tokio::time::timeout_at(job.deadline.into(), pieces.send(Ok(data))).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) => Err(End::CallerGone),
         Err(_) => Err(End::Broken(Cause::Deadline)),
--- a/crates/gateway/src/resume.rs
+++ b/crates/gateway/src/resume.rs
@@ -12,13 +12,13 @@
 use crate::backend::Backend;
 use crate::codec::Codec;
 use crate::job::Job;
-use crate::relay::Live;
+use crate::relay::LiveStream;
 
 /// Longest pause of all servers that a stream waits out. Callers leave a stream after two seconds without
 /// an event, at the earliest.
-const OUTWAITED_MAX: Duration = Duration::from_millis(1_500);
+const PAUSE_WAIT_MAX: Duration = Duration::from_millis(1_500);
 /// A pause that has just ended is over within this time.
-const OUTWAITED_MIN: Duration = Duration::from_millis(10);
+const PAUSE_WAIT_MIN: Duration = Duration::from_millis(10);
 
 /// What stands against another try of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     /// Why no other backend server has taken it up.
-    pub async fn resume(&mut self, last: u64) -> Result<Live, Obstacle> {
-        self.go_on()?;
+    pub async fn resume(&mut self, last: u64) -> Result<LiveStream, Obstacle> {
+        self.claim_attempt()?;
         loop {
             let mut resumption = Resumption { job: self, last, obstacle: Obstacle::NoServer };
             let resumed = carry(&mut resumption).await;
@@ -53,7 +53,7 @@
             match resumed {
                 Ok(live) => return Ok(live),
                 // What is paid for is still to be made.
-                Err(_) if obstacle == Obstacle::NoServer && self.outwaits_pauses().await => {}
+                Err(_) if obstacle == Obstacle::NoServer && self.wait_out_pause().await => {}
                 Err(_) => return Err(obstacle),
             }
         }
@@ -61,12 +61,12 @@
 
     /// Waits until the first server takes requests again, if all want a pause and that is soon: a caller
     /// that has the beginning of a stream can't come back for the rest.
-    async fn outwaits_pauses(&self) -> bool {
-        let is_untried = |backend: &Backend| !self.tries.tried.contains(&backend.id);
+    async fn wait_out_pause(&self) -> bool {
+        let is_untried = |backend: &Backend| !self.attempts.excluded.contains(&backend.id);
         let pause = self.paused_ms(is_untried).map(Duration::from_millis);
-        let pause = pause.filter(|pause| *pause <= OUTWAITED_MAX.min(self.left()));
+        let pause = pause.filter(|pause| *pause <= PAUSE_WAIT_MAX.min(self.time_left()));
         match pause {
-            Some(pause) => tokio::time::sleep(pause.max(OUTWAITED_MIN)).await,
+            Some(pause) => tokio::time::sleep(pause.max(PAUSE_WAIT_MIN)).await,
             None => return false,
         }
         true
@@ -84,34 +84,34 @@
 
 impl<C: Codec> carry::Request for Resumption<'_, C> {
     type Server = Arc<Backend>;
-    type Answer = Live;
+    type Answer = LiveStream;
     type Failure = Failure;
 
     fn choose(&mut self) -> Option<Arc<Backend>> {
         self.obstacle = Obstacle::NoServer;
-        self.job.next_place()
+        self.job.next_destination()
     }
 
-    async fn attempt(&mut self, backend: &Arc<Backend>) -> Step<Live, Failure> {
+    async fn attempt(&mut self, backend: &Arc<Backend>) -> Step<LiveStream, Failure> {
         if let Err(refusal) = self.job.permit(backend).await {
             self.obstacle = Obstacle::Held;
             return Step::Refused(refusal);
         }
         let last = Some(self.last);
-        let reply = match self.job.try_at(backend, last).await {
+        let reply = match self.job.attempt_at(backend, last).await {
             Ok(reply) => reply,
             Err(failure) => return Step::Failed(failure),
         };
         let status = reply.head.status;
-        if backend.is_host && !reply.said.is_signed {
+        if backend.is_host && !reply.info.is_signed {
             return Step::Failed(Failure::NotRun { misdirected: false });
         }
         if status != StatusCode::OK {
             return Step::Failed(Failure::Lost(Cause::Failed(status.as_u16())));
         }
-        match Live::begin(self.job, reply, last).await {
+        match LiveStream::begin(self.job, reply, last).await {
             Ok(live) => {
-                self.job.tries.begun_at = Some(Instant::now());
+                self.job.attempts.answer_began_at = Some(Instant::now());
                 Step::Answered(live)
             }
             Err(failure) => Step::Failed(failure),
@@ -123,13 +123,13 @@
     }
 
     fn may_go_on(&mut self) -> bool {
-        let leave = self.job.go_on();
+        let leave = self.job.claim_attempt();
         self.obstacle = leave.err().unwrap_or(self.obstacle);
         leave.is_ok()
     }
 
     /// The caller learns of it by a connection that closes before the stream's end.
-    fn give_up(&mut self) -> Result<Live, Refusal> {
+    fn give_up(&mut self) -> Result<LiveStream, Refusal> {
         Err(Refusal::may_have_run(Code::BackendFailed, "the stream broke off"))
     }
 }
--- a/crates/gateway/src/shed.rs
+++ b/crates/gateway/src/shed.rs
@@ -13,29 +13,29 @@
 
 /// One connection is taken after so long in any case, in milliseconds: callers that meet a host which says
 /// that it is ready, and closes each of them, would not find out that it is well again.
-const TAKEN_EACH_MS: u64 = 250;
+const ACCEPT_INTERVAL_MS: u64 = 250;
 
 /// What new connections are taken by.
 #[derive(Debug)]
-pub struct Shed {
+pub struct Shedder {
     /// Connections that are open.
     pub connections: TaskTracker,
     connections_max: usize,
     /// The bits of the part that is closed.
-    closed: AtomicU64,
+    closed_share_bits: AtomicU64,
     /// When one was last taken while some are closed, in milliseconds.
-    taken_at: AtomicU64,
+    accepted_at: AtomicU64,
 }
 
-impl Shed {
+impl Shedder {
     /// With so many connections at most.
     #[must_use]
     pub fn new(connections_max: usize) -> Self {
         Self {
             connections: TaskTracker::new(),
             connections_max,
-            closed: AtomicU64::new(0.0_f64.to_bits()),
-            taken_at: AtomicU64::default(),
+            closed_share_bits: AtomicU64::new(0.0_f64.to_bits()),
+            accepted_at: AtomicU64::default(),
         }
     }
 
@@ -47,17 +47,18 @@
 
     /// Whether a new connection is taken.
     #[must_use]
-    pub fn takes(&self, now: Millis) -> bool {
-        let closed = f64::from_bits(self.closed.load(Ordering::Relaxed));
+    pub fn accepts(&self, now: Millis) -> bool {
+        let closed = f64::from_bits(self.closed_share_bits.load(Ordering::Relaxed));
         if closed == 0.0 || self.is_full() {
             return !self.is_full();
         }
-        let taken_at = Millis(self.taken_at.load(Ordering::Relaxed));
-        let takes = now.since(taken_at) >= TAKEN_EACH_MS || rand::random::<f64>() >= closed;
-        if takes {
-            self.taken_at.store(now.0, Ordering::Relaxed);
+        let accepted_at = Millis(self.accepted_at.load(Ordering::Relaxed));
+        let accepts =
+            now.since(accepted_at) >= ACCEPT_INTERVAL_MS || rand::random::<f64>() >= closed;
+        if accepts {
+            self.accepted_at.store(now.0, Ordering::Relaxed);
         }
-        takes
+        accepts
     }
 }
 
@@ -70,7 +71,7 @@
             tokio::time::sleep_until(due.into()).await;
             let late_ms = due.elapsed().as_secs_f64() * 1_000.0;
             let has_turned = overload.tick(late_ms);
-            self.shed.closed.store(overload.closed().to_bits(), Ordering::Relaxed);
+            self.shed.closed_share_bits.store(overload.closed().to_bits(), Ordering::Relaxed);
             if has_turned {
                 let closed = overload.closed();
                 metrics::gauge!("gateway_connections_closed_part").set(closed);
--- a/crates/gateway/src/world.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -10,7 +10,7 @@
 
 /// One state of the world.
 #[derive(Default)]
-pub struct World {
+pub struct RoutingSnapshot {
     /// The table of routes in force; version 0 before there is one.
     pub index: Arc<Index>,
     /// Backend servers by service.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -15,26 +15,26 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::backend::{Prefill, Restricted};
+use crate::backend::{Prefill, RestrictionNotice};
+use crate::buffers::BufferBudget;
+use crate::detour_hosts::DetourHosts;
 use crate::evidence::Tally;
-use crate::helpers::Helpers;
 use crate::paces::Paces;
-use crate::poison::{Guard, Trial};
-use crate::reach::Reach;
+use crate::poison::{Guard, TrialMessage};
+use crate::reach::Reachability;
 use crate::recall::Registry;
-use crate::shed::Shed;
+use crate::shed::Shedder;
+use crate::snapshot::RoutingSnapshot;
 use crate::timing::Timing;
-use crate::volume::Volume;
-use crate::world::World;
 
 /// What requests have for the other hosts.
 pub struct Outbox {
     /// Long prompts that were just sent, for the failure domain.
     pub prefills: mpsc::Sender<Prefill>,
     /// What backend servers say of how much they take, for the failure domain.
-    pub restrictions: mpsc::Sender<Restricted>,
+    pub restrictions: mpsc::Sender<RestrictionNotice>,
     /// Requests that one host of all may try.
-    pub trials: mpsc::Sender<Trial>,
+    pub trials: mpsc::Sender<TrialMessage>,
 }
 
 /// Hosts of one failure domain, each as a hash of its name.
@@ -49,7 +49,7 @@
 impl Peers {
     /// Hosts whose turn at a backend server comes before this one's.
     #[must_use]
-    pub fn before(&self, backend: u64) -> usize {
+    pub fn count_before(&self, backend: u64) -> usize {
         let turn = |host: &u64| mix(*host ^ backend);
         let own = turn(&self.own);
         self.others.iter().filter(|other| turn(other) < own).count()
@@ -61,7 +61,7 @@
     /// How the wire spells what requests say.
     pub codec: C,
     /// What requests are decided by.
-    pub world: ArcSwap<World>,
+    pub snapshot: ArcSwap<RoutingSnapshot>,
     /// How often requests may be sent again.
     pub allowance: ArcSwap<Allowance>,
     /// What was sent again lately, by service.
@@ -87,9 +87,9 @@
     /// What the other hosts are to hear.
     pub outbox: Outbox,
     /// Whether this host reaches any backend server.
-    pub reach: Arc<Reach>,
+    pub reach: Arc<Reachability>,
     /// Other hosts that requests go by when it reaches none.
-    pub helpers: Helpers,
+    pub detour_hosts: DetourHosts,
     /// Requests of other hosts that are under way here.
     pub registry: Arc<Registry>,
     /// The other hosts of the failure domain; none until it is known who is there.
@@ -97,9 +97,9 @@
     /// Requests that were lost with their servers.
     pub poison: Arc<Guard>,
     /// Which new connections are taken.
-    pub shed: Shed,
+    pub shed: Shedder,
     /// Bytes of answers that are read whole.
-    pub volume: Volume,
+    pub buffers: BufferBudget,
     /// Cancelled when the store has been read for the first time, or could not be.
     pub started: CancellationToken,
     /// Cancelled when the process is to take no new connections.
@@ -116,10 +116,10 @@
             poison,
             outbox,
             peers: ArcSwap::default(),
-            helpers: Helpers::default(),
+            detour_hosts: DetourHosts::default(),
             registry: Arc::default(),
             codec,
-            world: ArcSwap::default(),
+            snapshot: ArcSwap::default(),
             allowance: ArcSwap::from_pointee(allowance),
             windows: Sharded::default(),
             timings: Sharded::default(),
@@ -131,8 +131,8 @@
             tally: Tally::default(),
             relays: TaskTracker::new(),
             in_flight: AtomicUsize::new(0),
-            shed: Shed::new(usize::MAX),
-            volume: Volume::new(None),
+            shed: Shedder::new(usize::MAX),
+            buffers: BufferBudget::new(None),
             started: CancellationToken::new(),
             stop,
         }
--- a/crates/gateway/src/closed.rs
+++ b/crates/gateway/src/unavailable.rs
@@ -16,14 +16,14 @@
     /// can have run it.
     #[must_use]
     pub fn refusal(&self) -> Refusal {
-        let late = self.left().is_zero();
+        let late = self.time_left().is_zero();
         let paused_ms = self.paused_ms(|_| true);
-        match self.tries.may_have_run {
+        match self.attempts.may_have_run {
             true if late => Refusal::may_have_run(Code::DeadlinePassed, "the deadline passed"),
             true => Refusal::may_have_run(Code::BackendFailed, "the backend server failed"),
             false if let Some(ms) = paused_ms => refuse::paused(ms, rand::random()),
-            false if self.tries.not_run > 0 || self.is_spared() => {
-                let timing = self.state.timings.with(self.timing(), |timing| *timing);
+            false if self.attempts.not_run > 0 || self.is_spared() => {
+                let timing = self.state.timings.with(self.timing_key(), |timing| *timing);
                 refuse::busy(timing.whole.mean_ms(0.0), rand::random())
             }
             false if self.is_leaving() => refuse::leaving(rand::random()),
@@ -37,8 +37,8 @@
 
     /// Whether servers that work are left alone, since they tolerate only so many rejected requests.
     fn is_spared(&self) -> bool {
-        let world = self.state.world.load();
-        let Some(pool) = world.pools.get(&self.service) else { return false };
+        let snapshot = self.state.snapshot.load();
+        let Some(pool) = snapshot.pools.get(&self.service) else { return false };
         let now = clock::steady();
         let takes_work = |backend: &Arc<Backend>| backend.server.takes_work(now);
         self.tolerance().is_some() && pool.backends.iter().any(takes_work)
@@ -46,8 +46,8 @@
 
     /// Requests a second that the service's servers take in all, if limits keep this one from them.
     fn limited(&self) -> Option<f64> {
-        let world = self.state.world.load();
-        let backends = &world.pools.get(&self.service)?.backends;
+        let snapshot = self.state.snapshot.load();
+        let backends = &snapshot.pools.get(&self.service)?.backends;
         let now = clock::steady();
         let limited = backends.iter().filter(|backend| backend.server.takes_work(now));
         let rates = limited
@@ -58,8 +58,8 @@
 
     /// Whether all servers of the service stand in evacuated failure domains.
     fn is_evacuated(&self) -> bool {
-        let world = self.state.world.load();
-        let pool = world.pools.get(&self.service);
+        let snapshot = self.state.snapshot.load();
+        let pool = snapshot.pools.get(&self.service);
         pool.is_some_and(|pool| pool.backends.is_empty() && pool.evacuated > 0)
     }
 
@@ -67,9 +67,9 @@
     /// none if one of them takes requests, or if none can be reached.
     #[must_use]
     pub fn paused_ms(&self, counts: impl Fn(&Backend) -> bool) -> Option<u64> {
-        let world = self.state.world.load();
+        let snapshot = self.state.snapshot.load();
         let now = clock::steady();
-        let backends = &world.pools.get(&self.service)?.backends;
+        let backends = &snapshot.pools.get(&self.service)?.backends;
         let counted = backends.iter().filter(|backend| counts(backend));
         let mut well = counted.filter(|backend| !backend.server.is_ill(now));
         let first_end = well.try_fold(Millis(u64::MAX), |first, backend| {
@@ -80,8 +80,8 @@
 
     /// Whether all servers of the service leave.
     fn is_leaving(&self) -> bool {
-        let world = self.state.world.load();
-        let pool = world.pools.get(&self.service);
+        let snapshot = self.state.snapshot.load();
+        let pool = snapshot.pools.get(&self.service);
         pool.is_some_and(|pool| {
             let mut backends = pool.backends.iter();
             let has_leaving = pool.leaving > 0 || !pool.backends.is_empty();
--- a/crates/gateway/src/wait.rs
+++ b/crates/gateway/src/wait.rs
@@ -13,54 +13,55 @@
 use crate::job::Job;
 
 /// Least wait for a plain answer before another backend server is tried.
-const PLAIN_WAIT_MS: f64 = 60.0;
+const PLAIN_WAIT_MS_MIN: f64 = 60.0;
 /// Most of the time left that is waited before that.
-const PLAIN_PART: f64 = 0.5;
+const PLAIN_WAIT_SHARE: f64 = 0.5;
 /// Mean wait, as a part of the objective, from which slow beginnings are the load's doing. To
 /// leave a busy engine then would only read the prompt twice.
-pub const STREAM_BUSY: f64 = 0.4;
+pub const STREAM_BUSY_SHARE: f64 = 0.4;
 
 impl<C: Codec> Job<C> {
     /// How long the head of an answer is still waited for before the backend server is left; none
     /// if the time has come.
-    pub async fn first_wait(&self, backend: &Backend, since: Instant) -> Option<Duration> {
+    pub async fn head_wait(&self, backend: &Backend, since: Instant) -> Option<Duration> {
         let route = self.route();
-        if !route.kind.may_repeat() || self.tries.sent + 1 >= self.attempts_max {
-            return Some(self.left());
+        if !route.kind.may_repeat() || self.attempts.sent + 1 >= self.attempts_max {
+            return Some(self.time_left());
         }
-        let first = self.state.timings.with(self.timing(), |timing| timing.first);
+        let first = self.state.timings.with(self.timing_key(), |timing| timing.first);
         let objective = route.objective_ms as f64;
         let silent = since.elapsed();
         if route.kind == Kind::Idempotent {
-            let left_ms = (silent + self.left()).as_secs_f64() * 1_000.0;
-            let wait = first.wait_ms(PLAIN_WAIT_MS, left_ms * PLAIN_PART);
+            let left_ms = (silent + self.time_left()).as_secs_f64() * 1_000.0;
+            let wait = first.wait_ms(PLAIN_WAIT_MS_MIN, left_ms * PLAIN_WAIT_SHARE);
             return Duration::from_secs_f64(wait / 1_000.0).checked_sub(silent);
         }
-        let bounds = match first.mean_ms(0.0) > objective * STREAM_BUSY {
+        let bounds = match first.mean_ms(0.0) > objective * STREAM_BUSY_SHARE {
             true => silence::FIRST_BUSY,
             false => silence::FIRST,
         };
-        backend.tolerates(&bounds, silent, objective).await
+        backend.tolerated_silence(&bounds, silent, objective).await
     }
 
     /// Whether a silent backend server is left: only if the request can be sent to another one.
     /// The repeat is paid for then, so that the next try can't be refused for want of it.
-    pub fn leave(&self, backend: &Backend) -> bool {
-        let world = self.state.world.load();
-        let Some(pool) = world.pools.get(&self.service) else { return false };
+    pub fn claim_leave(&self, backend: &Backend) -> bool {
+        let snapshot = self.state.snapshot.load();
+        let Some(pool) = snapshot.pools.get(&self.service) else { return false };
         let is_other = |other: &&Arc<Backend>| {
             other.id != backend.id
-                && !self.tries.tried.contains(&other.id)
+                && !self.attempts.excluded.contains(&other.id)
                 && other.server.takes_work(clock::steady())
         };
-        let sent = self.tries.sent + u32::from(!self.tries.answering);
+        let sent = self.attempts.sent + u32::from(!self.attempts.is_answering);
         let is_isolated = backend.is_host || self.state.reach.is_isolated();
-        let version = self.tries.version.as_ref().unwrap_or(&pool.base);
-        let way_on = self.route().kind.may_repeat()
+        let version = self.attempts.version.as_ref().unwrap_or(&pool.base);
+        let has_alternative = self.route().kind.may_repeat()
             && sent < self.attempts_max
-            && (pool.of(version).any(|other| is_other(&other)) || is_isolated && self.has_host());
-        let paid = way_on && self.take_repeat();
-        self.tries.paid.fetch_or(paid, Ordering::Relaxed);
-        paid
+            && (pool.servers(version).any(|other| is_other(&other))
+                || is_isolated && self.has_detour());
+        let is_paid = has_alternative && self.take_repeat();
+        self.attempts.is_repeat_taken.fetch_or(is_paid, Ordering::Relaxed);
+        is_paid
     }
 }
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,51 +1,51 @@
 //! Streams of events, cut anywhere.
 
 use bytes::Bytes;
-use gateway::events::{Fault, Splitter};
+use gateway::events::{EventSplitter, Fault};
 
 fn stream(from: u64, to: u64) -> String {
     (from..=to).map(|id| format!("id: {id}\ndata: piece {id}\n\n")).collect()
 }
 
-fn feed(splitter: &mut Splitter, text: &str) -> String {
+fn feed(splitter: &mut EventSplitter, text: &str) -> String {
     let (bytes, _) = splitter.feed(&Bytes::from(text.to_owned())).unwrap();
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
 #[test]
 fn feed_half_event_is_kept() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     assert_eq!(feed(&mut splitter, "id: 1\nda"), "");
     assert!(!splitter.is_empty());
-    assert_eq!(splitter.last(), None);
+    assert_eq!(splitter.last_id(), None);
     assert_eq!(feed(&mut splitter, "ta: x\n\nid: 2\n"), "id: 1\ndata: x\n\n");
-    assert_eq!(splitter.last(), Some(1));
+    assert_eq!(splitter.last_id(), Some(1));
     assert!(!splitter.is_empty());
 }
 
 #[test]
 fn feed_events_that_the_caller_has_are_dropped() {
-    let mut splitter = Splitter::behind(Some(3));
+    let mut splitter = EventSplitter::resume_after(Some(3));
     assert_eq!(feed(&mut splitter, &stream(1, 5)), stream(4, 5));
     assert_eq!(feed(&mut splitter, &stream(4, 6)), stream(6, 6));
 }
 
 #[test]
 fn feed_counts_events() {
-    let mut splitter = Splitter::behind(Some(2));
+    let mut splitter = EventSplitter::resume_after(Some(2));
     assert_eq!(splitter.feed(&Bytes::from(stream(1, 5))).unwrap().1, 3);
 }
 
 #[test]
 fn feed_event_without_id_is_passed_on() {
-    let mut splitter = Splitter::behind(Some(2));
+    let mut splitter = EventSplitter::resume_after(Some(2));
     assert_eq!(feed(&mut splitter, ": still there\n\n"), ": still there\n\n");
-    assert_eq!(splitter.last(), Some(2));
+    assert_eq!(splitter.last_id(), Some(2));
 }
 
 #[test]
 fn feed_runaway_event() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let piece = Bytes::from(vec![b'x'; 40 << 10]);
     assert!(splitter.feed(&piece).is_ok());
     assert_eq!(splitter.feed(&piece), Err(Fault::TooLong));
@@ -54,12 +54,12 @@
 /// Guards against a stream that brings bytes without end and never an event with a new number.
 #[test]
 fn feed_endless_events_without_a_number() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let piece = Bytes::from(": junk\n\n".repeat(8 << 10));
     let fed = (0..100).map(|_| splitter.feed(&piece)).find(Result::is_err);
     assert_eq!(fed, Some(Err(Fault::Unnumbered)));
     let numbered = Bytes::from("id: 1\ndata: a\n\n");
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     for _ in 0..12 {
         splitter.feed(&piece).unwrap();
     }
@@ -74,18 +74,18 @@
     fuzz::check::<(Vec<u8>, u8, u8)>(2_000, |(cuts, breaks_at, repeats)| {
         let whole = stream(1, 20);
         let broken = &whole[..usize::from(*breaks_at) * whole.len() / 256];
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut got = feed_cut(&mut splitter, broken, cuts);
-        let last = splitter.last().unwrap_or_default();
+        let last = splitter.last_id().unwrap_or_default();
         let from = (last + 1).saturating_sub(u64::from(repeats % 4)).max(1);
-        let mut splitter = Splitter::behind(splitter.last());
+        let mut splitter = EventSplitter::resume_after(splitter.last_id());
         got += &feed_cut(&mut splitter, &stream(from, 20), cuts);
         assert_eq!(got, whole);
         assert!(splitter.is_empty());
     });
 }
 
-fn feed_cut(splitter: &mut Splitter, text: &str, cuts: &[u8]) -> String {
+fn feed_cut(splitter: &mut EventSplitter, text: &str, cuts: &[u8]) -> String {
     let mut got = String::new();
     let mut rest = text;
     for cut in cuts {
--- a/crates/gateway/tests/evidence.rs
+++ b/crates/gateway/tests/evidence.rs
@@ -1,6 +1,6 @@
 //! What a host counts of a version's answers.
 
-use gateway::evidence::{Counted, Origin, Tally};
+use gateway::evidence::{Cohort, CountedAnswer, Tally};
 use policy::canary::{Count, Sign};
 use policy::name::Name;
 
@@ -11,14 +11,14 @@
     let (service, route) = (Name::from("s"), Name::from("r"));
     let tally = Tally::default();
     for sign in [Sign::Good, Sign::Slow, Sign::Good] {
-        tally.note(&service, &route, Origin::NewAtFull, sign);
+        tally.record(&service, &route, Cohort::NewAtFull, sign);
     }
     for sign in [Sign::Slow, Sign::Good] {
-        tally.forget(&service, &route, Counted { origin: Origin::NewAtFull, sign });
-        tally.note(&service, &route, Origin::NewAtFull, Sign::Failed);
+        tally.retract(&service, &route, CountedAnswer { cohort: Cohort::NewAtFull, sign });
+        tally.record(&service, &route, Cohort::NewAtFull, Sign::Failed);
     }
     let counted = Count { answers: 3, bad: 2, slow: 0 };
-    let seen = tally.of(&service);
+    let seen = tally.evidence(&service);
     assert_eq!((seen[0].new, seen[0].full), (counted, counted));
 }
 
@@ -26,9 +26,9 @@
 fn forget_what_was_cleared_is_nothing() {
     let (service, route) = (Name::from("s"), Name::from("r"));
     let tally = Tally::default();
-    tally.note(&service, &route, Origin::New, Sign::Good);
+    tally.record(&service, &route, Cohort::New, Sign::Good);
     tally.clear(&service);
-    tally.forget(&service, &route, Counted { origin: Origin::New, sign: Sign::Good });
-    tally.note(&service, &route, Origin::New, Sign::Failed);
-    assert_eq!(tally.of(&service)[0].new, Count { answers: 1, bad: 1, slow: 0 });
+    tally.retract(&service, &route, CountedAnswer { cohort: Cohort::New, sign: Sign::Good });
+    tally.record(&service, &route, Cohort::New, Sign::Failed);
+    assert_eq!(tally.evidence(&service)[0].new, Count { answers: 1, bad: 1, slow: 0 });
 }
--- a/crates/gateway/tests/look.rs
+++ b/crates/gateway/tests/look.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use gateway::backend::{Backend, Found};
+use gateway::backend::{Backend, Liveness};
 use gateway::poison::Guard;
 use policy::name::Name;
 use tokio::net::{TcpSocket, TcpStream};
@@ -26,7 +26,7 @@
 
 /// Guards against streams lost together that wait for one look after another.
 #[tokio::test(flavor = "multi_thread")]
-async fn look_of_many_at_a_server_that_takes_no_connections_is_one() {
+async fn probe_by_many_of_a_server_that_accepts_no_connections_is_shared() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
@@ -42,11 +42,11 @@
     let began = Instant::now();
     let looks = (0..10).map(|_| {
         let (backend, guard) = (Arc::clone(&backend), Arc::clone(&guard));
-        tokio::spawn(async move { backend.look(&guard, Vec::new).await })
+        tokio::spawn(async move { backend.probe(&guard, Vec::new).await })
     });
     let looks: Vec<_> = looks.collect();
     for look in looks {
-        assert_eq!(look.await.unwrap(), Found::Lives);
+        assert_eq!(look.await.unwrap(), Liveness::Alive);
     }
     assert!(began.elapsed() < Duration::from_millis(300), "{:?}", began.elapsed());
 }
@@ -54,19 +54,19 @@
 /// Guards against requests lost with a server that are forgotten since, in the moment of its end, others
 /// refused connections as well.
 #[tokio::test]
-async fn look_while_the_host_may_be_cut_off_is_unclear_until_another_takes_connections() {
+async fn probe_while_the_host_may_be_cut_off_is_unclear_until_another_server_accepts_connections() {
     let free = || std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let ended = backend("ended", free());
     let guard = Guard::new(tokio::sync::mpsc::channel(1).0);
-    guard.reach.failed(&backend("b1", free()));
-    guard.reach.failed(&backend("b2", free()));
+    guard.reach.record_failure(&backend("b1", free()));
+    guard.reach.record_failure(&backend("b2", free()));
     let others = [backend("b1", free()), backend("b2", free())];
-    assert_eq!(ended.look(&guard, || others.to_vec()).await, Found::Unclear);
+    assert_eq!(ended.probe(&guard, || others.to_vec()).await, Liveness::Unclear);
     let alive = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let others = [backend("b1", free()), backend("b3", alive.local_addr().unwrap())];
     // Looks that follow one another at once share what the first one found.
     let until = Instant::now() + Duration::from_secs(10);
-    while ended.look(&guard, || others.to_vec()).await != Found::Ended {
+    while ended.probe(&guard, || others.to_vec()).await != Liveness::Ended {
         assert!(Instant::now() < until, "still unclear");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
