--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -30,9 +30,9 @@
     let rollout = Rollout {
         target: Name::from("v2"),
         stage,
-        began: Millis(0),
+        began_at: Millis(0),
         within_ms: WITHIN_MS,
-        allowed: canary::ALLOWED_MIN,
+        exposure_share: canary::ALLOWED_MIN,
         halted: Arc::new(AtomicBool::new(halted)),
     };
     let backends = vec![backend("old", "v1"), backend("new", "v2")];
@@ -46,39 +46,39 @@
 /// Streams cut when old servers stop, on a host that has not yet heard of the roll-out's success,
 /// used up their tries at other stopped servers.
 #[test]
-fn keeps_not_the_old_version_once_the_new_one_has_all() {
+fn stays_on_the_old_version_only_until_the_new_one_has_all_requests() {
     let pool = pool(Stage::Moving, false);
-    assert!(pool.keeps(&Name::from("v1"), at(0.9)));
-    assert!(!pool.keeps(&Name::from("v1"), at(0.96)));
-    assert!(pool.keeps(&Name::from("v2"), at(0.96)));
+    assert!(pool.stays_on(&Name::from("v1"), at(0.9)));
+    assert!(!pool.stays_on(&Name::from("v1"), at(0.96)));
+    assert!(pool.stays_on(&Name::from("v2"), at(0.96)));
 }
 
 #[test]
-fn keeps_the_old_version_if_the_new_one_is_halted_or_stopped() {
-    assert!(pool(Stage::Moving, true).keeps(&Name::from("v1"), at(0.96)));
-    assert!(pool(Stage::Stopped, false).keeps(&Name::from("v1"), at(0.96)));
+fn stays_on_the_old_version_if_the_new_one_is_halted_or_stopped() {
+    assert!(pool(Stage::Moving, true).stays_on(&Name::from("v1"), at(0.96)));
+    assert!(pool(Stage::Stopped, false).stays_on(&Name::from("v1"), at(0.96)));
     let halted = pool(Stage::Moving, false);
     halted.rollout.as_ref().unwrap().halted.store(true, Ordering::Relaxed);
-    assert!(halted.keeps(&Name::from("v1"), at(0.96)));
+    assert!(halted.stays_on(&Name::from("v1"), at(0.96)));
 }
 
 /// A version that fails only under load showed nothing on trial: its few requests were spread over
 /// all of its servers, and each was idle.
 #[test]
-fn open_on_trial_gives_few_servers_the_load_to_come() {
+fn active_on_trial_gives_few_servers_the_load_to_come() {
     let mut pool = pool(Stage::Trial, false);
     pool.backends.extend((0..59).map(|number| backend(&format!("new-{number}"), "v2")));
     let trial = Name::from("v2");
-    let open = |part: f64| pool.open(&trial, canary::USUAL_LOAD, at(part)).len();
+    let open = |part: f64| pool.active(&trial, canary::USUAL_LOAD, at(part)).len();
     for part in [0.52, 0.7, 0.9] {
         let share = pool.rollout.as_ref().unwrap().share(at(part));
         // Each has at most what it will have, and not less than a half of it.
         let load = share * 60.0 / open(part) as f64;
         assert!((0.5..=1.0).contains(&load), "{load} at {part}");
     }
-    assert_eq!(pool.open(&Name::from("v1"), canary::USUAL_LOAD, at(0.7)).len(), 1);
+    assert_eq!(pool.active(&Name::from("v1"), canary::USUAL_LOAD, at(0.7)).len(), 1);
     let same = |part| {
-        pool.open(&trial, canary::USUAL_LOAD, at(part))
+        pool.active(&trial, canary::USUAL_LOAD, at(part))
             .iter()
             .map(|b| b.id.clone())
             .collect::<Vec<_>>()
@@ -87,11 +87,11 @@
 }
 
 #[test]
-fn open_with_all_requests_is_all_servers() {
+fn active_with_all_requests_is_all_servers() {
     let pool = pool(Stage::Moving, false);
-    assert_eq!(pool.open(&Name::from("v2"), canary::USUAL_LOAD, at(0.96)).len(), 1);
+    assert_eq!(pool.active(&Name::from("v2"), canary::USUAL_LOAD, at(0.96)).len(), 1);
     assert_eq!(
-        pool.open(&Name::from("v2"), canary::USUAL_LOAD, at(0.1)).len(),
+        pool.active(&Name::from("v2"), canary::USUAL_LOAD, at(0.1)).len(),
         1,
         "nothing is sent there yet"
     );
@@ -100,10 +100,10 @@
 /// A plain service's version that fails only under load was declared done, and failed when the load
 /// rose: it had never had more than the load of a calm moment.
 #[test]
-fn open_until_done_gives_plain_servers_the_load_of_a_peak() {
+fn active_until_done_gives_plain_servers_the_load_of_a_peak() {
     let mut pool = pool(Stage::Moving, false);
     pool.backends.extend((0..5).map(|number| backend(&format!("new-{number}"), "v2")));
-    let all = |pool: &Pool| pool.open(&Name::from("v2"), canary::PEAK_LOAD, at(0.98)).len();
+    let all = |pool: &Pool| pool.active(&Name::from("v2"), canary::PEAK_LOAD, at(0.98)).len();
     assert_eq!(all(&pool), 3);
     pool.rollout.as_mut().unwrap().stage = Stage::Done;
     assert_eq!(all(&pool), 6);
@@ -144,36 +144,40 @@
 
 /// Guards against requests that look at each of thousands of servers.
 #[test]
-fn look_does_not_grow_with_the_servers() {
+fn candidates_do_not_grow_with_the_servers() {
     for (near, far) in [(1, 0), (30, 60), (128, 64), (1_700, 8_300), (0, 5_000), (3_400, 16_600)] {
         let pool = large(near, far);
-        let looked = pool.look(&Name::from("v1"), canary::USUAL_LOAD, Some(7), 3, at(0.1));
-        assert!(looked.backends.len() <= 193, "{near} {far} {}", looked.backends.len());
-        assert_eq!(looked.is_sample, near > 128 || far > 64);
-        let near_looked = looked.backends.iter().filter(|backend| backend.near).count();
-        assert!(near_looked >= near.min(128), "{near} {near_looked}");
-        let ids: std::collections::BTreeSet<_> = looked.backends.iter().map(|b| &b.id).collect();
-        assert_eq!(ids.len(), looked.backends.len());
+        let candidates =
+            pool.candidates(&Name::from("v1"), canary::USUAL_LOAD, Some(7), 3, at(0.1));
+        assert!(candidates.backends.len() <= 193, "{near} {far} {}", candidates.backends.len());
+        assert_eq!(candidates.is_sample, near > 128 || far > 64);
+        let near_candidates = candidates.backends.iter().filter(|backend| backend.is_near).count();
+        assert!(near_candidates >= near.min(128), "{near} {near_candidates}");
+        let ids: std::collections::BTreeSet<_> =
+            candidates.backends.iter().map(|b| &b.id).collect();
+        assert_eq!(ids.len(), candidates.backends.len());
     }
 }
 
 /// Guards against caches that each host fills at another engine.
 #[test]
-fn look_hosts_agree_on_an_engine_for_a_subject() {
+fn candidates_hosts_agree_on_an_engine_for_a_subject() {
     let pools = [large(1_700, 8_300), large(1_700, 8_300)];
     for subject in 0..50 {
         let preferred = pools.each_ref().map(|pool| {
-            let seed = rand_like(subject);
-            let looked = pool.look(&Name::from("v1"), 1.0, Some(subject), seed, at(0.1));
-            assert!(looked.backends.iter().any(|b| Arc::ptr_eq(b, looked.preferred.unwrap())));
-            looked.preferred.unwrap().id.clone()
+            let seed = next_seed(subject);
+            let candidates = pool.candidates(&Name::from("v1"), 1.0, Some(subject), seed, at(0.1));
+            assert!(
+                candidates.backends.iter().any(|b| Arc::ptr_eq(b, candidates.preferred.unwrap()))
+            );
+            candidates.preferred.unwrap().id.clone()
         });
         assert_eq!(preferred[0], preferred[1]);
     }
 }
 
 /// Another seed at each call.
-fn rand_like(subject: u64) -> u64 {
+fn next_seed(subject: u64) -> u64 {
     static CALLS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     policy::place::mix(subject ^ CALLS.fetch_add(1, Ordering::Relaxed))
 }
--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -8,10 +8,10 @@
 
 use arc_swap::ArcSwap;
 use entry::clock;
-use gateway::backend::{Backend, Restricted};
+use gateway::backend::{Backend, RestrictionNotice};
 use gateway::index::Index;
 use gateway::pool::{Pool, Rollout};
-use gateway::world::World;
+use gateway::snapshot::RoutingSnapshot;
 use policy::canary::{self, Stage};
 use policy::domain;
 use policy::evacuation::{self, Evacuations};
@@ -216,7 +216,7 @@
 
     /// What backend servers said lately of how much they take.
     #[must_use]
-    pub fn restrictions(&self, now: Millis) -> Vec<Restricted> {
+    pub fn restrictions(&self, now: Millis) -> Vec<RestrictionNotice> {
         let inner = self.lock();
         let restricted = inner.backends.values().filter(|backend| backend.server.is_restricted());
         restricted.flat_map(|backend| backend.restrictions(now)).collect()
@@ -224,7 +224,7 @@
 
     /// Takes what another host heard of a backend server, with times of its clock; whether the world is
     /// another one now. What was said of another start means nothing.
-    pub fn restrict(&self, restricted: &Restricted, from: Millis, now: Millis) -> bool {
+    pub fn restrict(&self, restricted: &RestrictionNotice, from: Millis, now: Millis) -> bool {
         let backend = self.backend(&restricted.backend);
         let backend = backend.filter(|backend| backend.born == restricted.born);
         let restriction = restricted.restriction.on_clock(from, now);
@@ -311,7 +311,7 @@
     /// Both lists publish, on any thread. Were the lock given up in between, a world made before a
     /// table came could replace the one made after, and all requests be refused until the next
     /// change.
-    pub fn publish(&self, place: &ArcSwap<World>, now: Millis) -> Published {
+    pub fn publish(&self, place: &ArcSwap<RoutingSnapshot>, now: Millis) -> Published {
         let mut inner = self.lock();
         let before = place.load_full();
         let world = inner.world(self, now);
@@ -329,7 +329,7 @@
 }
 
 impl Inner {
-    fn world(&mut self, at: &Catalog, now: Millis) -> World {
+    fn world(&mut self, at: &Catalog, now: Millis) -> RoutingSnapshot {
         let entries = self.roster.entries(now);
         self.warming.retain(|_, until| now < *until);
         let mut backends = HashMap::new();
@@ -366,7 +366,7 @@
             pool.rollout =
                 self.rollouts.get(service).map(|known| rollout(known, at.exposure_share));
         }
-        World {
+        RoutingSnapshot {
             index: Arc::clone(&self.index),
             revision: self.roster.revision.number,
             is_complete: self.is_complete(),
@@ -411,7 +411,7 @@
     }
 
     /// Servers of an earlier world that are no longer listed, or have started again.
-    fn gone(&self, before: &World) -> Vec<Name> {
+    fn gone(&self, before: &RoutingSnapshot) -> Vec<Name> {
         let served = before.pools.values().flat_map(|pool| &pool.backends);
         let gone = served.filter(|backend| {
             let listed = self.backends.get(&backend.id);
@@ -459,13 +459,13 @@
         .map(|(version, _)| (*version).clone())
 }
 
-fn rollout(known: &Known, allowed: f64) -> Rollout {
+fn rollout(known: &Known, exposure_share: f64) -> Rollout {
     Rollout {
         target: known.order.target.clone(),
         stage: known.record.as_ref().map(|record| record.stage).unwrap_or_default(),
-        began: known.began,
+        began_at: known.began,
         within_ms: known.order.within_ms,
-        allowed,
+        exposure_share,
         halted: Arc::clone(&known.halted),
     }
 }
--- a/crates/node/src/helpers.rs
+++ b/crates/node/src/helpers.rs
@@ -31,14 +31,14 @@
     let mut isolated = state.reach.watch();
     loop {
         tokio::select! {
-            () = state.helpers.wanted.notified() => {}
+            () = state.detour_hosts.wanted.notified() => {}
             Ok(_) = isolated.wait_for(|isolated| *isolated) => {}
         }
         let mut domains = settings.failure_domains.clone();
         domains.retain(|domain| *domain != settings.failure_domain);
         domains.shuffle(&mut rand::rng());
         for domain in &domains {
-            if !state.helpers.wants_far(clock::steady()) {
+            if !state.detour_hosts.wants_far(clock::steady()) {
                 break;
             }
             add(&watch, domain).await;
@@ -67,9 +67,9 @@
 async fn try_add<C: Codec>(state: &State<C>, found: &Found, domain: &Name) -> bool {
     let Some(address) = found.forward else { return false };
     let host = Backend::host(found.name.clone(), address, domain.clone(), false);
-    let answers = host.takes_connections().await;
+    let answers = host.accepts_connections().await;
     if answers {
-        state.helpers.add(&found.name, address, domain, false);
+        state.detour_hosts.add(&found.name, address, domain, false);
     }
     answers
 }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -71,7 +71,7 @@
 }
 
 fn ready<C: Codec>(subject: &Subject<C>) -> (StatusCode, String) {
-    let world = subject.state.world.load();
+    let world = subject.state.snapshot.load();
     let (status, why) = match () {
         () if subject.state.stop.is_cancelled() => {
             (StatusCode::SERVICE_UNAVAILABLE, "shutting down")
@@ -101,7 +101,7 @@
 }
 
 fn render<C: Codec>(subject: &Subject<C>) -> String {
-    let world = subject.state.world.load();
+    let world = subject.state.snapshot.load();
     let in_flight = subject.state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
     metrics::gauge!("node_table_version").set(world.index.version as f64);
     metrics::gauge!("node_evacuated_domains").set(subject.catalog.evacuated().len() as f64);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use entry::clock;
-use gateway::backend::{Prefill, Restricted, Restriction};
-use gateway::paces::Seen;
+use gateway::backend::{Prefill, Restriction, RestrictionNotice};
+use gateway::paces::PaceSample;
 use gateway::{Codec, State};
 use policy::backlog::Prompt;
 use policy::listing::Listing;
@@ -82,7 +82,7 @@
     /// Long prompts that were just sent.
     pub prefills: mpsc::Receiver<Prefill>,
     /// What backend servers say of how much they take.
-    pub restrictions: mpsc::Receiver<Restricted>,
+    pub restrictions: mpsc::Receiver<RestrictionNotice>,
     /// What else is new.
     pub notices: mpsc::Receiver<Notice>,
 }
@@ -168,8 +168,8 @@
                     greeted = tokio::time::Instant::now();
                     self.watch.directory.forget(clock::steady());
                     let directory = &self.watch.directory;
-                    self.state.helpers.retain_near(|name| directory.address(name).is_some());
-                    self.state.helpers.set_neighbours(directory.count());
+                    self.state.detour_hosts.retain_near(|name| directory.address(name).is_some());
+                    self.state.detour_hosts.set_neighbours(directory.count());
                     if has_found {
                         self.watch.share_repeats();
                     }
@@ -192,7 +192,7 @@
             Notice::Records => (self.all(), self.records()),
             Notice::Counts => (delegate.into_iter().collect(), self.counts()),
             Notice::Suspects => {
-                let new = self.state.poison.with(|book| book.for_peers(clock::steady()));
+                let new = self.state.poison.with_book(|book| book.for_peers(clock::steady()));
                 (self.all(), new.into_iter().map(Entry::Suspect).collect())
             }
             Notice::Incoming(list) => (self.all(), vec![Entry::Incoming(list)]),
@@ -210,7 +210,7 @@
     /// What a sign of life says.
     fn greeting(&self) -> Vec<Entry> {
         let now = clock::steady();
-        let suspects = self.state.poison.with(|book| book.suspects(now));
+        let suspects = self.state.poison.with_book(|book| book.suspects(now));
         let suspects = suspects.into_iter().map(Entry::Suspect);
         self.positions().into_iter().chain(suspects).chain(self.restrictions(now)).collect()
     }
@@ -239,7 +239,7 @@
     fn counts(&self) -> Vec<Entry> {
         let orders = self.watch.catalog.orders().into_iter();
         let counted = orders.flat_map(|(service, order)| {
-            let routes = self.state.tally.of(&service).into_iter();
+            let routes = self.state.tally.evidence(&service).into_iter();
             routes.map(move |route| {
                 let routes = vec![route];
                 Entry::Counted(Counting { service: service.clone(), order, routes })
@@ -293,15 +293,15 @@
                 Entry::Restricted(restricted) => {
                     is_changed |= self.watch.catalog.restrict(&restricted, message.now, now);
                 }
-                Entry::Seen(Seen { backend, shown }) => {
+                Entry::Seen(PaceSample { backend, shown }) => {
                     if let Some(backend) = self.watch.catalog.backend(&backend) {
-                        backend.note_streams(shown, now);
+                        backend.record_streams(shown, now);
                     }
                 }
                 Entry::Prefill(Prefill { backend, read_ms, rank }) => {
                     metrics::counter!("node_peer_prefills_total").increment(1);
                     if let Some(backend) = self.watch.catalog.backend(&backend) {
-                        backend.announced(Prompt { rank, read_ms: f64::from(read_ms) }, now);
+                        backend.record_announced(Prompt { rank, read_ms: f64::from(read_ms) }, now);
                     }
                 }
             }
@@ -316,11 +316,11 @@
     fn note_forward(&self, host: &Name, forward: Option<SocketAddr>) {
         match forward {
             Some(address) => {
-                self.state.helpers.add(host, address, &self.failure_domain, true);
+                self.state.detour_hosts.add(host, address, &self.failure_domain, true);
             }
-            None => self.state.helpers.remove(host),
+            None => self.state.detour_hosts.remove(host),
         }
-        self.state.helpers.set_neighbours(self.watch.directory.count());
+        self.state.detour_hosts.set_neighbours(self.watch.directory.count());
     }
 
     /// All hosts known.
--- a/crates/node/src/peers/message.rs
+++ b/crates/node/src/peers/message.rs
@@ -1,7 +1,7 @@
 //! A message between hosts of one failure domain, and how a long one is sent in pieces.
 
-use gateway::backend::{Prefill, Restricted};
-use gateway::paces::Seen;
+use gateway::backend::{Prefill, RestrictionNotice};
+use gateway::paces::PaceSample;
 use policy::domain;
 use policy::name::Name;
 use policy::poison::Suspect;
@@ -55,11 +55,11 @@
         /// A request that was lost with servers.
         Suspect(Suspect),
         /// What a backend server says of how much it takes.
-        Restricted(Restricted),
+        Restricted(RestrictionNotice),
         /// A prompt that was just sent.
         Prefill(Prefill),
         /// What streams of an engine showed.
-        Seen(Seen),
+        Seen(PaceSample),
     }
 }
 
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use entry::clock;
-use gateway::poison::{Ask, Guard, Trial};
+use gateway::poison::{Guard, TrialMessage, TrialRequest};
 use gateway::{Codec, State};
 use policy::domain;
 use policy::name::Name;
@@ -74,7 +74,11 @@
 
 impl<S: Store, C: Codec> Poison<S, C> {
     /// Runs until the process ends. A host that starts again may have forgotten what it knew.
-    pub async fn run(self: Arc<Self>, mut trials: mpsc::Receiver<Trial>, is_first_start: bool) {
+    pub async fn run(
+        self: Arc<Self>,
+        mut trials: mpsc::Receiver<TrialMessage>,
+        is_first_start: bool,
+    ) {
         if !is_first_start {
             self.guard().alarm();
         }
@@ -83,7 +87,7 @@
         loop {
             tokio::select! {
                 () = self.guard().changed.notified() => {}
-                Ok(()) = era.changed() => self.guard().with(|book| book.rewrite()),
+                Ok(()) = era.changed() => self.guard().with_book(|book| book.rewrite()),
                 () = tokio::time::sleep(LOOK), if self.guard().is_awake() => {}
                 Some(trial) = trials.recv() => {
                     let this = Arc::clone(&self);
@@ -104,18 +108,20 @@
     }
 
     async fn step(&self, moment: &mut Option<Moment>) -> Result<(), Error> {
-        if self.guard().with(|book| book.has_unsent()) {
+        if self.guard().with_book(|book| book.has_unsent()) {
             self.watch.notify(Notice::Suspects);
         }
-        if self.guard().polls(|polls| polls.is_due(clock::steady())) && self.watch.is_delegate() {
+        if self.guard().with_polls(|polls| polls.is_due(clock::steady()))
+            && self.watch.is_delegate()
+        {
             self.read(moment).await?;
         }
-        let Some(row) = self.guard().with(|book| book.for_store(clock::steady())) else {
+        let Some(row) = self.guard().with_book(|book| book.for_store(clock::steady())) else {
             return Ok(());
         };
         let written = self.write(&row, moment).await;
         if written.is_err() {
-            self.guard().with(|book| book.untaken(&row));
+            self.guard().with_book(|book| book.untaken(&row));
         }
         written
     }
@@ -125,7 +131,7 @@
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, SEEN).await;
         let now = clock::steady();
         let learnt = rows.as_ref().map_or(0, |rows| self.learn(rows, now));
-        self.guard().polls(|polls| polls.read(learnt > 0, now));
+        self.guard().with_polls(|polls| polls.read(learnt > 0, now));
         let rows = rows?;
         *moment = Some(Moment { here: now, store: Millis(rows.now_ms) });
         if learnt > 0 {
@@ -168,10 +174,10 @@
         Ok(())
     }
 
-    async fn attend(&self, trial: Trial) {
+    async fn attend(&self, trial: TrialMessage) {
         match trial {
-            Trial::Ask(ask) => self.answer(ask).await,
-            Trial::Answered(digest) => {
+            TrialMessage::Request(ask) => self.answer(ask).await,
+            TrialMessage::Answered(digest) => {
                 let written = self.write_answered(digest).await;
                 written.unwrap_or_else(|error| {
                     log::warn!(target: "poison", digest:% = digest, error:% = error;
@@ -183,7 +189,7 @@
 
     /// Without the store nobody can tell whether another host tries it. What is held stays held then;
     /// what is not would be turned away for the store's sake.
-    async fn answer(&self, ask: Ask) {
+    async fn answer(&self, ask: TrialRequest) {
         let granted = self.try_grant(&ask).await.unwrap_or_else(|error| {
             let granted = ask.alone_ms <= TRIAL_MS;
             log::warn!(target: "poison", digest:% = ask.digest, servers = ask.servers, granted,
@@ -196,7 +202,7 @@
 
     /// Whether this host may try a request, which no other does then for a while. It may if a server has
     /// answered the try of another.
-    async fn try_grant(&self, ask: &Ask) -> Result<bool, Error> {
+    async fn try_grant(&self, ask: &TrialRequest) -> Result<bool, Error> {
         let key = claim_key(ask.digest);
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, &key).await?;
         let now = clock::steady();
@@ -215,7 +221,8 @@
             };
             self.guard().learn(&answered.on_clock(Millis(rows.now_ms), now), Source::Store);
             let fingerprint = Fingerprint::of_request(ask.digest);
-            if self.guard().with(|book| book.judge(&fingerprint, now)).verdict == Verdict::Run {
+            if self.guard().with_book(|book| book.judge(&fingerprint, now)).verdict == Verdict::Run
+            {
                 return Ok(true);
             }
         }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use entry::{callers, clock};
-use gateway::forward::Port;
-use gateway::shed::Shed;
+use gateway::buffers::BufferBudget;
+use gateway::forward::PeerHandler;
+use gateway::shed::Shedder;
 use gateway::state::Outbox;
-use gateway::volume::Volume;
 use gateway::{Codec, State};
 use metrics_exporter_prometheus::PrometheusHandle;
 use policy::bootstrap::Bootstrap;
@@ -130,9 +130,9 @@
     let budget = Budget::new(&settings);
     let settings::Resources { descriptors, memory_mb, .. } = settings.resources;
     let memory = memory_mb.map(|megabytes| megabytes << 20);
-    let shed = Shed::new(overload::connections_max(descriptors, memory));
+    let shed = Shedder::new(overload::connections_max(descriptors, memory));
     let state = State::new(codec, budget.allowance(), outbox, stop.clone());
-    let state = Arc::new(State { shed, volume: Volume::new(memory), ..state });
+    let state = Arc::new(State { shed, buffers: BufferBudget::new(memory), ..state });
     let catalog = Catalog::new(settings.failure_domain.clone());
     let catalog = Arc::new(catalog.exposing(settings.exposure_share));
     let (orders, ordered) = mpsc::unbounded_channel();
@@ -176,7 +176,7 @@
         spawn(Arc::clone(&watch).settle()),
         spawn(Arc::new(rollouts).run(ordered)),
         spawn(Arc::new(poison).run(asked, settings.first_start)),
-        spawn(Arc::clone(&state).look_for_servers()),
+        spawn(Arc::clone(&state).probe_while_isolated()),
         spawn(helpers::find(settings.clone(), Arc::clone(&watch))),
         spawn(operators::serve(listeners.operators, Arc::clone(&subject))),
     ];
@@ -212,7 +212,7 @@
         callers::serve(listeners.callers, Arc::clone(&state), close.clone(), connections.clone());
     let accepts = spawn(accepts);
     let forwards = listeners.forward.map(|listener| {
-        let port = Arc::new(Port(Arc::clone(&state)));
+        let port = Arc::new(PeerHandler(Arc::clone(&state)));
         spawn(callers::serve(listener, port, close.clone(), connections.clone()))
     });
     log::info!(target: "process", domain:% = settings.failure_domain, listen:% = settings.listen,
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -228,7 +228,7 @@
     /// Tells the delegate what this host counted, if that is new: of hundreds of hosts most have counted
     /// nothing since they last reported it.
     fn tell_counts(&self, course: &mut Course, now: Instant) {
-        let own = self.state().tally.of(&course.service);
+        let own = self.state().tally.evidence(&course.service);
         let (reported, until) = &course.reported;
         if *reported != own || now >= *until {
             course.reported = (own, now + TELL_AGAIN);
@@ -239,13 +239,13 @@
     /// What this host counted, and what the others of its domain reported.
     fn counted(&self, course: &Course, known: &Known) -> ByHost {
         let mut hosts = self.watch.counts.of(&course.service, known.issued());
-        hosts.insert(self.host.clone(), self.state().tally.of(&course.service));
+        hosts.insert(self.host.clone(), self.state().tally.evidence(&course.service));
         hosts
     }
 
     /// Stops at once what this host's own answers speak against, before the others know.
     fn look(&self, service: &Name, known: &Known) {
-        let own = self.state().tally.of(service);
+        let own = self.state().tally.evidence(service);
         let is_bad = canary::verdict(&own) == Verdict::Bad;
         if is_bad && !known.halted.swap(true, Ordering::Relaxed) {
             log::warn!(target: "rollout", service:% = service, version:% = known.order.target,
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -116,7 +116,7 @@
         follows: &[Follow],
         now: Millis,
     ) -> Self {
-        let world = state.world.load();
+        let world = state.snapshot.load();
         let services = world.pools.iter().map(|(name, pool)| (name.clone(), service(pool, now)));
         let requests = state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
         Self {
@@ -136,7 +136,7 @@
             requests: requests as u64,
             held: state
                 .poison
-                .with(|book| book.suspects(now))
+                .with_book(|book| book.suspects(now))
                 .iter()
                 .map(|s| held(s, now))
                 .collect(),
@@ -165,7 +165,7 @@
             target: rollout.target.clone(),
             stage: rollout.stage,
             share: rollout.share(now),
-            age_ms: now.since(rollout.began),
+            age_ms: now.since(rollout.began_at),
         }),
         leaving: pool.leaving,
         evacuated: pool.evacuated,
@@ -174,7 +174,7 @@
 }
 
 fn backend(backend: &gateway::backend::Backend, now: Millis) -> Backend {
-    let seen = backend.seen(0, &[], u8::MAX, now);
+    let seen = backend.estimate(0, &[], u8::MAX, now);
     Backend {
         version: backend.version.clone(),
         address: backend.server.address.to_string(),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -119,12 +119,12 @@
 impl<S: Store, C: Codec> Watch<S, C> {
     /// Makes the world anew.
     pub fn publish(&self) {
-        let published = self.catalog.publish(&self.state.world, clock::steady());
+        let published = self.catalog.publish(&self.state.snapshot, clock::steady());
         if published.is_complete {
             self.state.started.cancel();
         }
         for server in &published.gone {
-            self.state.poison.ended(server);
+            self.state.poison.record_ended(server);
         }
         if !published.gone.is_empty() {
             self.state.poison.alarm();
--- a/crates/node/tests/catalog.rs
+++ b/crates/node/tests/catalog.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use arc_swap::ArcSwap;
-use gateway::world::World;
+use gateway::snapshot::RoutingSnapshot;
 use node::catalog::Catalog;
 use policy::evacuation;
 use policy::name::Name;
@@ -19,7 +19,7 @@
 #[test]
 fn publish_newest_table_stays() {
     let catalog = Arc::new(Catalog::new(Name::from("a")));
-    let place = Arc::new(ArcSwap::from_pointee(World::default()));
+    let place = Arc::new(ArcSwap::from_pointee(RoutingSnapshot::default()));
     let ended = Arc::new(AtomicBool::new(false));
     let other = {
         let (catalog, place, ended) =
@@ -58,7 +58,7 @@
 
 /// What is left of a server's warm-up once it is listed so, in milliseconds.
 fn warmup_ms(listed: wire::routing::Backend) -> u64 {
-    let (catalog, place) = (catalog(), ArcSwap::from_pointee(World::default()));
+    let (catalog, place) = (catalog(), ArcSwap::from_pointee(RoutingSnapshot::default()));
     catalog.with_roster(|roster| roster.put(listed.clone(), 1.into()));
     catalog.warms(&listed, NOW);
     catalog.publish(&place, NOW);
@@ -77,7 +77,7 @@
     catalog
 }
 
-fn left(place: &ArcSwap<World>, now: Millis) -> u64 {
+fn left(place: &ArcSwap<RoutingSnapshot>, now: Millis) -> u64 {
     let world = place.load();
     let backend = &world.pools[SERVICE].backends[0];
     backend.with_intake(|intake| intake.throttle.warmup_ms(now))
@@ -104,7 +104,7 @@
 /// Guards against servers that are sent everything when the evacuation of their domain ends.
 #[test]
 fn take_evacuations_end_leaves_servers_cold() {
-    let (catalog, place) = (catalog(), ArcSwap::from_pointee(World::default()));
+    let (catalog, place) = (catalog(), ArcSwap::from_pointee(RoutingSnapshot::default()));
     let listed = server("b", Some(0));
     catalog.with_roster(|roster| roster.put(listed.clone(), 1.into()));
     let entry = |revision, failure_domain| evacuation::Entry {
--- a/crates/node/tests/message.rs
+++ b/crates/node/tests/message.rs
@@ -1,6 +1,6 @@
 //! Messages between hosts that are too long for one datagram.
 
-use gateway::backend::{Prefill, Restricted, Restriction};
+use gateway::backend::{Prefill, Restriction, RestrictionNotice};
 use node::peers::message::{BYTES_MAX, Entry, Message};
 use node::record::{Record, Snapshot};
 use policy::canary::Stage;
@@ -29,7 +29,7 @@
 
 fn limit(number: u64) -> Entry {
     let limit = Limit { per_second: Some(4.0), at: NOW, until: None };
-    Entry::Restricted(Restricted {
+    Entry::Restricted(RestrictionNotice {
         backend: Name::from(format!("i-{number}")),
         born: 1,
         restriction: Restriction::Limit(limit),
