--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one backend server.
+//! One attempt of a request at one backend server.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,54 +19,56 @@
 use crate::job::Job;
 use crate::recall::Forwarding;
 
-/// Longest wait for a new connection. Within a region one opens in a few milliseconds; past this
-/// the server is unreachable or its queue of new connections full, and the kernel tries again only
-/// after a second.
+/// Longest wait for a new connection. Within a region a connection opens in a few milliseconds. If
+/// it takes longer than this, the server is unreachable or its queue of new connections is full,
+/// and the kernel tries again only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Part of the time left that one connection attempt may use.
+/// One connection attempt may use up the time left divided by this number.
 const CONNECT_DIVISOR: u32 = 4;
-/// An idle connection is used again within this time. Longer ones may have gone silent, and
-/// backend servers close theirs after some seconds.
+/// How long an idle connection may be reused. Older ones may have gone silent, and backend servers
+/// close theirs after some seconds.
 const IDLE_REUSE_MAX: Duration = Duration::from_secs(3);
 
-/// Prompts that take this long to read, in milliseconds, are announced to the other hosts: a third
-/// of what callers of short prompts wait in all.
+/// The least time to read a prompt for it to be announced to the other hosts: a third of the whole
+/// wait of callers with short prompts.
 const ANNOUNCED_READ_MS: f64 = 60.0;
 
-/// What a backend server answered; its body is still to come.
+/// The head of a backend server's answer, and the connection that its body comes from.
 pub struct Reply {
-    /// Status and headers.
+    /// Status and headers of the answer.
     pub head: Parts,
-    /// What they say.
+    /// What the headers say.
     pub info: AnswerInfo,
-    /// The rest.
+    /// The body, not yet read.
     pub body: Incoming,
-    /// Closed when dropped, which stops the backend server's work.
+    /// The connection. Dropping it closes it, which stops the backend server's work.
     pub connection: Connection,
-    /// Counts the request at the backend server.
+    /// Counts the request as in flight at the backend server.
     pub lease: Lease,
-    /// Who answered.
+    /// The backend server or host that answered.
     pub backend: Arc<Backend>,
     /// When the request was sent.
     pub sent_at: Instant,
-    /// From then to the head of the answer, in milliseconds.
+    /// Time from sending the request to the head of the answer, in milliseconds.
     pub head_ms: f64,
-    /// What that was expected to be.
+    /// The expected time to the head of the answer, in milliseconds.
     pub expected_ms: f64,
-    /// The other host that it went by, if it did: recalled from there when dropped too soon.
+    /// The request at the other host that it went through, if any. Dropped before the answer is
+    /// complete, it recalls the request.
     pub forwarding: Option<Forwarding>,
 }
 
-/// Why a try gave no answer.
+/// Why an attempt gave no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// Not one byte was written.
+    /// No byte of the request was written.
     Unsent(Cause),
-    /// The same: the backend server has said meanwhile that it takes nothing.
+    /// No byte of the request was written, because the backend server has said in the meantime that
+    /// it takes no requests.
     Unwanted,
     /// The backend server says that it did not run the request.
     NotRun {
-        /// It is not the one that the request was for.
+        /// Whether the request was for another server.
         misdirected: bool,
     },
     /// The request may have run.
@@ -76,7 +78,7 @@
 /// Sends the request and waits for the head of its answer.
 ///
 /// # Errors
-/// [`Failure`]; the connection is closed by then.
+/// The reason why there is no answer. The connection is closed by then.
 pub async fn send<C: Codec>(
     job: &Job<C>,
     backend: &Arc<Backend>,
@@ -97,7 +99,7 @@
     let pending = backend.record_sent(model, &job.info.parts, prompt, clock::steady());
     if read_ms >= ANNOUNCED_READ_MS && backend.is_near {
         let prefill = Prefill { backend: backend.id.clone(), read_ms: read_ms as u32, rank };
-        // When too many wait the rest are not announced; they are hints only.
+        // If the queue is full, the prompt is not announced. Announcements are only hints.
         let _ = job.state.outbox.prefills.try_send(prefill);
     }
     let lease = Lease::new(Arc::clone(&backend.server));
@@ -111,7 +113,7 @@
     let (head, body) = response.into_parts();
     let info = job.state.codec.answer_info(head.status, &head.headers);
     backend.record_contact(clock::steady());
-    // Another server at the address of one that is gone speaks for itself only.
+    // Another server at the address of a server that is gone speaks only for itself.
     if !info.misdirected {
         if let Some(load) = info.load {
             backend.record_load(load, clock::steady());
@@ -140,7 +142,8 @@
     })
 }
 
-/// What a backend server says of itself in an answer binds this host, and is passed on to the others.
+/// Records the limits that a backend server states of itself in an answer, and announces them to
+/// the other hosts.
 pub fn record_statement<C: Codec>(
     job: &Job<C>,
     backend: &Backend,
@@ -157,13 +160,14 @@
             rejected_per_second:? = info.tolerance; "servers say how many rejected requests they tolerate");
     }
     for restricted in backend.record_statement(&info.statement, sent, clock::steady()) {
-        // When too many wait the others hear of it with the next sign of life.
+        // If the queue is full, the other hosts learn of the limit with this host's next periodic
+        // message.
         let _ = job.state.outbox.restrictions.try_send(restricted);
     }
 }
 
-/// Waits for the head of an answer, and leaves the backend server if it is silent for too long and
-/// the request has another way to be answered.
+/// Waits for the head of an answer. Leaves the backend server if it is silent for too long and the
+/// request can be answered otherwise.
 pub async fn wait_for_head<C: Codec, T>(
     job: &Job<C>,
     backend: &Backend,
@@ -185,7 +189,8 @@
             }),
             still = recheck => match still {
                 None if job.claim_leave(backend) => return Err(Failure::Lost(Cause::Silent)),
-                // No way on: its answer is the only hope left.
+                // The request can't be sent elsewhere, so this answer is the only one that can
+                // come.
                 None => wait = Some(job.time_left()),
                 still => wait = still,
             },
@@ -193,7 +198,7 @@
     }
 }
 
-/// A connection for the request, to a backend server or another host.
+/// Opens a connection for the request, to a backend server or another host, or reuses an idle one.
 ///
 /// # Errors
 /// [`Failure::Unsent`].
@@ -220,20 +225,20 @@
     Some(request)
 }
 
-/// Whether an answer belongs to its request, and is one that may be passed on.
+/// Checks that an answer belongs to its request and may be passed on.
 fn check_answer<C: Codec>(job: &Job<C>, head: &Parts, info: &AnswerInfo) -> Result<(), Failure> {
     let status = head.status;
     match () {
         () if info.not_run || info.misdirected => {
             Err(Failure::NotRun { misdirected: info.misdirected })
         }
-        // Something on the way has mixed up answers; whatever else comes on this connection is
-        // suspect as well, so it is closed.
+        // Something on the way has mixed up answers. Further answers on this connection are suspect
+        // as well, so it is closed.
         () if info.id.as_ref().is_some_and(|id| *id != job.info.id) => {
             Err(Failure::Lost(Cause::Crossed))
         }
-        // Without the signature or the id nobody answers for it; with an encoding the body is
-        // not the one that was signed.
+        // Without a signature or id no server vouches for the answer, and an encoded body is not
+        // the one that was signed.
         () if !info.is_signed || info.id.is_none() || info.is_encoded => {
             Err(Failure::Lost(Cause::Failed(status.as_u16())))
         }
--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -1,4 +1,4 @@
-//! One start of a backend server, and what this host believes of it.
+//! One start of a backend server, and what this host knows of it.
 
 pub mod probe;
 mod restriction;
@@ -24,64 +24,65 @@
 pub use self::restriction::{Restriction, RestrictionNotice};
 use crate::codec::{Load, PromptPart};
 
-/// Connection attempts in a row that must time out before the server is held ill. A lost packet
-/// delays one attempt past its time; two in a row are rare on a link that works.
+/// Consecutive connection attempts that must time out before a server is marked ill. A lost packet
+/// delays one attempt beyond its timeout; two in a row are rare on a working link.
 const TIMEOUTS_TO_ILL: u32 = 2;
-/// How long a prompt's part is believed to stay in an engine's cache, in milliseconds.
+/// How long a prompt part is assumed to stay in an engine's cache after its last use.
 const CACHE_LIFETIME_MS: u64 = 30_000;
-/// How long a host is left alone that takes no requests, in milliseconds.
+/// How long a host that says it takes no requests is not asked again.
 const UNAVAILABLE_PAUSE_MS: u64 = 1_000;
-/// How long what a host says of its requests is believed, in milliseconds.
+/// How long another host's report of its requests in flight is used.
 const REPORT_LIFETIME_MS: u64 = 1_000;
-/// Parts remembered for one engine at most.
+/// Prompt parts remembered for one engine before outdated ones are removed.
 const CACHED_PARTS_MAX: usize = 4_096;
 
 policy::domain! {
-    /// A long prompt that was just sent to a backend server, as it is announced to other hosts.
+    /// A long prompt that was just sent to a backend server, as announced to other hosts.
     pub struct Prefill {
-        /// The backend server's start.
+        /// The id of the backend server, which names one start of it.
         pub backend: Name,
-        /// How long it will be kept, in milliseconds.
+        /// How long the server is expected to read the prompt, in milliseconds.
         pub read_ms: u32,
-        /// The prompt's place among those that wait there.
+        /// The prompt's rank among those that wait at the server; 0 is read first.
         #[serde(default)]
         pub rank: u8,
     }
 }
 
-/// A backend server.
+/// One start of a backend server, or another host that passes requests on.
 pub struct Backend {
-    /// The server's.
+    /// The id of this start of the server, or the name of the host.
     pub id: Name,
-    /// When this start of it began, in milliseconds since the epoch; 0 if it does not say.
+    /// When this start began, in milliseconds since the epoch; 0 if it is not stated.
     pub born: u64,
-    /// Of its software or weights.
+    /// The version of the server's software or weights.
     pub version: Name,
-    /// Requests that it works on at once, as listed.
+    /// Requests that the server runs at once, as listed.
     pub slots: u32,
-    /// Whether it stands in this host's failure domain.
+    /// Whether the server is in this host's failure domain.
     pub is_near: bool,
-    /// It is another host, by way of which requests go that reach no server from here.
+    /// Whether this is another host, through which requests go that reach no server from here.
     pub is_host: bool,
-    /// Hash of its id, which preferences are worked out from.
+    /// Hash of the id. Hosts derive their preferences for servers from it.
     pub id_hash: u64,
-    /// Connections, requests under way, health.
+    /// The server's connections, requests in flight and health.
     pub server: Arc<Server>,
     observations: Mutex<Observations>,
-    /// When it last refused a connection, in milliseconds; 0 if it has answered since.
+    /// When the server last refused a connection, in milliseconds; 0 if it has answered since.
     refused_at: AtomicU64,
-    /// When it was last looked whether it has ended, and what that showed.
+    /// When the server was last probed for having ended, and the result.
     last_probe: tokio::sync::Mutex<Option<(Millis, Liveness)>>,
 }
 
-/// An answer that has not begun, until dropped.
+/// A prompt that was sent and whose answer has not begun. Dropped before that, the prompt no longer
+/// counts as waiting.
 pub struct PendingAnswer {
     backend: Arc<Backend>,
     number: u64,
 }
 
 impl PendingAnswer {
-    /// It has begun.
+    /// Records that the answer has begun.
     pub fn begin(self, now: Millis) {
         self.backend.lock().backlog.began(self.number, now);
     }
@@ -98,40 +99,40 @@
     suspicion: Suspicion,
     slowdown: Slowdown,
     timeouts: u32,
-    /// Prompts sent there.
+    /// Prompts that wait at the server or are being read there.
     backlog: Backlog,
     reported: u32,
     own_at_report: u32,
     reported_at: Millis,
     last_contact: Millis,
     probed_at: Millis,
-    /// What this host may send it, if it falls over when it turns away too many requests.
+    /// What this host may send to the server, if it crashes when it rejects too many requests.
     room: Room,
-    /// Parts of prompts by model and part, and when they were last used.
+    /// When prompt parts were last used at the server, by hash of the model and id of the part.
     cached_parts: HashMap<(u64, u64), Millis>,
 }
 
-/// What placement needs of it.
+/// What this host estimates of a server when it places a prompt.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Estimate {
-    /// Requests there by its last report.
+    /// Requests at the server by its last report.
     pub reported: u32,
-    /// This host's at that time.
+    /// This host's requests at the server at the time of that report.
     pub own_at_report: u32,
-    /// When it came; 0 for never.
+    /// When the last report came; 0 if there was none.
     pub reported_at: Millis,
-    /// Time until it would begin to read the prompt, in milliseconds.
+    /// Time until the server would begin to read the prompt, in milliseconds.
     pub wait_ms: f64,
-    /// Leading tokens of the prompt believed to be cached.
+    /// Leading tokens of the prompt that are assumed to be cached.
     pub cached_tokens: f64,
-    /// Share of requests that it is expected to fail.
+    /// The fraction of requests that the server is expected to fail.
     pub suspicion: f64,
-    /// Factor by which its work takes longer than usual.
+    /// The factor by which the server's work takes longer than usual.
     pub slowdown: f64,
 }
 
 impl Backend {
-    /// One that nothing is known of yet.
+    /// A backend server of which nothing is known yet but its row.
     #[must_use]
     pub fn new(row: &wire::routing::Backend, is_near: bool) -> Self {
         let domain = row.failure_domain.clone();
@@ -167,13 +168,13 @@
         Self { is_host: true, ..Self::new(&row, is_near) }
     }
 
-    /// It is a host and says that it takes no requests now.
+    /// Records that this host (`is_host`) says it takes no requests now.
     pub fn record_unavailable(&self, now: Millis) {
         let pause = Statement { pause_ms: Some(UNAVAILABLE_PAUSE_MS), ..Statement::default() };
         self.server.with_intake(now, |intake| intake.heard(&pause, now, rand::random(), now));
     }
 
-    /// Requests under way there, as it said lately.
+    /// Requests in flight at this host or server, if it has reported them recently.
     #[must_use]
     pub fn recent_requests(&self, now: Millis) -> Option<f64> {
         let own = self.server.in_flight.load(Ordering::Relaxed);
@@ -182,7 +183,7 @@
         is_recent.then(|| f64::from(observations.reported.max(own)))
     }
 
-    /// What is believed of it, for a prompt.
+    /// What this host knows of the server, for a prompt of the given parts and rank.
     #[must_use]
     pub fn estimate(&self, model: u64, parts: &[PromptPart], rank: u8, now: Millis) -> Estimate {
         let mut observations = self.lock();
@@ -203,7 +204,8 @@
         }
     }
 
-    /// Whether this host may send it a request, if it tolerates so many rejected ones a second.
+    /// Whether this host may send the server a request, if the server tolerates only `per_second`
+    /// rejected requests.
     #[must_use]
     pub fn has_room(&self, per_second: f64, place: &Place, now: Millis) -> bool {
         let own = self.server.in_flight.load(Ordering::Relaxed);
@@ -215,25 +217,27 @@
         observations.room.is_open(per_second, &load, place, now)
     }
 
-    /// A request is about to be sent there.
+    /// Records that a request is about to be sent to a server with a limited tolerance for rejected
+    /// requests.
     pub fn record_chosen(&self, now: Millis) {
         self.lock().room.sent(now);
     }
 
-    /// It turned a request away, and tolerates so many a second; `draw` is a uniform draw.
+    /// Records that the server rejected a request. It tolerates `per_second` rejected requests;
+    /// `draw` is uniform in 0 to 1.
     pub fn record_rejected(&self, per_second: f64, draw: f64, now: Millis) {
         self.lock().room.rejected(per_second, self.slots, draw, now);
     }
 
-    /// Requests that it had by its last report; none if it gave none.
+    /// Requests at the server by its last report; `None` if there was none.
     #[must_use]
     pub fn reported_requests(&self) -> Option<u32> {
         let observations = self.lock();
         (observations.reported_at > Millis(0)).then_some(observations.reported)
     }
 
-    /// A prompt was sent there, which will keep it for a time. The answer is waited for until what
-    /// is returned is dropped.
+    /// Records that a prompt was sent to the server, which will be busy reading it. The prompt
+    /// counts as waiting until the returned guard is dropped or told that the answer has begun.
     #[must_use]
     pub fn record_sent(
         self: &Arc<Self>,
@@ -254,17 +258,17 @@
         PendingAnswer { backend: Arc::clone(self), number }
     }
 
-    /// A prompt sent by another host will keep it for a time.
+    /// Records that another host sent a prompt, which will keep the server busy for a time.
     pub fn record_announced(&self, prompt: Prompt, now: Millis) {
         self.lock().backlog.announced(prompt, now);
     }
 
-    /// Streams of it were seen, by this host or by another one.
+    /// Records the pace of streams of the server that this host or another one has observed.
     pub fn record_streams(&self, shown: Shown, now: Millis) {
         self.lock().slowdown.note(shown, now);
     }
 
-    /// Its load as reported with an answer.
+    /// Records the load that the server reported with an answer.
     pub fn record_load(&self, load: Load, now: Millis) {
         let own = self.server.in_flight.load(Ordering::Relaxed);
         let mut observations = self.lock();
@@ -276,13 +280,13 @@
         self.server.note_load(backend::Load { in_flight, slots: load.slots, draining: false }, now);
     }
 
-    /// It said anything at all.
+    /// Records that the server sent anything at all.
     pub fn record_contact(&self, now: Millis) {
         self.refused_at.store(0, Ordering::Relaxed);
         self.lock().last_contact = now;
     }
 
-    /// A request that it worked on ended well, or did not.
+    /// Records whether a request that the server worked on failed.
     pub fn record_outcome(&self, failed: bool, now: Millis) {
         let mut observations = self.lock();
         observations.suspicion.note(failed, now);
@@ -293,7 +297,7 @@
         }
     }
 
-    /// It refuses connections.
+    /// Records that the server refused a connection.
     pub fn record_refused(&self, now: Millis) {
         if !self.server.is_ill(now) {
             self.lock().suspicion.note(true, now);
@@ -301,10 +305,10 @@
         self.server.note_failure(now);
     }
 
-    /// A connection to it timed out; true if it is now held ill.
+    /// Records that a connection to the server timed out. Returns true if the server is now ill.
     pub fn record_timeout(&self, now: Millis) -> bool {
-        // What others under way find then is the same silence. Counted for each, it would speak against
-        // the server long after it goes on.
+        // The other connections that are being opened then meet the same silence. Counted one by
+        // one, they would speak against the server long after it has recovered.
         if self.server.is_ill(now) {
             return true;
         }
--- a/crates/gateway/src/backend/probe.rs
+++ b/crates/gateway/src/backend/probe.rs
@@ -1,4 +1,4 @@
-//! Looks at backend servers that are silent, can't be reached, or may have ended.
+//! Probes backend servers that are silent, can't be reached, or may have ended.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -14,51 +14,54 @@
 use super::Backend;
 use crate::poison::Guard;
 
-/// Longest wait for a connection that is opened only to see whether the server lives.
+/// The timeout of a connection that is opened only to see whether the server is alive.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// A connection that lives so long was not broken off by what took it.
+/// A connection that stays open for this long was not broken off by whatever accepted it.
 const STABLE_AFTER: Duration = Duration::from_millis(30);
-/// Between two questions to a server that can't be reached, in milliseconds.
+/// The least time between two recovery probes of a server that can't be reached.
 const RECOVERY_PROBE_INTERVAL_MS: u64 = 200;
-/// Until a server that lives is looked at again; longest wait for a connection then.
+/// How long the result of a probe of a possibly ended server is shared, and the timeout of its
+/// connection. A silent server that accepts connections is tolerated for as long again.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// The same, in milliseconds.
+/// [`PROBE_INTERVAL`] in milliseconds.
 const PROBE_INTERVAL_MS: u64 = PROBE_INTERVAL.as_millis() as u64;
-/// A server that refused connections is believed to have ended for this long, in milliseconds. Its entry
-/// lapses within that time if it has.
+/// How long a server that refused connections is taken for ended. If it has ended, its entry
+/// expires within that time.
 const ENDED_LIFETIME_MS: u64 = 5_000;
 
-/// What a look at a server that may have ended showed.
+/// The result of probing a server that may have ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Liveness {
-    /// It takes connections, or at least does not refuse them.
+    /// The server accepts connections, or at least does not refuse them.
     Alive,
-    /// Nothing listens at its address any more.
+    /// Nothing listens at the server's address any more.
     Ended,
-    /// It refuses connections, and so do others: this host may be cut off.
+    /// The server refuses connections, and so do others: this host may be cut off.
     Unclear,
 }
 
 impl Backend {
-    /// Whether it refused connections when it was last tried, lately. One that is out of reach doesn't.
+    /// Whether the server refused connections when it was last tried, within the last seconds. A
+    /// server that is only unreachable does not count.
     #[must_use]
     pub fn has_ended(&self, now: Millis) -> bool {
         let refused_at = Millis(self.refused_at.load(Ordering::Relaxed));
         refused_at > Millis(0) && now.since(refused_at) < ENDED_LIFETIME_MS
     }
 
-    /// Nothing listens at its address.
+    /// Records that nothing listens at the server's address.
     pub fn record_ended(&self, now: Millis) {
         self.refused_at.store(now.0, Ordering::Relaxed);
     }
 
-    /// When it last said anything.
+    /// When the server last sent anything.
     #[must_use]
     pub fn last_contact(&self) -> Millis {
         self.lock().last_contact
     }
 
-    /// How long its silence is still tolerated; none if it is to be left.
+    /// How much longer the server's silence is tolerated; `None` if the request should leave the
+    /// server.
     pub async fn tolerated_silence(
         &self,
         bounds: &Bounds,
@@ -77,11 +80,11 @@
         }
     }
 
-    /// Looks whether anything listens at its address; if not, the requests that were lost with it are
-    /// noted. Those who ask together share one look.
+    /// Probes whether anything listens at the server's address. If nothing does, records the
+    /// requests that were lost with the server. Concurrent callers share one probe.
     ///
-    /// Where this host is cut off all servers refuse, or seem to. While that may be so, one of the
-    /// `others` has to take a connection.
+    /// If this host is cut off, all servers refuse connections or seem to. While that is possible,
+    /// a server counts as ended only if one of the `others` accepts a connection.
     pub async fn probe(&self, poison: &Guard, others: impl Fn() -> Vec<Arc<Self>>) -> Liveness {
         let mut last_probe = self.last_probe.lock().await;
         let now = clock::steady();
@@ -92,7 +95,7 @@
         }
         let opened =
             tokio::time::timeout(PROBE_INTERVAL, TcpStream::connect(self.server.address)).await;
-        // One that is reset was taken first: whoever did so lives.
+        // A connection that is reset was accepted first, so whoever reset it is alive.
         let is_refused = |error: std::io::Error| error.kind() == ErrorKind::ConnectionRefused;
         let is_refused = opened.is_ok_and(|opened| opened.is_err_and(is_refused));
         if is_refused {
@@ -103,7 +106,8 @@
             true if !poison.reach.is_doubtful() || any_accepts(&others()).await => Liveness::Ended,
             true => Liveness::Unclear,
         };
-        // From its end on: those who wait for a look that takes all its time share what it found.
+        // Counted from the probe's end, so that callers that waited for a probe up to its timeout
+        // share its result.
         let now = clock::steady();
         *last_probe = Some((now, liveness));
         if liveness == Liveness::Ended {
@@ -114,7 +118,7 @@
         liveness
     }
 
-    /// Whether it takes a connection and does not break it off at once.
+    /// Whether the server accepts a connection and does not break it off at once.
     pub async fn keeps_connections(&self) -> bool {
         let Ok(connection) = Connection::open(self.server.address, CONNECT_TIMEOUT).await else {
             return false;
@@ -123,7 +127,8 @@
         connection.usable(CONNECT_TIMEOUT)
     }
 
-    /// Opens a connection and closes it: a host that is unreachable, or behind a cut, takes none.
+    /// Opens a connection and closes it. A server that is unreachable, or cut off from this host,
+    /// accepts none.
     pub async fn accepts_connections(&self) -> bool {
         let is_accepted = Connection::open(self.server.address, CONNECT_TIMEOUT).await.is_ok();
         if is_accepted {
@@ -132,7 +137,8 @@
         is_accepted
     }
 
-    /// Asks in the background whether it takes connections again, unless that was just done.
+    /// Probes in the background whether the server accepts connections again, unless a probe has
+    /// just been made.
     pub fn probe_recovery(self: &Arc<Self>) {
         let now = clock::steady();
         let mut observations = self.lock();
@@ -151,7 +157,7 @@
     }
 }
 
-/// Whether one of these servers takes connections.
+/// Whether one of these servers accepts a connection and keeps it open.
 pub async fn any_accepts(backends: &[Arc<Backend>]) -> bool {
     let probes = backends.iter().map(|backend| backend.keeps_connections());
     futures::future::join_all(probes).await.contains(&true)
--- a/crates/gateway/src/backend/restriction.rs
+++ b/crates/gateway/src/backend/restriction.rs
@@ -1,4 +1,5 @@
-//! What a backend server says of how much it takes, and what other hosts are notified of.
+//! The limits, pauses and departures that backend servers state, and what other hosts are told of
+//! them.
 
 use entry::clock;
 use policy::intake::{Intake, Statement};
@@ -10,28 +11,29 @@
 use super::Backend;
 
 policy::domain! {
-    /// What a backend server says of how much it takes, as other hosts are notified of it.
+    /// A limit or departure that a backend server states, as announced to other hosts.
     pub struct RestrictionNotice {
-        /// The backend server.
+        /// The id of the backend server.
         pub backend: Name,
-        /// When the start of it began that says so, see [`Backend::born`].
+        /// When the start of the server began that states the restriction, see [`Backend::born`].
         #[serde(default)]
         pub born: u64,
-        /// What it says.
+        /// What the server states.
         pub restriction: Restriction,
     }
 
     /// What keeps requests from a backend server.
     pub enum Restriction {
-        /// It takes so many requests a second.
+        /// The server takes only a limited number of requests a second.
         Limit(Limit),
-        /// It leaves.
+        /// The server is leaving and takes no new requests.
         Leaving,
     }
 }
 
 impl Restriction {
-    /// The same with its times on another clock; `from` and `to` are the same moment on both.
+    /// The same restriction with its times on another clock. `from` and `to` are the same moment on
+    /// both clocks.
     #[must_use]
     pub fn on_clock(&self, from: Millis, to: Millis) -> Self {
         match self {
@@ -42,8 +44,8 @@
 }
 
 impl Backend {
-    /// What it says of how much it takes, in the answer to a request that was sent then; what the other
-    /// hosts are to be notified of.
+    /// Records what the server stated in the answer to a request that was sent at `sent`. Returns
+    /// what the other hosts must be told.
     pub fn record_statement(
         &self,
         statement: &Statement,
@@ -70,7 +72,8 @@
         limit.into_iter().chain(leaving).map(|restriction| self.restricted(restriction)).collect()
     }
 
-    /// What it takes, as another host says of this start of it; whether the world is another one now.
+    /// Records a restriction of this start of the server that another host announced. Returns
+    /// whether the server has newly left the pools, so that a new snapshot is needed.
     pub fn learn(&self, restriction: &Restriction, now: Millis) -> bool {
         match restriction {
             Restriction::Limit(limit) => {
@@ -88,7 +91,7 @@
         }
     }
 
-    /// How much it takes, as another host or its entry says.
+    /// Records the server's limit, as announced by another host or stated in the server's entry.
     pub fn learn_limit(&self, limit: Limit, now: Millis) {
         if self.with_intake(|intake| intake.learn(limit, now)) {
             log::info!(target: "route", backend:% = self.id, per_second:? = limit.per_second,
@@ -97,11 +100,11 @@
         }
     }
 
-    /// It can't be reached, and may start again before its entry says so; what the other hosts are
-    /// to be notified of, if it is news.
+    /// Records that the server can't be reached and may start again before its entry says so.
+    /// Returns what the other hosts must be told, if it is news.
     ///
-    /// A server that is back under its id is empty, so that all hosts would send to it at once, and
-    /// end it once more before it is warm.
+    /// A server that is back under its id has empty caches. Without a limit all hosts would send to
+    /// it at once and crash it again before it is warm.
     pub fn expect_restart(&self, warmup: Warmup, now: Millis) -> Option<RestrictionNotice> {
         let limit = Limit::warmup(warmup.per_second, now + warmup.ms, now);
         let is_news = self.with_intake(|intake| intake.learn(limit, now));
@@ -112,7 +115,7 @@
         })
     }
 
-    /// What the other hosts should know of how much it takes.
+    /// What the other hosts should know of the limits that the server states.
     #[must_use]
     pub fn restrictions(&self, now: Millis) -> Vec<RestrictionNotice> {
         let intake = self.with_intake(|intake| *intake);
@@ -125,12 +128,12 @@
         RestrictionNotice { backend: self.id.clone(), born: self.born, restriction }
     }
 
-    /// Uses what is known of how much it takes.
+    /// Runs a function on what is known of how many requests the server takes.
     pub fn with_intake<T>(&self, use_it: impl FnOnce(&mut Intake) -> T) -> T {
         self.server.with_intake(clock::steady(), use_it)
     }
 
-    /// Whether it has said that it takes nothing now.
+    /// Whether the server has said that it takes no requests now.
     #[must_use]
     pub fn is_closed(&self, now: Millis) -> bool {
         self.server.is_restricted() && self.with_intake(|intake| intake.is_closed(now))
--- a/crates/gateway/src/blame.rs
+++ b/crates/gateway/src/blame.rs
@@ -1,4 +1,4 @@
-//! Who is to blame for a try that failed: a connection, a backend server, a failure domain.
+//! Assigns the blame for a failed attempt: to a connection, a backend server or a failure domain.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,7 +13,8 @@
 use crate::wait::STREAM_BUSY_SHARE;
 
 impl<C: Codec> Job<C> {
-    /// A try failed: who is to blame, and what is known of the request now.
+    /// Records a failed attempt: which server or host is to blame, and what that means for the
+    /// request's next attempt.
     pub fn blame(&mut self, backend: &Arc<Backend>, failure: Failure) {
         match backend.is_host {
             true => self.blame_host(backend, failure),
@@ -25,43 +26,45 @@
             "try failed");
     }
 
-    /// Another host did not answer it.
+    /// Records that another host did not answer the request.
     fn blame_host(&mut self, host: &Arc<Backend>, failure: Failure) {
         let now = clock::steady();
-        // The server that it was sent to there is not tried again.
+        // The backend server that the host chose is not tried again.
         self.record_failed_server(self.attempts.backend.clone());
         match failure {
-            // An old connection was closed by the other end; a new one is tried.
+            // A reused connection had been closed by the other end. The host is tried again on a
+            // new one.
             Failure::Unsent(Cause::Broken) if !self.attempts.needs_new_connection => {
                 self.attempts.needs_new_connection = true;
                 self.attempts.excluded.retain(|tried| *tried != host.id);
             }
             Failure::Unsent(_) => host.server.note_failure(now),
-            // It is well, and may serve again at any time.
+            // The host itself is well, and may take requests again at any time.
             Failure::NotRun { misdirected: true } => host.record_unavailable(now),
             Failure::NotRun { misdirected: false } | Failure::Unwanted => {}
             Failure::Lost(cause) => {
                 self.attempts.may_have_run = true;
                 self.attempts.needs_new_connection = true;
-                // An answer that breaks off there mostly did so at the server.
+                // An answer that was truncated mostly broke off at the backend server, not at the
+                // host.
                 if matches!(cause, Cause::Silent | Cause::Broken) {
                     host.server.note_failure(now);
                     self.attempts.excluded.push(host.id.clone());
                 }
             }
         }
-        // Nothing arrived at a server, so the repeat that was paid for is still to be made.
+        // Nothing arrived at a server, so the repeat that was taken has not been used.
         let is_left = !self.attempts.was_attempted && self.attempts.sent > 0;
-        self.attempts.is_repeat_taken.fetch_or(is_left, Ordering::Relaxed);
+        self.attempts.is_paid.fetch_or(is_left, Ordering::Relaxed);
     }
 
-    /// A backend server did not answer it.
+    /// Records that a backend server did not answer the request.
     fn blame_server(&mut self, backend: &Arc<Backend>, failure: Failure) {
         let now = clock::steady();
         match failure {
             Failure::Unsent(cause) => {
-                // Nothing arrived anywhere, so the repeat that was paid for is still to be made.
-                self.attempts.is_repeat_taken.fetch_or(self.attempts.sent > 0, Ordering::Relaxed);
+                // Nothing arrived at the server, so the repeat that was taken has not been used.
+                self.attempts.is_paid.fetch_or(self.attempts.sent > 0, Ordering::Relaxed);
                 match cause {
                     Cause::Refused | Cause::Unreachable => self.attempts.refused += 1,
                     _ => self.attempts.unsent += 1,
@@ -73,7 +76,7 @@
                         }
                         backend.record_refused(now);
                         self.expect_restart(backend);
-                        // Others were lost there if it has ended.
+                        // If the server has ended, other requests were lost with it.
                         if !self.state.reach.is_isolated() {
                             self.state.probe_soon(backend);
                         }
@@ -82,7 +85,7 @@
                         if backend.record_timeout(now) {
                             self.expect_restart(backend);
                         }
-                        // A whole failure domain may be cut off. Trying its servers one after
+                        // The whole failure domain may be cut off. Trying its servers one after
                         // another would use up the request's time.
                         if !backend.is_near {
                             self.attempts
@@ -90,7 +93,7 @@
                                 .push(backend.server.failure_domain.clone());
                         }
                     }
-                    // An old connection was closed by the other end; a new one is tried.
+                    // A reused connection had been closed by the other end. A new one is tried.
                     _ => self.attempts.needs_new_connection = true,
                 }
                 if matches!(cause, Cause::Refused | Cause::Unreachable | Cause::Silent) {
@@ -98,7 +101,7 @@
                 }
             }
             Failure::Unwanted => {
-                self.attempts.is_repeat_taken.fetch_or(self.attempts.sent > 0, Ordering::Relaxed);
+                self.attempts.is_paid.fetch_or(self.attempts.sent > 0, Ordering::Relaxed);
                 self.attempts.excluded.push(backend.id.clone());
             }
             Failure::NotRun { misdirected } => {
@@ -135,7 +138,7 @@
     }
 
     fn expect_restart(&self, backend: &Backend) {
-        // A host that is cut off would have all others send less to servers that are well.
+        // An isolated host would make all others send less to servers that are well.
         if self.state.reach.is_isolated() {
             return;
         }
@@ -143,7 +146,7 @@
         let service = snapshot.index.services.get(&self.service);
         let Some(warmup) = service.and_then(|service| service.warmup) else { return };
         if let Some(restricted) = backend.expect_restart(warmup, clock::steady()) {
-            // When too many wait the others find out for themselves.
+            // If the queue is full, the other hosts find out by themselves.
             let _ = self.state.outbox.restrictions.try_send(restricted);
         }
     }
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -1,4 +1,4 @@
-//! Carries one request to an answer: which backend server, again or not, which model.
+//! Carries a request to an answer: chooses backend servers and models, and repeats failed attempts.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,15 +20,15 @@
 use crate::relay::LiveStream;
 use crate::resume::Obstacle;
 
-/// Connections that may fail to open for want of an answer before a request is given up. Refused
-/// ones have no such limit: each costs a millisecond, and a server that refused is not asked again.
+/// Connections that may fail without an answer before a request is given up. Refused connections
+/// have no such limit: each costs a millisecond, and a server that refused is not tried again.
 const UNSENT_MAX: u32 = 4;
 
-/// An answer that may be passed on.
+/// An answer that is passed on to the caller.
 pub enum AcceptedAnswer {
-    /// All of it.
+    /// The head and body of a complete answer.
     Whole(Parts, Bytes),
-    /// Its beginning, and where the rest comes from.
+    /// The head of a stream, and the stream that its body comes from.
     Stream(Parts, Box<LiveStream>),
 }
 
@@ -36,9 +36,9 @@
     /// Carries the request to an answer.
     ///
     /// # Errors
-    /// A refusal; one that says "not run" only if no backend server can have run it.
+    /// A refusal. It says "not run" only if no backend server can have run the request.
     pub async fn answer(&mut self) -> Result<AcceptedAnswer, Refusal> {
-        // One that another host has passed on is counted there, and so are its repeats.
+        // A request that another host passed on is counted there, and so are its repeats.
         if self.origin == Origin::Caller {
             self.window(|window, allowance| window.request(allowance, clock::steady()));
             self.choose_first_model();
@@ -46,10 +46,11 @@
         carry(self).await
     }
 
-    /// Takes what another try costs: a repeat, if the request was sent.
+    /// Checks that another attempt is allowed, and takes the repeat that it costs if the request
+    /// was sent before.
     ///
     /// # Errors
-    /// What stands against another try.
+    /// What stands against another attempt.
     pub fn claim_attempt(&self) -> Result<(), Obstacle> {
         let attempts = &self.attempts;
         let attempt = Attempt {
@@ -63,37 +64,35 @@
             () if self.time_left().is_zero() => Err(Obstacle::Late),
             () if !retry::may_try_elsewhere(&attempt) => Err(Obstacle::Kind),
             () if attempts.sent >= self.attempts_max => Err(Obstacle::Attempts),
-            () if attempts.unsent >= UNSENT_MAX && !self.has_detour() => Err(Obstacle::Connections),
-            () if attempts.sent == 0 || attempts.is_repeat_taken.swap(false, Ordering::Relaxed) => {
-                Ok(())
-            }
+            () if attempts.unsent >= UNSENT_MAX && !self.has_host() => Err(Obstacle::Connections),
+            () if attempts.sent == 0 || attempts.is_paid.swap(false, Ordering::Relaxed) => Ok(()),
             () if self.take_repeat() => Ok(()),
             () => Err(Obstacle::Repeats),
         }
     }
 
-    /// Takes a repeat of the host's, if there is one for this request.
+    /// Takes one of the host's repeats, if this request may have one.
     pub fn take_repeat(&self) -> bool {
         let streams = if self.attempts.has_stream_begun { 0 } else { self.streams_in_flight() };
         self.window(|window, allowance| window.take_beside(streams, allowance, clock::steady()))
     }
 
-    /// Streams under way that may need a repeat of those that this request's service has; a plain
-    /// service has none.
+    /// Streams in flight that may need one of the repeats left for this request's service; 0 for a
+    /// plain service.
     fn streams_in_flight(&self) -> usize {
         if self.route().kind.is_stream() { self.state.relays.len() } else { 0 }
     }
 
-    /// Takes a repeat for a better answer; the next try is paid for then.
+    /// Takes a repeat to get a better answer. The next attempt then needs no further one.
     pub fn take_spare_repeat(&self) -> bool {
         let streams = self.streams_in_flight();
         let taken =
             self.window(|window, allowance| window.take_spare(streams, allowance, clock::steady()));
-        self.attempts.is_repeat_taken.fetch_or(taken, Ordering::Relaxed);
+        self.attempts.is_paid.fetch_or(taken, Ordering::Relaxed);
         taken
     }
 
-    /// Whether a repeat for a better answer is left.
+    /// Whether a repeat to get a better answer is left.
     pub fn has_spare_repeat(&self) -> bool {
         let streams = self.streams_in_flight();
         self.window(|window, allowance| {
@@ -101,16 +100,16 @@
         })
     }
 
-    /// Where the request is tried next: at a backend server, or by way of another host if none can be
-    /// reached.
+    /// Chooses where the next attempt goes: to a backend server, or through another host if no
+    /// server can be reached.
     pub fn next_destination(&mut self) -> Option<Arc<Backend>> {
         match self.prefers_detour() {
-            true => self.next_detour_host().or_else(|| self.next_backend()),
-            false => self.next_backend().or_else(|| self.next_detour_host()),
+            true => self.next_host().or_else(|| self.next_backend()),
+            false => self.next_backend().or_else(|| self.next_host()),
         }
     }
 
-    /// The backend server that is tried next.
+    /// Chooses the backend server for the next attempt.
     pub fn next_backend(&mut self) -> Option<Arc<Backend>> {
         let snapshot = self.state.snapshot.load_full();
         let pool = snapshot.pools.get(&self.service)?;
@@ -152,7 +151,7 @@
             self.attempts.expected_ms = reply.expected_ms as u64;
             self.attempts.head_ms = reply.head_ms as u64;
         }
-        // What was tried by way of another host is counted with its answer.
+        // Attempts through another host are counted with that host's answer.
         let was_sent = !matches!(reply, Err(Failure::Unsent(_) | Failure::Unwanted));
         if was_sent && !backend.is_host {
             self.attempts.sent += 1;
@@ -177,7 +176,8 @@
         attempt::send(self, backend, &attempt_info).await
     }
 
-    /// Where an engine puts the request among others; 0 is served first, none for plain services.
+    /// The request's rank among those that wait for an engine. 0 is served first; `None` for plain
+    /// services.
     #[must_use]
     pub fn engine_priority(&self) -> Option<u8> {
         let is_engine = !self.info.parts.is_empty();
@@ -226,7 +226,8 @@
         self.claim_attempt().is_ok()
     }
 
-    /// The last answer there is: a backend server's own failure, or a refusal.
+    /// Returns what remains if no attempt succeeded: a backend server's own error answer, or a
+    /// refusal.
     fn give_up(&mut self) -> Result<AcceptedAnswer, Refusal> {
         if let Some((head, body)) = self.attempts.failure_answer.take() {
             return Ok(AcceptedAnswer::Whole(head, body));
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -1,4 +1,4 @@
-//! What requests and answers say of themselves, apart from how the wire spells it.
+//! The contents of requests and answers, independent of their names on the wire.
 
 use std::fmt;
 
@@ -8,44 +8,44 @@
 use policy::name::Name;
 use wire::refusal::Refusal;
 
-/// A part of a prompt. Requests share parts; an engine that holds all parts up to one in its
+/// A part of a prompt. Requests share parts, and an engine that has all parts up to one in its
 /// cache need not read them again.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct PromptPart {
-    /// Names its content.
+    /// Identifies the content of the part.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length of the part in tokens.
     pub tokens: u32,
 }
 
-/// What a caller says of its request.
+/// What a request's headers say.
 #[derive(Clone, Debug, Default)]
 pub struct RequestInfo {
-    /// Names this try of the caller's; must come back unchanged.
+    /// Identifies this request of the caller. The answer must carry the same id.
     pub id: Name,
-    /// How long the caller waits, in milliseconds.
+    /// How long the caller waits, in milliseconds; `None` if the request doesn't say.
     pub patience_ms: Option<u64>,
-    /// The caller's key.
+    /// The caller's key, which belongs to a client account.
     pub key: Option<Name>,
-    /// Requests of one session follow each other.
+    /// The session that the request continues, if it has one.
     pub session: Option<Name>,
-    /// Length of the prompt in tokens.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The prompt's parts in order; the last one belongs to the request or its session alone.
+    /// The prompt's parts in order. The last one belongs to the request or its session alone.
     pub parts: Vec<PromptPart>,
-    /// The last event the caller has; a stream goes on behind it.
+    /// The last event that the caller has of a stream that it resumes.
     pub last_event: Option<u64>,
 }
 
 impl RequestInfo {
-    /// The parts of its prompt that other requests may have as well.
+    /// The parts of the prompt that other requests may share.
     #[must_use]
     pub fn shared_parts(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 }
 
-/// Parts of a prompt as they stand in a log: their ids.
+/// Formats the ids of prompt parts for a log line.
 pub struct Ids<'a>(pub &'a [PromptPart]);
 
 impl fmt::Display for Ids<'_> {
@@ -58,74 +58,74 @@
     }
 }
 
-/// What a request is sent to a backend server with.
+/// What a backend server receives along with the caller's request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptInfo<'a> {
-    /// The start of the backend server that alone may run it.
+    /// The id of the start of the backend server that alone may run the request.
     pub backend: &'a Name,
-    /// The account that the caller's key belongs to.
+    /// The client account of the caller's key.
     pub account: Option<&'a Name>,
-    /// How long its answer is waited for, in milliseconds.
+    /// How long the answer is waited for, in milliseconds.
     pub left_ms: u64,
-    /// The model chosen, if the choice is ours.
+    /// The model that this host chose; `None` if the caller chooses the model.
     pub model: Option<&'a Name>,
-    /// The last event that the caller has.
+    /// The last event that the caller has of the stream, behind which the server resumes it.
     pub last_event: Option<u64>,
-    /// 0 is served first by an engine; none for plain services.
+    /// The request's rank among those that wait for an engine, 0 first; `None` for plain services.
     pub priority: Option<u8>,
 }
 
-/// A backend server's load as reported with an answer.
+/// The load that a backend server reports with an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Load {
-    /// Requests it works on and requests that wait there.
+    /// Requests that the server runs and requests that wait there.
     pub requests: u32,
-    /// Requests it can work on at once.
+    /// Requests that the server can run at once.
     pub slots: u32,
 }
 
-/// What a backend server says of its answer.
+/// What the head of a backend server's answer says.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerInfo {
-    /// The request it answers, as it says.
+    /// The id of the request that is answered.
     pub id: Option<Name>,
-    /// It signed the answer as its own.
+    /// Whether the answer carries the server's signature.
     pub is_signed: bool,
-    /// It says that it did not run the request.
+    /// Whether the server says that it did not run the request.
     pub not_run: bool,
-    /// It is not the one that the request was for.
+    /// Whether the request reached a server other than the one that it was sent to.
     pub misdirected: bool,
-    /// Something on the way has encoded the body.
+    /// Whether the body is encoded. Servers don't encode, so something on the way did.
     pub is_encoded: bool,
-    /// Its load.
+    /// The server's load, if reported.
     pub load: Option<Load>,
-    /// What it says of how much it takes.
+    /// The limit, departure or pause that the server states.
     pub statement: Statement,
-    /// Rejected requests a second that a server of its service tolerates, if they fall over beyond that.
+    /// Rejected requests a second that a server of this service tolerates before it crashes.
     pub tolerance: Option<f64>,
-    /// Its model's opinion of the answer, 0 to 100.
+    /// The confidence of the model in its answer, 0 to 100.
     pub confidence: Option<u8>,
 }
 
-/// How callers and backend servers spell all this.
+/// Reads and writes the headers of callers and backend servers.
 pub trait Codec: Send + Sync + 'static {
-    /// Reads what a caller says. What can't be read is left out.
+    /// Reads a caller's headers. Values that can't be parsed are left out.
     fn request_info(&self, headers: &HeaderMap) -> RequestInfo;
 
-    /// The headers for a backend server, from the caller's.
+    /// The headers for a backend server, made from the caller's.
     fn backend_headers(&self, headers: &HeaderMap, sending: &AttemptInfo<'_>) -> HeaderMap;
 
-    /// The headers for another host, which does what this one would have done: the caller's, with the
+    /// The headers for another host that acts in this one's place: the caller's headers, with the
     /// time that is left and the last event that the caller has.
     fn host_headers(&self, headers: &HeaderMap, left_ms: u64, last_event: Option<u64>)
     -> HeaderMap;
 
-    /// Reads what a backend server says.
+    /// Reads the status and headers of a backend server's answer.
     fn answer_info(&self, status: StatusCode, headers: &HeaderMap) -> AnswerInfo;
 
-    /// The headers for the caller, from the backend server's.
+    /// The headers for the caller, made from the backend server's.
     fn caller_headers(&self, head: &Parts) -> HeaderMap;
 
-    /// Adds to a refusal's headers what tells the caller its request and when to come back.
+    /// Adds to a refusal's headers the request's id and the time at which the caller may come back.
     fn add_refusal_headers(&self, headers: &mut HeaderMap, id: &Name, refusal: &Refusal);
 }
--- a/crates/gateway/src/detour.rs
+++ b/crates/gateway/src/detour.rs
@@ -1,7 +1,8 @@
-//! Passes requests on to other hosts, where this one reaches no backend server.
+//! Passes requests on to other hosts while this host reaches no backend server.
 //!
-//! Each is one kind of place to try. The other host makes a single try and tells what became of it; what
-//! it doesn't tell counts as a try that was made.
+//! Another host is one more kind of destination for an attempt. It makes a single attempt and
+//! reports what became of it. An attempt that may have been made counts as made unless the host
+//! reports otherwise.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -30,23 +31,24 @@
 use crate::job::Job;
 use crate::recall::Forwarding;
 
-/// Connections to backend servers that stay silent for one request before it goes by another host.
+/// Connections to backend servers that may fail without an answer before the request goes through
+/// another host.
 const SILENT_CONNECTS_MAX: u32 = 2;
 
-/// What another host says beside an answer.
+/// What another host reports in the headers of its answer.
 struct ForwardReport {
-    /// The start of the server that it was last sent to.
+    /// The id of the backend server that the request was last sent to.
     server: Option<Name>,
-    /// Servers that the request was sent to; none if the host says nothing of it.
+    /// The request's attempts so far, as counted by the other host; `None` if the host doesn't say.
     sent: Option<u32>,
-    /// Requests under way there.
+    /// Requests in flight at the host.
     load: Option<u32>,
-    /// The server ended under it.
+    /// Whether the server ended under the request.
     has_ended: bool,
 }
 
 impl ForwardReport {
-    /// Takes it out of the headers: it is not for the caller.
+    /// Takes the report out of the headers, because callers must not receive it.
     fn take_from(headers: &mut HeaderMap) -> Self {
         let report = Self {
             server: header_text(headers, SERVER).map(Name::from),
@@ -62,14 +64,14 @@
 }
 
 impl<C: Codec> Job<C> {
-    /// Whether this request is tried by way of another host before any backend server.
+    /// Whether the request goes through another host before it is sent to a backend server.
     #[must_use]
     pub fn prefers_detour(&self) -> bool {
         self.state.reach.is_isolated() || self.attempts.unsent >= SILENT_CONNECTS_MAX
     }
 
-    /// The host that the request goes by next; none if it may go by none.
-    pub fn next_detour_host(&self) -> Option<Arc<Backend>> {
+    /// Chooses the host that the request goes through next; `None` if there is none.
+    pub fn next_host(&self) -> Option<Arc<Backend>> {
         if !self.may_detour() {
             return None;
         }
@@ -84,15 +86,15 @@
         chosen
     }
 
-    /// Whether it may go by another host, and one is known that takes it.
+    /// Whether the request may go through another host, and a host that takes it is known.
     #[must_use]
-    pub fn has_detour(&self) -> bool {
+    pub fn has_host(&self) -> bool {
         let now = clock::steady();
         self.may_detour() && self.state.detour_hosts.has_untried(&self.attempts.excluded, now)
     }
 
-    /// Whether it may go by another host: it has come from none, and servers of its service that could
-    /// answer it are out of reach.
+    /// Whether the request may go through another host. It must have come from a caller, and
+    /// servers of its service that could answer it must be out of reach.
     fn may_detour(&self) -> bool {
         let snapshot = self.state.snapshot.load();
         let Some(pool) = snapshot.pools.get(&self.service) else { return false };
@@ -107,12 +109,12 @@
         may_detour && !pool.backends.is_empty() && is_out_of_reach()
     }
 
-    /// Passes the request on to another host and waits for the head of its answer; counts the try that
-    /// was made there, or may have been.
+    /// Passes the request on to another host and waits for the head of its answer. Counts the
+    /// attempt that was made there, or may have been made.
     ///
     /// # Errors
-    /// [`Failure`]; [`Failure::NotRun`] if another host is to be asked, "misdirected" if this one takes no
-    /// requests at all.
+    /// [`Failure`]. [`Failure::NotRun`] if another host should be asked, with `misdirected` if this
+    /// one takes no requests at all.
     pub async fn forward(
         &mut self,
         host: &Arc<Backend>,
@@ -148,7 +150,7 @@
         self.receive_answer(host, response, (connection, lease, forwarding), (sent_at, sent))
     }
 
-    /// Another host has answered.
+    /// Handles the head of another host's answer.
     fn receive_answer(
         &mut self,
         host: &Arc<Backend>,
@@ -213,8 +215,8 @@
         }
     }
 
-    /// The other host has sent it to a server: it serves, and may be asked again for the next try, which
-    /// is not to go to the same server.
+    /// Records that the other host sent the request to a server. So the host works and may be asked
+    /// again for the next attempt, which must not go to the same server.
     fn record_forwarded_attempt(&mut self, host: &Backend, server: Option<Name>, has_ended: bool) {
         self.attempts.failed_detours -= 1;
         self.attempts.excluded.retain(|tried| *tried != host.id);
@@ -225,7 +227,7 @@
         }
     }
 
-    /// What a server's failure behind another host comes to.
+    /// The failure of an attempt that another host made.
     fn failed_elsewhere(&mut self, head: &Parts) -> Failure {
         let refusal = refusal_from(head);
         match refusal.ran {
@@ -238,7 +240,7 @@
         }
     }
 
-    /// The request for another host: as the caller sent it, with what is known of it here.
+    /// The request for another host: as the caller sent it, with what this host knows of it.
     fn forward_request(
         &self,
         last_event: Option<u64>,
@@ -270,17 +272,17 @@
         Some(request)
     }
 
-    /// The refusal of another host that did not try the request, as its caller gets it.
+    /// The refusal for the caller of a request that another host did not attempt.
     #[must_use]
     pub fn refused_elsewhere(&self, reply: &Reply) -> Refusal {
         match refusal_from(&reply.head) {
-            // The other host knows nothing of what was tried here.
+            // The other host does not know the attempts that were made here.
             Refusal { ran: Ran::No, .. } if self.attempts.may_have_run => self.refusal(),
             refusal => refusal,
         }
     }
 
-    /// A backend server of the request's service.
+    /// The backend server of the request's service with this id.
     fn find_backend(&self, id: &Name) -> Option<Arc<Backend>> {
         let snapshot = self.state.snapshot.load();
         let pool = snapshot.pools.get(&self.service)?;
@@ -288,7 +290,7 @@
     }
 }
 
-/// Another host's refusal, as this one tells it.
+/// Another host's refusal in this host's words.
 fn refusal_from(head: &Parts) -> Refusal {
     const MESSAGE: &str = "refused by the host that it went by";
     let seconds: Option<f64> = header_number(&head.headers, RETRY_AFTER.as_str());
--- a/crates/gateway/src/detour_hosts.rs
+++ b/crates/gateway/src/detour_hosts.rs
@@ -1,4 +1,4 @@
-//! Other hosts that a request may go by when its own host reaches no backend server.
+//! Other hosts that a request may go through while its own host reaches no backend server.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,22 +13,22 @@
 
 use crate::backend::Backend;
 
-/// Hosts that pass on requests of others, by name.
+/// Hosts that pass on requests for this one, by name.
 #[derive(Default)]
 pub struct DetourHosts {
     hosts: Mutex<HashMap<Name, Arc<Backend>>>,
-    /// Other hosts of this failure domain, those that are cut off among them.
+    /// The number of other hosts of this failure domain, including those that are cut off.
     neighbours: AtomicUsize,
-    /// Wakes whoever finds more of them.
+    /// Notified when requests need more such hosts than are known.
     pub wanted: Notify,
 }
 
 impl DetourHosts {
-    /// A host passes requests on that come to an address.
+    /// Adds a host that takes requests at an address.
     pub fn add(&self, name: &Name, address: SocketAddr, failure_domain: &Name, is_near: bool) {
         let mut hosts = self.lock();
         match hosts.get(name) {
-            // Whatever it failed before, it lives.
+            // The host is alive, whatever it failed before.
             Some(known) if known.server.address == address => {
                 known.server.note_success(clock::steady());
             }
@@ -39,22 +39,22 @@
         }
     }
 
-    /// A host passes on nothing now.
+    /// Removes a host that no longer passes requests on.
     pub fn remove(&self, name: &Name) {
         self.lock().remove(name);
     }
 
-    /// Forgets the hosts of this failure domain that are not among these.
+    /// Removes the hosts of this failure domain for which `is_there` is false.
     pub fn retain_near(&self, is_there: impl Fn(&Name) -> bool) {
         self.lock().retain(|name, host| !host.is_near || is_there(name));
     }
 
-    /// This failure domain has so many other hosts, those that are cut off among them.
+    /// Sets the number of other hosts of this failure domain, including those that are cut off.
     pub fn set_neighbours(&self, count: usize) {
         self.neighbours.store(count, Ordering::Relaxed);
     }
 
-    /// Whether hosts of other failure domains are to be found.
+    /// Whether hosts of other failure domains must be found.
     #[must_use]
     pub fn wants_far(&self, now: Millis) -> bool {
         let hosts = self.lock();
@@ -62,13 +62,14 @@
         self.domain(&hosts).wants_far(usable.count())
     }
 
-    /// Whether one takes requests that is not among those tried.
+    /// Whether a host that is not in `tried` takes requests.
     #[must_use]
     pub fn has_untried(&self, tried: &[Name], now: Millis) -> bool {
         self.lock().values().any(|host| is_untried(host, tried, now))
     }
 
-    /// The host that a request goes by which was not sent by those tried; a seed draws it.
+    /// Chooses the host that a request goes through, among those that are not in `tried`. The seed
+    /// draws it.
     #[must_use]
     pub fn choose(&self, tried: &[Name], seed: u64, now: Millis) -> Option<Arc<Backend>> {
         let hosts = self.lock();
--- a/crates/gateway/src/end.rs
+++ b/crates/gateway/src/end.rs
@@ -1,4 +1,4 @@
-//! One line for each request, when its answer has ended.
+//! Logs one line for each request when its answer has ended.
 
 use std::time::{Duration, Instant};
 
@@ -12,18 +12,18 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum End {
-    /// Its answer was passed on whole.
+    /// The whole answer was passed on.
     Answered,
-    /// Its answer broke off after some of it was passed on.
+    /// The answer broke off after a part of it was passed on.
     Broken(Cause),
-    /// Its caller left.
+    /// The caller closed its connection.
     CallerGone,
-    /// It was refused, or answered with a failure of ours.
+    /// This host refused the request, or failed to answer it, with this status code.
     Refused(u16),
 }
 
 impl End {
-    /// For metrics.
+    /// The value of the `end` label in metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -36,7 +36,7 @@
 }
 
 impl Obstacle {
-    /// For metrics.
+    /// The value of the `why` label in metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -51,19 +51,19 @@
     }
 }
 
-/// What was passed on of a stream; nothing of a plain answer.
+/// How much of a stream was passed on to the caller; all zero for a plain answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayProgress {
-    /// Events.
+    /// The number of events, without comments.
     pub events: u32,
-    /// Longest pause between two pieces, in milliseconds.
+    /// The longest pause between two pieces, in milliseconds.
     pub pause_ms: u64,
     /// When the last piece was passed on.
     pub last_at: Option<Instant>,
 }
 
 impl RelayProgress {
-    /// A piece was passed on.
+    /// Records that a piece was passed on.
     pub fn record_piece(&mut self, now: Instant) {
         let pause = self.last_at.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
         self.pause_ms = self.pause_ms.max(u64::try_from(pause.as_millis()).unwrap_or(u64::MAX));
@@ -91,7 +91,7 @@
         table = job.state.snapshot.load().index.version, outcome:? = end; "request ended");
 }
 
-/// Logs and counts a stream that broke off and that no other backend server took up.
+/// Logs and counts a stream that broke off and was not resumed at another backend server.
 pub fn log_stranded<C: Codec>(job: &Job<C>, obstacle: Obstacle) {
     let now = clock::steady();
     let attempts = &job.attempts;
@@ -116,7 +116,7 @@
         "stream not taken up elsewhere");
 }
 
-/// A value that may be absent, as it stands in a log.
+/// Formats a value for a log line; an absent value is an empty string.
 fn display<T: std::fmt::Display>(value: Option<T>) -> String {
     value.map(|value| value.to_string()).unwrap_or_default()
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,66 +1,67 @@
-//! A stream of events, cut at the ends of events however it arrives.
+//! Splits a stream of events into whole events, however it is cut into pieces on arrival.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event taken; a longer one is no event but a runaway. As much is held for each stream under way.
+/// The longest event that is accepted. A longer one is a runaway, not an event. Each stream in
+/// flight may buffer as much.
 const EVENT_BYTES_MAX: usize = 64 << 10;
-/// Most that comes without an event of a new number; more is no stream but bytes without end.
+/// The most bytes that are accepted without an event with a new number. A stream that sends more is
+/// bytes without end.
 const UNNUMBERED_BYTES_MAX: usize = 1 << 20;
 const BLANK_LINE: &[u8] = b"\n\n";
 const ID_FIELD: &[u8] = b"id:";
 
-/// Why a stream can't go on.
+/// Why a stream can't continue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// An event does not end.
+    /// An event exceeds the longest accepted length without an end.
     TooLong,
-    /// Nothing that comes has a new number.
+    /// Too many bytes came without an event with a new number.
     Unnumbered,
 }
 
-/// Passes on whole events only, each once and in order.
+/// Passes on only whole events, each once and in order.
 ///
-/// A backend server that breaks off may do so in the middle of an event. Half an event that was
-/// passed on could not be taken back when the stream goes on elsewhere, so it is kept here until
-/// its end has come. After a resumption the new run may begin with events that the caller has;
-/// those are dropped.
+/// A backend server may break off in the middle of an event. Half an event that was passed on could
+/// not be taken back when the stream resumes elsewhere, so it is buffered until its end has come.
+/// After a resumption the new run may begin with events that the caller has; those are dropped.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
     last_id: Option<u64>,
-    /// Bytes of whole events that have come since the last one with a new number.
+    /// Bytes of whole events that have come since the last event with a new number.
     unnumbered: usize,
 }
 
 impl EventSplitter {
-    /// Behind an event that the caller has.
+    /// A splitter that drops events up to the last one that the caller has.
     #[must_use]
     pub fn resume_after(last_id: Option<u64>) -> Self {
         Self { last_id, ..Self::default() }
     }
 
-    /// The last event passed on.
+    /// The number of the last event passed on; `None` if no event had a number.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether no part of an event is held back.
+    /// Whether no part of an event is buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Takes the next piece; gives what may be passed on, which may be nothing, and how many
-    /// events that is, comments not counted.
+    /// Takes the next piece of the stream. Returns the bytes to pass on, which may be none, and the
+    /// number of events in them without comments.
     ///
     /// # Errors
-    /// [`Fault`]; nothing more can be made of the stream.
+    /// The stream is unusable from here on.
     pub fn feed(&mut self, piece: &Bytes) -> Result<(Bytes, u32), Fault> {
         if self.pending.is_empty() && piece.ends_with(BLANK_LINE) {
             return self.filter_limited(piece);
         }
-        // What was there before has no end but perhaps the first half of one.
+        // The buffered bytes contain no end of an event, except perhaps its first half.
         let seen = self.pending.len().saturating_sub(1);
         self.pending.extend_from_slice(piece);
         let Some(end) = last_end(&self.pending[seen..]).map(|end| seen + end) else {
@@ -73,7 +74,8 @@
         self.filter_limited(&whole)
     }
 
-    /// Of whole events, those that the caller has not got, unless too much has come without a new number.
+    /// The whole events that the caller does not have, unless too many bytes came without a new
+    /// number.
     fn filter_limited(&mut self, whole: &Bytes) -> Result<(Bytes, u32), Fault> {
         let before = self.last_id;
         let filtered = self.filter_new(whole);
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Of whole events, those that the caller has not got.
+    /// The whole events that the caller does not have.
     fn filter_new(&mut self, whole: &Bytes) -> (Bytes, u32) {
         let mut kept = 0;
         let mut dropped = false;
@@ -127,7 +129,7 @@
     bytes.windows(BLANK_LINE.len()).rposition(|two| two == BLANK_LINE).map(|at| at + 2)
 }
 
-/// Whether it says nothing: such are sent to keep a connection open.
+/// Whether the event is only a comment. Comments are sent to keep a connection open.
 fn is_comment(event: &[u8]) -> bool {
     event.split(|byte| *byte == b'\n').all(|line| line.is_empty() || line.starts_with(b":"))
 }
--- a/crates/gateway/src/evidence.rs
+++ b/crates/gateway/src/evidence.rs
@@ -1,4 +1,4 @@
-//! How versions under roll-out answer, counted on this host.
+//! Counts the answers of versions under roll-out on this host.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
@@ -6,29 +6,29 @@
 use policy::canary::{Evidence, Sign};
 use policy::name::Name;
 
-/// Which version gave an answer.
+/// The version that gave an answer, and under which load.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cohort {
-    /// The one before.
+    /// The version before.
     Old,
-    /// The one under trial, with a share of the requests.
+    /// The version on trial, while it received a share of the requests.
     New,
-    /// The one under trial, to a request that came while few servers had the load of a peak.
+    /// The version on trial, for a request that arrived while few of its servers had peak load.
     NewAtPeak,
-    /// The one under trial, with all requests.
+    /// The version on trial, while it received all requests.
     NewAtFull,
 }
 
-/// An answer as it was counted.
+/// How an answer was counted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CountedAnswer {
-    /// Which version gave it.
+    /// The version that gave the answer, and under which load.
     pub cohort: Cohort,
-    /// What it said of the version.
+    /// What the answer says of the version.
     pub sign: Sign,
 }
 
-/// Counts by service and route, for roll-outs under way.
+/// Counts of answers by service and route, for roll-outs in progress.
 #[derive(Default)]
 pub struct Tally(Mutex<BTreeMap<Name, BTreeMap<Name, Evidence>>>);
 
@@ -54,8 +54,9 @@
         }
     }
 
-    /// Takes an answer back. A stream that was counted by its first events and breaks later is counted
-    /// as failed; counted twice, a version that fails so would seem to fail half as often.
+    /// Retracts an answer. A stream that was counted by its first events and breaks later is
+    /// counted as failed. If it were counted twice, a version that fails in this way would seem to
+    /// fail half as often.
     pub fn retract(&self, service: &Name, route: &Name, counted: CountedAnswer) {
         let mut tally = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(evidence) = tally.get_mut(service).and_then(|routes| routes.get_mut(route)) else {
@@ -75,14 +76,14 @@
         }
     }
 
-    /// What was counted for a service.
+    /// The counts of a service, by route.
     #[must_use]
     pub fn evidence(&self, service: &Name) -> Vec<Evidence> {
         let tally = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         tally.get(service).map(|routes| routes.values().cloned().collect()).unwrap_or_default()
     }
 
-    /// A roll-out begins or has ended: counts start anew.
+    /// Removes the counts of a service, when a roll-out begins or has ended.
     pub fn clear(&self, service: &Name) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(service);
     }
--- a/crates/gateway/src/fingerprint.rs
+++ b/crates/gateway/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Knows a request again that comes with another id, at any host, and the parts of its prompt.
+//! Recognises a request that comes again with another id, at any host, and the parts of its prompt.
 
 use policy::poison::{Digest, Fingerprint};
 use sha2::{Digest as _, Sha256};
@@ -6,18 +6,19 @@
 use crate::codec::Codec;
 use crate::job::Job;
 
-/// Parts of one prompt that are watched; a caller could fill the table with one request otherwise.
+/// The number of parts of a prompt that are watched. Without a limit a caller could fill the table
+/// with one request.
 const WATCHED_PARTS_MAX: usize = 64;
 
-/// The digest of what a caller sent. Every host works out the same one; nobody can make a request
+/// The digest of what a caller sent. It is the same on all hosts, and nobody can make a request
 /// that is taken for another account's.
 #[must_use]
 pub fn request_digest(account: &str, method: &str, path: &str, body: &[u8]) -> Digest {
     hash(&[account.as_bytes(), method.as_bytes(), path.as_bytes(), body])
 }
 
-/// The digest of a part of prompts to a service, whichever account sends it: what the service's servers
-/// do with it doesn't depend on that.
+/// The digest of a prompt part for a service. It does not depend on the account, because neither
+/// does what the service's servers do with the part.
 #[must_use]
 pub fn part_digest(service: &str, id: u64) -> Digest {
     hash(&[service.as_bytes(), &id.to_be_bytes()])
@@ -26,7 +27,7 @@
 fn hash(pieces: &[&[u8]]) -> Digest {
     let mut hash = Sha256::new();
     for piece in pieces {
-        // With its length, so that no two splits of the same bytes are alike.
+        // The length is hashed too, so that no two splits of the same bytes have the same digest.
         hash.update((piece.len() as u64).to_be_bytes());
         hash.update(piece);
     }
@@ -35,8 +36,8 @@
 }
 
 impl<C: Codec> Job<C> {
-    /// Names the request, whichever try of its caller's this is, and the parts of its prompt; worked out
-    /// once.
+    /// The digests of the request and of its prompt parts, computed on first use. They are the same
+    /// each time the caller sends the request.
     #[must_use]
     pub fn fingerprint(&self) -> &Fingerprint {
         self.fingerprint.get_or_init(|| {
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,10 +1,10 @@
-//! Takes requests that other hosts pass on, which reach no backend server.
+//! Receives requests that other hosts pass on because they reach no backend server.
 //!
-//! The host that has the caller counts the request's tries, and decides what follows on one. A host that it
-//! is passed on to makes a single try: it finds route, account and place, and sends it to one backend
-//! server. Were it to make more, a lost answer or a silent connection would leave the first one with a
-//! count that is too low. It passes requests on to no third host, so that two that are cut off don't ask
-//! each other in turn.
+//! The host that has the caller counts the request's attempts and decides what follows. A host that
+//! the request is passed to makes a single attempt: it finds route, account and backend server, and
+//! sends the request there once. If it made more attempts, a lost answer or a silent connection
+//! would leave the first host with a count that is too low. It does not pass the request on to a
+//! third host, so that two isolated hosts don't ask each other in turn.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -28,7 +28,7 @@
 use crate::refuse;
 use crate::state::State;
 
-/// Takes what other hosts pass on.
+/// Handles the requests that other hosts pass on.
 pub struct PeerHandler<C>(pub Arc<State<C>>);
 
 impl<C: Codec> Handler for PeerHandler<C> {
@@ -45,7 +45,8 @@
         let id = state.codec.request_info(request.headers()).id;
         tokio::select! {
             response = handle::answer(state, request, Some(forwarded)) => response,
-            // Dropped with its connection to the backend server, which stops the work there.
+            // Dropping the answer closes the connection to the backend server, which stops the work
+            // there.
             () = recalled.unwrap_or_default().cancelled_owned() => {
                 refuse::response(&state.codec, &id, refuse::recalled())
             }
@@ -57,23 +58,23 @@
     }
 }
 
-/// A request of another host's caller.
+/// What another host says of a request that it passes on.
 #[derive(Default)]
 pub struct ForwardedRequest {
-    /// Backend servers that it was sent to before.
+    /// Attempts that were made before.
     pub sent: u32,
-    /// Those that it is not sent to again.
+    /// Backend servers that the request must not be sent to again.
     pub excluded: Vec<Name>,
-    /// Index of the model that is asked, if its host has chosen one.
+    /// The index of the requested model, if the route has models to choose from.
     pub model: Option<usize>,
-    /// The version that it stays on.
+    /// The version that the request stays on.
     pub version: Option<Name>,
-    /// Its entry among the requests of other hosts that are under way here.
+    /// The registration among the requests of other hosts that are in flight here.
     pub registration: Option<Registration>,
 }
 
 impl ForwardedRequest {
-    /// Takes what its host says of it out of its headers.
+    /// Takes the other host's statements out of the request's headers.
     fn take_from(headers: &mut HeaderMap) -> Self {
         let excluded = header_text(headers, TRIED).unwrap_or_default();
         let forwarded = Self {
@@ -90,7 +91,7 @@
     }
 }
 
-/// What another host learns of a request that it has passed on here.
+/// Adds the headers that tell another host what became of the request that it passed on.
 pub fn add_report_headers<C: Codec>(job: &Job<C>, headers: &mut HeaderMap) {
     let in_flight = job.state.in_flight.load(Ordering::Relaxed);
     headers.insert(LOAD, HeaderValue::from(in_flight));
@@ -101,7 +102,8 @@
     }
 }
 
-/// The same of one that is refused: also whether a server ended under it.
+/// The headers that report on a refused request: those of [`add_report_headers`], and whether a
+/// server crashed under the request.
 pub async fn refusal_report_headers<C: Codec>(job: &mut Job<C>) -> HeaderMap {
     let mut headers = HeaderMap::new();
     add_report_headers(job, &mut headers);
@@ -114,7 +116,7 @@
     headers
 }
 
-/// Whether a refusal is this host's own doing, so that another one may do better.
+/// Whether the cause of a refusal lies with this host, so that another host may do better.
 #[must_use]
 pub fn is_for_another_host(refusal: &Refusal) -> bool {
     matches!(
@@ -127,7 +129,8 @@
     )
 }
 
-/// The refusal of a request that another host is to be asked for.
+/// Turns a refusal into one that tells the other host to ask a third one. A host that can't serve
+/// any request says so with [`AWAY`].
 #[must_use]
 pub fn mark_misdirected<C>(state: &State<C>, mut response: Response<Answer>) -> Response<Answer> {
     *response.status_mut() = StatusCode::MISDIRECTED_REQUEST;
@@ -137,13 +140,13 @@
     response
 }
 
-/// A header's text.
+/// The value of a header as text; `None` if the header is missing or not text.
 #[must_use]
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A header's number.
+/// The value of a header as a number; `None` if the header is missing or not a number.
 #[must_use]
 pub fn header_number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
     header_text(headers, name)?.parse().ok()
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -1,4 +1,4 @@
-//! The way in: route, account, body, then the request is carried.
+//! Receives requests: finds route and account, reads the body and has the request carried.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock};
@@ -27,10 +27,10 @@
 use crate::state::State;
 use crate::{forward, refuse, relay};
 
-/// A connection is kept for this much longer than callers may leave it idle, so that a request
-/// that is sent in the last moment does not cross its close.
+/// How much longer than callers' idle timeout a connection is kept, so that a request sent in the
+/// last moment does not meet its close.
 const IDLE_SLACK: Duration = Duration::from_secs(1);
-/// Callers that send a body slower than this between two pieces are cut off, in milliseconds.
+/// Callers that pause for longer than this while they send a body are cut off.
 const BODY_SLOW_MS: u64 = 3_000;
 
 /// Who sent a request.
@@ -42,20 +42,20 @@
     Host,
 }
 
-/// A refusal, and what the host that passed the request on learns with it.
+/// A refusal, and the headers that report on the request to the host that passed it on.
 struct Refused {
     refusal: Refusal,
     headers: HeaderMap,
 }
 
 impl From<Refusal> for Refused {
-    /// Of a request that was not carried.
+    /// The refusal of a request that was not carried.
     fn from(refusal: Refusal) -> Self {
         Self { refusal, headers: HeaderMap::new() }
     }
 }
 
-/// A request counted as under way until dropped.
+/// Counts a request as in flight until dropped.
 struct InFlightGuard<C>(Arc<State<C>>);
 
 impl<C> Drop for InFlightGuard<C> {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Answers one request, of a caller or of another host.
+/// Answers one request of a caller or of another host.
 pub async fn answer<C: Codec>(
     state: &Arc<State<C>>,
     request: Request<Incoming>,
@@ -213,13 +213,14 @@
 
 /// Waits until this host has read what requests are decided by, if it is about to.
 ///
-/// When all hosts of a failure domain are restarted together, callers' connections come to them
+/// When all hosts of a failure domain are restarted together, callers' connections reach them
 /// before they are ready. A refusal would cost such a caller its retry and half a second, for want
-/// of a table that is there ten milliseconds later. While the store can't be read nobody waits.
+/// of a table that is there ten milliseconds later. While the store can't be read, requests don't
+/// wait.
 async fn wait_for_start<C>(state: &State<C>, patience_ms: Option<u64>) {
     if !state.snapshot.load().is_complete {
         let longest = Duration::from_millis(bootstrap::wait_ms(patience_ms));
-        // Read or not: what is known by then decides.
+        // Whether the store was read or not, what is known by then decides.
         let _ = tokio::time::timeout(longest, state.started.cancelled()).await;
     }
 }
@@ -249,7 +250,7 @@
     })
 }
 
-/// One of a route's services, by weight; requests of one session go to the same.
+/// Chooses one of a route's services by weight. Requests of one session go to the same service.
 fn choose_service(route: &Route, subject: &Name) -> Name {
     let total: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
     let mut place = mix(hash(subject.as_bytes())) % total.max(1);
--- a/crates/gateway/src/index.rs
+++ b/crates/gateway/src/index.rs
@@ -1,4 +1,4 @@
-//! The table of routes, indexed for the request path.
+//! The routing table, indexed for the request path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,31 +6,32 @@
 use policy::name::Name;
 use wire::routing::{Account, Limits, Route, Service, Table};
 
-/// A route, and what is worked out of it once.
+/// A route with the values derived from it once per table version.
 #[derive(Clone, Debug)]
 pub struct IndexedRoute {
-    /// The route.
+    /// The route as operators configured it.
     pub route: Route,
-    /// Names under which the times of its answers are kept, by model; one if it has no models.
+    /// The keys of the route's answer times in [`crate::State::timings`], one for each model, or a
+    /// single one if the route has no models.
     pub timings: Vec<Name>,
 }
 
-/// One version of the table.
+/// One version of the routing table.
 #[derive(Debug, Default)]
 pub struct Index {
-    /// Its version.
+    /// The table's version; 0 if there is no table yet.
     pub version: u64,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub limits: Limits,
     /// Services by name.
     pub services: HashMap<Name, Service>,
-    /// By host, longest prefix first.
+    /// Routes by host name, those with the longest prefix first.
     routes: HashMap<Name, Vec<Arc<IndexedRoute>>>,
     accounts: HashMap<Name, Arc<Account>>,
 }
 
 impl Index {
-    /// Indexes a table.
+    /// Indexes a routing table.
     #[must_use]
     pub fn new(table: Table) -> Self {
         let mut routes: HashMap<Name, Vec<Arc<IndexedRoute>>> = HashMap::new();
@@ -51,7 +52,7 @@
         Self { version: table.version, limits: table.limits, services, routes, accounts }
     }
 
-    /// The route of a host and path: of those whose prefix begins the path, the longest.
+    /// The route for a host name and path: the one with the longest prefix of the path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<IndexedRoute>> {
         let of_host = match self.routes.get(host) {
@@ -61,13 +62,13 @@
         of_host.iter().find(|indexed| path.starts_with(indexed.route.prefix.as_str()))
     }
 
-    /// The account that a key belongs to.
+    /// The client account that a key belongs to.
     #[must_use]
     pub fn account(&self, key: &str) -> Option<&Arc<Account>> {
         self.accounts.get(key)
     }
 
-    /// Whether requests need a key at all.
+    /// Whether the table has client accounts, so that requests need a key.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty()
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! A request under way, and what its tries have come to.
+//! A request in flight and the state of its attempts.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, OnceLock};
@@ -22,142 +22,148 @@
 use crate::recall::Registration;
 use crate::state::State;
 
-/// A request under way.
+/// A request in flight.
 pub struct Job<C> {
-    /// Shared by all requests.
+    /// The state that all requests share.
     pub state: Arc<State<C>>,
-    /// Its route.
+    /// The request's route.
     pub indexed: Arc<IndexedRoute>,
-    /// What the caller says of it.
+    /// What the request's headers say.
     pub info: RequestInfo,
-    /// As the caller sent it.
+    /// The method that the caller sent.
     pub method: Method,
-    /// Path and query, as the caller sent them.
+    /// The path and query that the caller sent.
     pub path: Uri,
-    /// As the caller sent them.
+    /// The headers that the caller sent.
     pub headers: HeaderMap,
-    /// As the caller sent it.
+    /// The whole body that the caller sent.
     pub body: Bytes,
-    /// The account of the caller's key.
+    /// The client account of the caller's key; `None` if the request came without a known key.
     pub account: Option<Name>,
-    /// 0 is the most urgent.
+    /// The request's urgency; 0 is the highest.
     pub priority: u8,
-    /// Who sent it.
+    /// Whether a caller or another host sent the request.
     pub origin: Origin,
-    /// Backend servers that it may be sent to, those before it came here among them.
+    /// How many attempts may be made, including those made before the request came to this host.
     pub attempts_max: u32,
-    /// Its entry among the requests of other hosts, if one has passed it on.
+    /// The registration among the requests of other hosts, if another host passed this request on.
     pub registration: Option<Registration>,
-    /// The service that answers it.
+    /// The service that answers the request.
     pub service: Name,
-    /// When its head was read.
+    /// When the request's head was read.
     pub started: Instant,
-    /// When it is no longer waited for.
+    /// When the caller stops waiting for the answer.
     pub deadline: Instant,
-    /// See [`Job::fingerprint`].
+    /// Computed on first use, see [`Job::fingerprint`].
     pub fingerprint: OnceLock<Fingerprint>,
-    /// What the tries so far have come to.
+    /// The state of the attempts so far.
     pub attempts: Attempts,
 }
 
-/// What the tries of a request have come to.
+/// The state of a request's attempts.
 #[derive(Default)]
 pub struct Attempts {
-    /// Backend servers that it was sent to.
+    /// Attempts that were or may have been sent to backend servers, including those of other hosts.
     pub sent: u32,
-    /// Connections that did not open in time.
+    /// Attempts whose connection failed otherwise than by refusal before a byte was written: it did
+    /// not open in time, or a reused one had been closed.
     pub unsent: u32,
-    /// Connections that were refused.
+    /// Attempts whose connection was refused or unreachable.
     pub refused: u32,
-    /// It may have run.
+    /// Whether a backend server may have run the request.
     pub may_have_run: bool,
-    /// Other hosts that it was to go by, and that did not try it.
+    /// Other hosts that the request was passed to and that made no attempt.
     pub failed_detours: u32,
-    /// The host that it last went by tried it, or may have.
+    /// Whether the host that the request was last passed to made an attempt, or may have made one.
     pub was_attempted: bool,
-    /// Why a server behind another host did not run it.
+    /// The refusal of another host whose server did not run the request.
     pub host_refusal: Option<Refusal>,
-    /// Tries that backend servers did not run.
+    /// Attempts that backend servers did not run.
     pub not_run: u32,
-    /// The backend server that it was last sent to.
+    /// The backend server of the last attempt.
     pub backend: Option<Name>,
-    /// Backend servers and hosts not to be tried again from here.
+    /// Backend servers and hosts that this host does not choose again for the request.
     pub excluded: Vec<Name>,
-    /// Those of the servers that had it, and failed it or turned it away: no other host is to try them.
+    /// Backend servers that received the request and failed it or rejected it. Other hosts must not
+    /// send it to them either.
     pub failed_servers: Vec<Name>,
-    /// Other failure domains that did not answer; others are tried first.
+    /// Failure domains other than this host's that did not answer. Servers of the remaining domains
+    /// are tried first.
     pub silent_domains: Vec<Name>,
-    /// Index of the model that is asked now.
+    /// The index of the requested model among the route's models.
     pub model: usize,
-    /// The version that it was first sent to.
+    /// The version of the last chosen backend server. A stream and a session stay on it.
     pub version: Option<Name>,
-    /// Old connections are no longer used.
+    /// Whether attempts use new connections only, because an older one failed.
     pub needs_new_connection: bool,
-    /// A backend server's own failure, if nothing better comes.
+    /// A backend server's own error answer. It is passed on if no attempt brings a better one.
     pub failure_answer: Option<(Parts, Bytes)>,
-    /// The next try has been paid for.
-    pub is_repeat_taken: AtomicBool,
-    /// The last try has begun to answer, and counts as sent.
+    /// Whether the next attempt needs no further repeat, because its repeat is already taken.
+    pub is_paid: AtomicBool,
+    /// Whether the last attempt has begun to answer, so that it is already counted in `sent`.
     pub is_answering: bool,
-    /// From the last try's sending to the head of its answer, as expected when it was sent and as
-    /// it was, in milliseconds; 0 before that.
+    /// The expected time from sending the last attempt to the head of its answer, in milliseconds;
+    /// 0 before there is an answer.
     pub expected_ms: u64,
-    /// See `expected_ms`.
+    /// The measured time from sending the last attempt to the head of its answer, in milliseconds;
+    /// 0 before there is an answer.
     pub head_ms: u64,
-    /// The caller has the beginning of a stream.
+    /// Whether the caller has the beginning of a stream.
     pub has_stream_begun: bool,
-    /// From its coming in to the beginning of its answer, in milliseconds; 0 before that.
+    /// Time from the request's arrival to the beginning of its answer, in milliseconds; 0 before
+    /// that.
     pub began_after_ms: u64,
-    /// What speaks against it, and the servers that had ended under that, when this host got leave to try it
-    /// alone.
+    /// The digest that this host was granted a trial for, and the number of servers that had
+    /// crashed under the digest by then.
     pub granted_trial: Option<(Digest, u32)>,
-    /// When the last try's answer began, if it has: a stream with its first event.
+    /// When the answer to the last attempt began: a plain answer with its head, a stream with its
+    /// first event. `None` if none has begun.
     pub answer_began_at: Option<Instant>,
-    /// The last try broke off there, and the server was not looked at yet.
+    /// The server at which the last attempt broke off, if it has not been probed since.
     pub unprobed_server: Option<Arc<Backend>>,
-    /// The confidence with which a smaller model's answer was dropped.
+    /// The confidence of the smaller model's answer that was dropped for a larger model's.
     pub dropped_confidence: Option<u8>,
 }
 
 impl<C: Codec> Job<C> {
-    /// A server that had it failed it, or turned it away.
+    /// Records a server that received the request and failed it or rejected it.
     pub fn record_failed_server(&mut self, server: Option<Name>) {
         self.attempts.excluded.extend(server.clone());
         self.attempts.failed_servers.extend(server);
     }
 
-    /// Its route.
+    /// The request's route.
     #[must_use]
     pub fn route(&self) -> &Route {
         &self.indexed.route
     }
 
-    /// Cancelled when the host that passed it on takes it back.
+    /// A token that is cancelled when the host that passed the request on recalls it.
     #[must_use]
     pub fn recalled(&self) -> CancellationToken {
         self.registration.as_ref().map(Registration::recalled).unwrap_or_default()
     }
 
-    /// The time left.
+    /// The time until the deadline; zero once it has passed.
     #[must_use]
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The name under which the times of its answers are kept.
+    /// The key of the requested model's answer times in [`State::timings`].
     #[must_use]
     pub fn timing_key(&self) -> &Name {
         &self.indexed.timings[self.attempts.model.min(self.indexed.timings.len() - 1)]
     }
 
-    /// The model chosen, if the choice is ours.
+    /// The model that this host chose; `None` if the caller chooses the model.
     #[must_use]
     pub fn model(&self) -> Option<&Name> {
         self.route().models.get(self.attempts.model)
     }
 
-    /// The name under which the speed of one of the route's models is kept: the model, or the
-    /// service where the caller chooses it.
+    /// The key in [`State::speeds`] for one of the route's models: the model, or the service where
+    /// the caller chooses the model.
     #[must_use]
     pub fn speed_key(&self, model: usize) -> &Name {
         self.route().models.get(model).unwrap_or(&self.service)
@@ -169,20 +175,20 @@
         self.state.speeds.with(self.speed_key(model), |speed| speed.tokens_per_ms())
     }
 
-    /// Names the model among cached parts of prompts.
+    /// The model's hash in the keys of cached prompt parts; 0 if the caller chooses the model.
     #[must_use]
     pub fn model_hash(&self) -> u64 {
         self.model().map_or(0, |model| place::hash(model.as_bytes()))
     }
 
-    /// What places it among versions: its session, or itself.
+    /// What a request is assigned to a version by: its session, or its own id.
     #[must_use]
     pub fn subject(&self) -> &Name {
         self.info.session.as_ref().unwrap_or(&self.info.id)
     }
 
-    /// Whether a backend server's times are those that others are measured by: a version under
-    /// trial is not, nor is what came by another host.
+    /// Whether a backend server's answer times count as usual ones. Those of a version under trial
+    /// don't, nor do those of answers that came through another host.
     #[must_use]
     pub fn is_timed(&self, backend: &Backend) -> bool {
         if backend.is_host {
@@ -194,13 +200,14 @@
         trial.is_none_or(|trial| trial.target != backend.version)
     }
 
-    /// Rejected requests a second that a server of the service tolerates, if they fall over beyond that.
+    /// Rejected requests a second that a server of the service tolerates before it crashes; `None`
+    /// if it tolerates any number.
     #[must_use]
     pub fn tolerance(&self) -> Option<f64> {
         self.state.tolerances.with(&self.service, |tolerance| tolerance.per_second())
     }
 
-    /// Uses the service's count of requests and repeats.
+    /// Runs a function on the service's window of requests and repeats, with what is allowed.
     pub fn window<T>(&self, use_it: impl FnOnce(&mut Window, &Allowance) -> T) -> T {
         let allowance = self.state.allowance.load();
         self.state.windows.with(&self.service, |window| use_it(window, &allowance))
--- a/crates/gateway/src/judge.rs
+++ b/crates/gateway/src/judge.rs
@@ -1,4 +1,5 @@
-//! What becomes of an answer: passed on, dropped for a larger model's, or tried again.
+//! Decides what becomes of an answer: it is passed on, dropped for a larger model's answer, or the
+//! request is sent again.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -29,17 +30,18 @@
 use crate::relay::LiveStream;
 use crate::timing::Timing;
 
-/// Whether the end of an answer's body can be distinguished from a connection that is lost.
+/// Whether the end of an answer's body can be told from a lost connection.
 #[must_use]
 pub fn is_framed(reply: &Reply) -> bool {
     reply.body.size_hint().exact().is_some() || reply.head.headers.contains_key(TRANSFER_ENCODING)
 }
 
 impl<C: Codec> Job<C> {
-    /// What becomes of an answer: passed on, or none yet.
+    /// Decides what becomes of an answer. Returns the answer if it is passed on, and `None` if
+    /// another attempt is needed.
     ///
     /// # Errors
-    /// The answer broke; the request may have run.
+    /// The answer broke off. The request may have run.
     pub async fn judge(&mut self, reply: Reply) -> Result<Option<AcceptedAnswer>, Failure> {
         let status = reply.head.status;
         if status.is_server_error() {
@@ -66,15 +68,15 @@
         Ok(Some(AcceptedAnswer::Whole(head, body)))
     }
 
-    /// A backend server's own failure: it ran the request. It is passed on unless the request may
-    /// run again.
+    /// Handles an error answer of a backend server that ran the request. It is passed on unless the
+    /// request may run again.
     async fn judge_failure(&mut self, reply: Reply) -> Result<Option<AcceptedAnswer>, Failure> {
         let backend = Arc::clone(&reply.backend);
         backend.record_outcome(true, clock::steady());
         self.record_for_rollout(&backend, None);
         self.attempts.may_have_run = true;
         let (head, body) = self.read_whole(reply).await?;
-        // Another host may be asked again, for another server.
+        // The host that made the attempt may be asked again, for another server.
         self.record_failed_server(self.attempts.backend.clone());
         log::info!(target: "route", request:% = self.info.id, backend:% = backend.id,
             status = head.status.as_u16(), sent = self.attempts.sent; "backend server failed");
@@ -87,10 +89,10 @@
         }
     }
 
-    /// All of an answer's body.
+    /// Reads the whole body of an answer.
     ///
     /// # Errors
-    /// It broke off, or the request's time is over.
+    /// The body broke off or is too long, or the deadline has passed.
     async fn collect(&self, mut body: Incoming) -> Result<Bytes, Failure> {
         let mut reservation = self.state.buffers.reserve();
         let mut pieces: Vec<Bytes> = Vec::new();
@@ -139,7 +141,8 @@
         Ok((head, body))
     }
 
-    /// The model whose answer a small one's doubtful answer is dropped for.
+    /// The larger model to ask if a small model's doubtful answer is dropped. Takes the repeat for
+    /// it.
     fn escalation(&self, reply: &Reply) -> Option<usize> {
         let models = &self.route().models;
         let largest = models.len().saturating_sub(1);
@@ -149,13 +152,13 @@
         }
         let larger = self.next_larger_model(reply.info.confidence?, self.delay_share());
         let doubt = self.doubt(larger, reply.info.confidence);
-        let has_place = pick::has_server(self) || self.has_detour();
+        let has_place = pick::has_server(self) || self.has_host();
         let may_ask = escalate::escalate(&doubt) && has_place;
         (may_ask && self.take_spare_repeat()).then_some(larger)
     }
 
-    /// Chooses the model that is asked first: the smallest, unless a doubtful answer of it would have to be
-    /// passed on.
+    /// Chooses the model that is asked first: the smallest one, unless a doubtful answer of it
+    /// would have to be passed on because no repeat is left.
     pub fn choose_first_model(&mut self) {
         let largest = self.route().models.len().saturating_sub(1);
         if largest == 0 || !self.route().kind.may_repeat() || self.has_spare_repeat() {
@@ -166,12 +169,13 @@
         }
     }
 
-    /// What is known of an answer that a larger model would give in place of a doubtful one.
+    /// What is known of the answer that a larger model would give instead of a doubtful one.
     fn doubt(&self, larger: usize, confidence: Option<u8>) -> Doubt {
         let objective_ms = self.route().objective_ms as f64;
         let timing = self.state.timings.with(&self.indexed.timings[larger], |timing| *timing);
         let usual_ms = timing.first.faded_ms(objective_ms / 4.0, clock::steady());
-        // A prompt far longer than usual keeps an engine for seconds, and all that wait there.
+        // A prompt far longer than usual keeps an engine busy for seconds, and all requests that
+        // wait there.
         let read_ms = f64::from(self.info.prompt_tokens) / self.tokens_per_ms(larger);
         Doubt {
             confidence,
@@ -184,16 +188,16 @@
         }
     }
 
-    /// How long callers wait for streams to begin lately, as a part of their objective.
+    /// How long callers have lately waited for streams to begin, as a fraction of their objective.
     fn delay_share(&self) -> f64 {
         let now = clock::steady();
         self.state.delays.with(&self.service, |delay| delay.faded_ms(0.0, now))
     }
 
-    /// The larger model that is asked after a doubtful answer.
+    /// The index of the larger model that is asked after a doubtful answer.
     fn next_larger_model(&self, confidence: u8, delay_share: f64) -> usize {
         let largest = self.route().models.len() - 1;
-        // One that doubts its answer as well must leave a try for the largest.
+        // If that model doubts its answer as well, an attempt must be left for the largest one.
         if self.attempts.model > 0 || self.attempts.sent + 1 >= self.attempts_max {
             return largest;
         }
@@ -203,7 +207,8 @@
         1 + gain::choose(confidence, escalate::threshold(self.priority, delay_share), &gains)
     }
 
-    /// A larger model has answered a request that the smallest had answered before.
+    /// Records the confidence of a larger model in its answer, compared with the smallest model's
+    /// in the dropped answer.
     fn record_gain(&self, reply: &Reply) {
         if let (Some(small), Some(larger), Some(model)) =
             (self.attempts.dropped_confidence, reply.info.confidence, self.model())
@@ -212,7 +217,7 @@
         }
     }
 
-    /// The caller gets the beginning of its answer now.
+    /// Records that the caller now receives the beginning of its answer.
     pub fn record_begun(&mut self) {
         let waited = self.started.elapsed().as_secs_f64() * 1_000.0;
         self.attempts.began_after_ms = waited as u64;
@@ -221,8 +226,8 @@
         self.state.delays.with(&self.service, |delay| delay.note(part, clock::steady()));
     }
 
-    /// Counts an answer for the roll-out under way: the time that it took, of a stream for each of
-    /// its events, in milliseconds; none if it failed.
+    /// Counts an answer for the roll-out in progress. `took_ms` is the answer's time, for a stream
+    /// the time per event; `None` if the answer failed.
     pub fn record_for_rollout(&self, backend: &Backend, took_ms: Option<f64>) {
         if backend.is_host {
             return;
@@ -234,10 +239,10 @@
         self.record_sign(backend, sign);
     }
 
-    /// Counts a stream for the roll-out under way by its pace, in milliseconds an event.
+    /// Counts a stream for the roll-out in progress, by its pace in milliseconds per event.
     ///
-    /// Of a slow version few streams end before the verdict. Counted only at their ends, those
-    /// that had been fast would speak for it.
+    /// Few streams of a slow version end before the verdict. If streams were counted only at their
+    /// ends, the fast ones among them would speak for the version.
     pub fn record_pace(&self, backend: &Backend, pace_ms: f64) -> Option<CountedAnswer> {
         if backend.is_host {
             return None;
@@ -248,9 +253,9 @@
         )
     }
 
-    /// Learns from the pace of a stream that has ended how fast its engine is.
+    /// Records the speed of an engine, by the pace of a stream that has ended.
     pub fn record_engine_speed(&self, backend: &Backend, pace_ms: f64) {
-        // What came by another host is counted there.
+        // Streams through another host are recorded there.
         if backend.is_host {
             return;
         }
@@ -261,12 +266,13 @@
         }
     }
 
-    /// Takes a stream back that was counted by its pace, and has broken now.
+    /// Retracts a stream that was counted by its pace and has broken now.
     pub fn retract_pace(&self, counted: CountedAnswer) {
         self.state.tally.retract(&self.service, &self.route().name, counted);
     }
 
-    /// Whether a time is much longer than usual; the versions before make up what is usual.
+    /// Judges whether a time is much longer than usual. What is usual is learnt from the versions
+    /// that are not on trial.
     fn compare_with_usual(
         &self,
         backend: &Backend,
@@ -294,7 +300,8 @@
         let came = now - self.started.elapsed().as_millis() as u64;
         let cohort = match backend.version == trial.target {
             false => Cohort::Old,
-            // What came then is under way for a while with all that came with it.
+            // A request that arrived under peak load is in flight for a while with all others that
+            // arrived then.
             true if trial.is_at_peak(came) => Cohort::NewAtPeak,
             true if trial.has_all(now) => Cohort::NewAtFull,
             true => Cohort::New,
@@ -304,7 +311,7 @@
     }
 }
 
-/// Most answers come in one piece.
+/// Joins the pieces of a body. Most answers come in one piece.
 fn join(mut pieces: Vec<Bytes>) -> Bytes {
     match pieces.len() {
         0 | 1 => pieces.pop().unwrap_or_default(),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,14 +1,15 @@
-//! Routed requests: found by host and path, carried to a backend server, answered unchanged.
+//! Carries routed requests: finds the route by host and path, sends the request to a backend server
+//! and passes its answer on unchanged.
 //!
-//! This is the second front end of the data plane; connections, backend servers, callers'
-//! connections and answers are those of `entry`. A request passes [`handle`] (route, account,
-//! body), [`carry`] (which backend server, again or not), [`judge`] (what becomes of an answer)
-//! and, if that is a stream, [`relay`]. What callers and backend servers call things on the wire is behind [`codec::Codec`].
+//! This crate is the second front end of the data plane. Connections, backend servers, callers'
+//! connections and answers come from `entry`. A request passes through [`handle`] (route, account,
+//! body), [`carry`] (choice of backend servers, repeats), [`judge`] (whether an answer is passed
+//! on) and, if the answer is a stream, [`relay`]. The names that callers and backend servers use on
+//! the wire are hidden behind [`codec::Codec`].
 
 pub mod attempt;
 pub mod backend;
 pub mod blame;
-pub mod buffers;
 pub mod carry;
 pub mod codec;
 pub mod detour;
@@ -37,6 +38,7 @@
 pub mod state;
 pub mod timing;
 pub mod unavailable;
+pub mod volume;
 pub mod wait;
 
 pub use codec::Codec;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Keeps to what backend servers say that they take, together with the other hosts.
+//! Keeps to the limits that backend servers state. The hosts share each limit between them.
 
 use std::sync::Arc;
 
@@ -12,16 +12,17 @@
 use crate::pool::Pool;
 use crate::state::Peers;
 
-/// Where this host stands among those that may send to a service's servers.
+/// This host's place among the hosts that may send requests to a service's servers, at one moment.
 pub struct SendLimits {
     peers: Arc<Option<Peers>>,
     domains: usize,
-    /// Rejected requests a second that a server of the service tolerates, if they fall over beyond that.
+    /// Rejected requests a second that a server of the service tolerates before it crashes; `None`
+    /// if it tolerates any number.
     tolerance: Option<f64>,
 }
 
 impl SendLimits {
-    /// As it is now.
+    /// The limits for a request at this moment.
     #[must_use]
     pub fn current<C: Codec>(job: &Job<C>, pool: &Pool) -> Self {
         Self {
@@ -41,14 +42,14 @@
         let has_room = match (self.tolerance, &place) {
             (None, _) => true,
             (Some(per_second), Some(place)) => backend.has_room(per_second, place, now),
-            // It would take all parts of a server.
+            // Without known peers, this host would use the shares of all hosts at the server.
             (Some(_), None) => false,
         };
         let verdict = |intake: &mut Intake| intake.verdict(place.as_ref(), now);
         has_room && backend.with_intake(verdict) == Verdict::Open
     }
 
-    /// This host sends the server a request.
+    /// Counts a request that this host is about to send to the server.
     pub fn record_sent(&self, backend: &Backend, now: Millis) {
         if backend.server.is_restricted() {
             let place = self.place(backend);
--- a/crates/gateway/src/paces.rs
+++ b/crates/gateway/src/paces.rs
@@ -1,4 +1,4 @@
-//! What streams of this host showed of their engines' speeds, until the other hosts are notified.
+//! The pace of this host's streams by engine, collected until it is announced to the other hosts.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -7,28 +7,28 @@
 use policy::slowdown::Shown;
 
 policy::domain! {
-    /// What streams of one engine showed, as other hosts are notified of it.
+    /// The pace of the streams of one engine, as announced to other hosts.
     pub struct PaceSample {
-        /// The backend server's start.
+        /// The id of the backend server, which names one start of it.
         pub backend: Name,
-        /// What they showed.
+        /// How many streams there were, and how much longer than usual they took.
         pub shown: Shown,
     }
 }
 
-/// By backend server.
+/// Streams not yet announced to the other hosts, by backend server.
 #[derive(Default)]
 pub struct Paces(Mutex<HashMap<Name, Shown>>);
 
 impl Paces {
-    /// A stream of a backend server has ended.
+    /// Records a stream of a backend server that has ended.
     pub fn record(&self, backend: &Name, shown: Shown) {
         let mut paces = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let sample = paces.entry(backend.clone()).or_default();
         *sample = sample.and(shown);
     }
 
-    /// What the others have not been notified of yet.
+    /// Takes what has not yet been announced to the other hosts.
     pub fn take(&self) -> Vec<PaceSample> {
         let paces = std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
         paces.into_iter().map(|(backend, shown)| PaceSample { backend, shown }).collect()
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -1,4 +1,4 @@
-//! Which backend server of a pool takes a request: what is believed of each, put to the policy.
+//! Chooses the backend server of a pool that takes a request, by what is known of each server.
 
 use std::sync::Arc;
 
@@ -17,27 +17,30 @@
 use crate::limits::SendLimits;
 use crate::pool::{Candidates, Pool};
 
-/// Another failure domain costs an engine's request this part of its objective: the bytes between
-/// failure domains have a price, and a near answer is soon enough until its queue is that long.
+/// The cost of another failure domain to an engine's request, as a fraction of its objective. Bytes
+/// between failure domains have a price, and a near answer is soon enough until the near queue is
+/// that long.
 const FAR_ENGINE_SHARE: f64 = 1.0 / 8.0;
-/// The same for a plain service, whose requests are small and short.
+/// The cost of another failure domain to a plain service's request, as a fraction of its objective.
+/// Such requests are small and short.
 const FAR_PLAIN_SHARE: f64 = 1.0 / 4.0;
 
-/// Backend servers that can't be reached and are asked for one request, at most.
+/// The most unreachable backend servers that are probed for one request.
 const PROBED_MAX: usize = 64;
 
-/// A backend server of a version that was not tried yet; none if there is none.
+/// Chooses a backend server of a version that the request has not tried; `None` if there is none.
 ///
-/// Failure domains that did not answer this request are tried last. Servers held ill take no
-/// connections, so a request that finds no other is refused at once; trying them one after another
-/// would only use up the time in which its caller could come back. They are asked in the
+/// Failure domains that did not answer this request are tried last. Ill servers accept no
+/// connections, so a request that finds only ill ones is refused at once: trying them one after
+/// another would use up the time in which its caller could come back. They are probed in the
 /// background, and serve again a moment after they can be reached.
 pub fn choose<C: Codec>(job: &Job<C>, pool: &Pool, version: &Name) -> Option<Arc<Backend>> {
     let now = clock::steady();
     let load = if is_engine(job) { canary::USUAL_LOAD } else { canary::PEAK_LOAD };
     let candidates = pool.candidates(version, load, shared_part(job), rand::random(), now);
     let chosen = choose_among(job, pool, version, &candidates, now);
-    // None of those drawn takes it; of thousands another one does, if the service works.
+    // No server of the sample takes the request. Among thousands another one does, if the service
+    // works.
     let chosen = chosen.or_else(|| {
         let all =
             || Candidates { backends: pool.active(version, load, now), ..Candidates::default() };
@@ -46,7 +49,7 @@
     chosen.inspect(|backend| SendLimits::current(job, pool).record_sent(backend, now))
 }
 
-/// The best of those that the request looks at.
+/// Chooses the best of the candidates.
 fn choose_among<C: Codec>(
     job: &Job<C>,
     pool: &Pool,
@@ -69,14 +72,12 @@
             None
         }
         ([], unreachable) => best(job, unreachable, candidates.preferred, now),
-        (well, _) => {
-            best(job, peak_subset(job, pool, version, well, now), candidates.preferred, now)
-        }
+        (well, _) => best(job, at_peak(job, pool, version, well, now), candidates.preferred, now),
     }
 }
 
-/// Whether a backend server of the service takes the request now, whichever it is. An answer must not be
-/// dropped where there is nobody to ask for another one.
+/// Whether any backend server of the service takes the request now. An answer must not be dropped
+/// if no server can give another one.
 #[must_use]
 pub fn has_server<C: Codec>(job: &Job<C>) -> bool {
     let snapshot = job.state.snapshot.load();
@@ -92,9 +93,9 @@
     backends.any(|backend| limits.may_send(backend, now))
 }
 
-/// Of the servers of a version on trial, the one that is to have the load of a peak; all of other
-/// versions'.
-fn peak_subset<'a, 'b, C: Codec>(
+/// The server of a version on trial that is to have peak load, if the version is to have any at
+/// peak load now; otherwise all of `backends`.
+fn at_peak<'a, 'b, C: Codec>(
     job: &Job<C>,
     pool: &Pool,
     version: &Name,
@@ -122,7 +123,8 @@
     backends.get(index).map(|backend| Arc::clone(backend))
 }
 
-/// What is believed of each; one of them may be known to be the preferred one.
+/// What is known of each backend server. `preferred` is given if the candidates were sampled with a
+/// preferred server.
 fn engines<C: Codec>(
     job: &Job<C>,
     backends: &[&Arc<Backend>],
@@ -157,7 +159,7 @@
         .collect()
 }
 
-/// Whether it is answered by an engine, and not by a plain service.
+/// Whether an engine answers the request, and not a plain service.
 fn is_engine<C: Codec>(job: &Job<C>) -> bool {
     !job.info.parts.is_empty()
 }
@@ -176,13 +178,14 @@
     }
 }
 
-/// The last part of the prompt that other requests share.
+/// The id of the last part of the prompt that other requests share.
 fn shared_part<C: Codec>(job: &Job<C>) -> Option<u64> {
     let (_, shared) = job.info.parts.split_last()?;
     shared.last().map(|part| part.id)
 }
 
-/// The near engine that all hosts of the failure domain prefer for the prompt's last shared part.
+/// The index of the near engine that all hosts of the failure domain prefer for the prompt's last
+/// shared part.
 fn preferred<C: Codec>(job: &Job<C>, backends: &[&Arc<Backend>]) -> Option<usize> {
     let shared_part = shared_part(job)?;
     let near = backends.iter().enumerate().filter(|(_, backend)| backend.is_near);
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -1,5 +1,5 @@
-//! Holds back requests that end the servers that run them, by themselves or by a part of their prompts;
-//! see [`policy::poison`].
+//! Quarantines requests that crash the servers that run them, by themselves or by a part of their
+//! prompts. See [`policy::poison`].
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,51 +18,53 @@
 use crate::job::Job;
 use crate::reach::Reachability;
 
-/// An answer that has been coming for this long was not just begun.
+/// An answer that has been coming for this long no longer counts as just begun.
 const SETTLED_AFTER: Duration = Duration::from_secs(1);
-/// Longest wait for leave to try such a request. The store answers in a few milliseconds.
+/// The longest wait for permission to try a suspect request. The store answers in a few
+/// milliseconds.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a caller may come back whose request another host is trying, in milliseconds.
+/// When a caller may come back if another host is trying its request.
 const TRIAL_RETRY_MS: u64 = 2_000;
 
-/// A message to the task that speaks with the store, about a try that one host of all may make.
+/// A message about a trial to the task that talks to the store.
 pub enum TrialMessage {
-    /// A request asks for leave.
+    /// Asks whether this host may try a request.
     Request(TrialRequest),
-    /// A server has answered the one that had leave: hosts that ask are to hear of it.
+    /// Reports that a server has answered the request on trial. Hosts that ask for a trial must
+    /// learn of it.
     Answered(Digest),
 }
 
-/// Asks for leave to try a request that servers ended under, or one with a part that they ended under: of
-/// all hosts one may.
+/// Asks for permission to try a request under which servers have ended, or one with a part under
+/// which they have ended. Only one of all hosts is permitted to.
 pub struct TrialRequest {
-    /// The request or part.
+    /// The digest of the request or part.
     pub digest: Digest,
-    /// Which of the two.
+    /// Whether the digest is that of a request or of a part.
     pub kind: Kind,
-    /// For how long no other host may then, in milliseconds.
+    /// How long no other host may try the request if this one may, in milliseconds.
     pub alone_ms: u64,
-    /// Servers known to have ended under it.
+    /// The number of servers known to have ended under the digest.
     pub servers: u32,
-    /// Whether it may be tried here.
+    /// Receives whether this host may try the request.
     pub granted: oneshot::Sender<bool>,
 }
 
-/// What is known of requests lost with their servers, for all requests of this host.
+/// What this host knows of requests that were lost with their servers.
 pub struct Guard {
     book: Mutex<Book>,
     polls: Mutex<Polls>,
-    /// Nothing speaks against any request, so none needs to be looked up.
+    /// Whether nothing speaks against any request, so that requests need no look-up in the book.
     is_empty: AtomicBool,
-    /// Wakes whoever tells the other hosts.
+    /// Notified when the other hosts must be told of changes.
     pub changed: Notify,
-    /// Whether this host reaches any server: one that it can't reach has not ended.
+    /// Whether this host reaches any backend server. A server out of reach has not ended.
     pub reach: Arc<Reachability>,
     trials: mpsc::Sender<TrialMessage>,
 }
 
 impl Guard {
-    /// Nothing known yet.
+    /// A guard that knows of no lost requests.
     #[must_use]
     pub fn new(trials: mpsc::Sender<TrialMessage>) -> Self {
         Self {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Uses what is known.
+    /// Runs a function on the book of lost requests.
     pub fn with_book<T>(&self, use_it: impl FnOnce(&mut Book) -> T) -> T {
         let mut book = self.lock();
         let used = use_it(&mut book);
@@ -87,23 +89,24 @@
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Uses the times at which the store is read for what others know.
+    /// Runs a function on the schedule by which the store is read for what other hosts know.
     pub fn with_polls<T>(&self, use_them: impl FnOnce(&mut Polls) -> T) -> T {
         use_them(&mut self.polls.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// A server ended, here or elsewhere: others may know more.
+    /// Records that a server has ended, here or elsewhere. Other hosts may know more about it.
     pub fn alarm(&self) {
         self.with_polls(|polls| polls.alarm(clock::steady()));
         self.changed.notify_one();
     }
 
-    /// Whether something is to be sent or read, now or soon.
+    /// Whether something must be sent or read, now or soon.
     pub fn is_awake(&self) -> bool {
         self.with_polls(|polls| polls.is_awake()) || self.lock().has_unsent()
     }
 
-    /// Something was learnt of a request, with times of this host's clock; whether it is news.
+    /// Adds what another host or the store knows of a request, with times of this host's clock.
+    /// Returns whether it is news.
     pub fn learn(&self, heard: &Suspect, source: Source) -> bool {
         let now = clock::steady();
         let (is_news, verdict) = self.with_book(|book| {
@@ -114,7 +117,7 @@
             self.with_polls(|polls| polls.hurry(now));
             self.changed.notify_one();
         }
-        // Of victims every host hears; what is decided by is sent to them.
+        // Every host learns of all victims. Only what can hold a request back is logged.
         if is_news && verdict != Verdict::Run {
             log::info!(target: "route", digest:% = heard.digest, verdict:? = verdict,
                 from:? = source; "lost request heard of");
@@ -126,7 +129,7 @@
         self.is_empty.load(Ordering::Relaxed)
     }
 
-    /// A server has ended.
+    /// Records that a server has ended, and the requests that were lost with it.
     pub fn record_ended(&self, server: &Name) {
         let now = clock::steady();
         let lost = self.with_book(|book| {
@@ -169,13 +172,13 @@
 }
 
 impl<C: Codec> Job<C> {
-    /// Whether the request may be sent to one more server, or by way of another host.
+    /// Checks that the request may be sent to one more server, or to another host.
     ///
     /// # Errors
-    /// A refusal: it is held back, since it was lost with server after server.
+    /// The request is quarantined, because it was lost with one server after another.
     pub async fn permit(&mut self, place: &Backend) -> Result<(), Refusal> {
         if let Some(backend) = self.attempts.unprobed_server.take() {
-            // What the last try came to decides about the next one.
+            // The outcome of the last attempt decides about the next one.
             self.state.probe(&backend).await;
         }
         if self.state.poison.is_empty() {
@@ -187,9 +190,10 @@
         match judged.verdict {
             Verdict::Run => Ok(()),
             Verdict::Hold(ms) => Err(self.hold(cause, ms)),
-            // The other host asks for leave itself: of all hosts one may have it.
+            // The other host asks for permission itself. Only one of all hosts receives it.
             Verdict::Trial { .. } if place.is_host => Ok(()),
-            // It was not sent yet, or a small model's answer was dropped: no server has ended since.
+            // The permission is still valid. The request has not been sent yet, or a small model's
+            // answer was dropped: no server has ended since.
             Verdict::Trial { servers, .. }
                 if self.attempts.granted_trial == Some((cause.0, servers)) =>
             {
@@ -232,14 +236,15 @@
         }
     }
 
-    /// The id of the part of its prompt that a digest names, as callers write it.
+    /// The id of the prompt part that a digest stands for, as callers write it.
     fn part_id(&self, digest: Digest) -> Option<String> {
         let mut parts = self.fingerprint().parts.iter();
         let index = parts.position(|part| *part == digest)?;
         self.info.parts.get(index).map(|part| format!("{:x}", part.id))
     }
 
-    /// A try broke off; what it says of the request is known when its server was looked at.
+    /// Records that an attempt broke off. What that says of the request is known once its server
+    /// has been probed.
     pub fn record_broken(&mut self, backend: &Arc<Backend>, cause: Cause) {
         if !matches!(cause, Cause::Broken | Cause::Truncated | Cause::Silent) {
             return;
@@ -252,14 +257,15 @@
         }
     }
 
-    /// A server ended under it that another host had sent it to.
+    /// Records that a server ended under the request, which another host had sent there.
     pub fn record_crash(&self, backend: &Backend) {
         let run = self.run_at(backend);
         self.state.poison.with_book(|book| book.lost(run, clock::steady()));
         self.state.poison.record_ended(&backend.id);
     }
 
-    /// A run is given up while its server works on it. The server may end of it all the same.
+    /// Records that a run was abandoned while its server was working on it. The server may still
+    /// crash because of it.
     pub fn record_abandoned(&self, backend: &Backend) {
         if backend.is_host {
             return;
@@ -268,13 +274,13 @@
         self.state.poison.with_book(|book| book.given_up(run, clock::steady()));
     }
 
-    /// A server has answered the request.
+    /// Records that a server has answered the request.
     pub fn record_answered(&self, answer: Answer) {
         let now = clock::steady();
         self.state.poison.with_book(|book| book.answered(self.fingerprint(), answer, now));
         let acquitted = self.attempts.granted_trial.filter(|_| answer == Answer::Whole);
         if let Some((digest, _)) = acquitted {
-            // When too many wait the others find out by tries of their own.
+            // If the queue is full, the other hosts find out by trials of their own.
             let _ = self.state.poison.trials.try_send(TrialMessage::Answered(digest));
         }
     }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! The backend servers of one service, by version, and the roll-out under way among them.
+//! The backend servers of one service by version, and the roll-out in progress among them.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,29 +16,29 @@
 /// A roll-out as this host knows it.
 #[derive(Debug)]
 pub struct Rollout {
-    /// The version wanted.
+    /// The version that is rolled out.
     pub target: Name,
-    /// How far it has come.
+    /// How far the roll-out has come.
     pub stage: Stage,
-    /// When it began, by this host's clock.
+    /// When the roll-out began, by this host's clock.
     pub began_at: Millis,
-    /// How long it may take, in milliseconds.
+    /// How long the roll-out may take, in milliseconds.
     pub within_ms: u64,
-    /// Part of all requests that a bad version may get in that time.
+    /// The fraction of all requests in that time that a bad version may receive.
     pub exposure_share: f64,
-    /// This host's own answers speak against the new version: it stops at once, before the other
-    /// hosts know.
+    /// Whether this host's own answers speak against the new version. It then sends no more
+    /// requests there, before the other hosts know.
     pub halted: Arc<AtomicBool>,
 }
 
 impl Rollout {
-    /// How far it is in its time.
+    /// The elapsed part of the roll-out's time, 0 to 1.
     #[must_use]
     pub fn elapsed(&self, now: Millis) -> f64 {
         canary::elapsed(now.since(self.began_at), self.within_ms)
     }
 
-    /// The share of requests that the new version gets.
+    /// The share of requests that the new version receives.
     #[must_use]
     pub fn share(&self, now: Millis) -> f64 {
         match self.halted.load(Ordering::Relaxed) {
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Whether the new version gets all requests.
+    /// Whether the new version receives all requests.
     #[must_use]
     pub fn has_all(&self, now: Millis) -> bool {
         canary::share(self.stage, self.elapsed(now), self.exposure_share) >= 1.0
     }
 
-    /// Whether its requests go to few servers, that have the load of a peak.
+    /// Whether the new version's requests go to so few servers that these have peak load.
     #[must_use]
     pub fn is_at_peak(&self, now: Millis) -> bool {
         canary::is_peak(self.elapsed(now), self.within_ms)
@@ -66,32 +66,32 @@
     }
 }
 
-/// Backend servers of one version, as requests look for them.
+/// The backend servers of one version.
 #[derive(Default)]
 pub struct Members {
-    /// All of them, in an order that all hosts share.
+    /// All servers of the version, in an order that is the same on all hosts.
     pub all: Vec<Arc<Backend>>,
-    /// Those of the host's own failure domain, in the same order.
+    /// The servers of this host's failure domain, in the same order as `all`.
     near: Vec<Arc<Backend>>,
-    /// Their places in that order.
+    /// The sort keys of `near`.
     near_places: Vec<u64>,
-    /// The others.
+    /// The servers of other failure domains, in the same order as `all`.
     far: Vec<Arc<Backend>>,
 }
 
-/// Backend servers that one request looks at.
+/// The backend servers that are compared for one request.
 #[derive(Default)]
 pub struct Candidates<'a> {
-    /// They.
+    /// The servers to compare.
     pub backends: Vec<&'a Arc<Backend>>,
-    /// The one that all hosts of the failure domain prefer for the request's subject, if these are not
-    /// all that there are.
+    /// The server that all hosts of the failure domain prefer for the request's subject. It is set
+    /// only for a sample.
     pub preferred: Option<&'a Arc<Backend>>,
-    /// These are not all.
+    /// Whether the version has more servers than `backends`.
     pub is_sample: bool,
 }
 
-/// What is worked out of a pool's backend servers once, when the first request looks for one.
+/// Values derived from a pool's backend servers once, when the first request needs them.
 struct Derived {
     versions: HashMap<Name, Members>,
     domains: usize,
@@ -106,13 +106,13 @@
         Self { all, near, near_places, far }
     }
 
-    /// Whether there are more than one request looks at.
+    /// Whether the version has more servers than are compared for one request.
     #[must_use]
     pub fn is_large(&self) -> bool {
         self.near.len() > NEAR_MAX || self.far.len() > FAR_MAX
     }
 
-    /// Some that a seed draws, and the preferred one for a subject.
+    /// A sample of servers drawn by a seed, and the preferred server for a subject.
     #[must_use]
     pub fn sample(&self, subject: Option<u64>, seed: u64) -> Candidates<'_> {
         let preferred =
@@ -128,30 +128,30 @@
     }
 }
 
-/// One service's backend servers that take new work.
+/// The backend servers of one service that take new work.
 #[derive(Default)]
 pub struct Pool {
-    /// The version that requests go to but for a roll-out.
+    /// The version that receives all requests outside of a roll-out.
     pub base: Name,
-    /// All that take new work, of every version.
+    /// All backend servers that take new work, of every version.
     pub backends: Vec<Arc<Backend>>,
-    /// Others that leave.
+    /// The number of further servers that are leaving.
     pub leaving: usize,
-    /// Others that would, but stand in evacuated failure domains.
+    /// The number of further servers that would take work but are in evacuated failure domains.
     pub evacuated: usize,
-    /// The roll-out under way or last decided.
+    /// The roll-out in progress, or the one decided last.
     pub rollout: Option<Rollout>,
     derived: OnceLock<Derived>,
 }
 
 impl Pool {
-    /// Of these backend servers.
+    /// A pool of these backend servers, without a roll-out.
     #[must_use]
     pub fn new(base: Name, backends: Vec<Arc<Backend>>) -> Self {
         Self { base, backends, ..Self::default() }
     }
 
-    /// With a roll-out.
+    /// Adds a roll-out to the pool.
     #[must_use]
     pub fn with_rollout(self, rollout: Rollout) -> Self {
         Self { rollout: Some(rollout), ..self }
@@ -172,19 +172,19 @@
         })
     }
 
-    /// Failure domains that its backend servers stand in.
+    /// The number of failure domains in which the pool has backend servers.
     #[must_use]
     pub fn domains(&self) -> usize {
         self.derived().domains
     }
 
-    /// The backend servers of a version; none if it has none.
+    /// The backend servers of a version; `None` if the version has no servers.
     #[must_use]
     pub fn members(&self, version: &Name) -> Option<&Members> {
         self.derived().versions.get(version)
     }
 
-    /// The version for a request; `subject` is its session, or the request itself.
+    /// The version for a request. `subject` is its session, or the request's id.
     #[must_use]
     pub fn version(&self, subject: &str, now: Millis) -> &Name {
         match &self.rollout {
@@ -195,16 +195,15 @@
         }
     }
 
-    /// Backend servers of a version.
+    /// The backend servers of a version.
     pub fn servers<'a>(&'a self, version: &Name) -> impl Iterator<Item = &'a Arc<Backend>> {
         self.members(version).into_iter().flat_map(|members| &members.all)
     }
 
-    /// Whether so few servers of a version are to be sent requests that these have the load of a
-    /// peak.
+    /// Whether requests for a version go to so few of its servers that these have peak load.
     ///
-    /// With all requests engines are not: their load builds up over seconds, and until it is known all
-    /// hosts would send to the same one.
+    /// Engines are excepted once the version receives all requests: their load builds up over
+    /// seconds, and until it is known all hosts would send to the same engine.
     #[must_use]
     pub fn is_at_peak(&self, version: &Name, is_engine: bool, now: Millis) -> bool {
         let trial = self.rollout.as_ref().filter(|trial| trial.is_open());
@@ -213,8 +212,9 @@
             .is_some_and(|trial| trial.is_at_peak(now) || (!is_engine && trial.has_all(now)))
     }
 
-    /// Requests that all hosts together are expected to have at the version on trial at once, by what some
-    /// servers of the version before said, which a seed draws; none if this host has heard of none.
+    /// Requests that all hosts together are expected to have in flight at the version on trial. The
+    /// estimate uses the reports of some servers of the version before, which a seed draws. `None`
+    /// if this host has no such reports.
     #[must_use]
     pub fn expected_on_trial(&self, seed: u64, now: Millis) -> Option<f64> {
         let share = self.rollout.as_ref()?.share(now);
@@ -224,11 +224,12 @@
         peak::expected(share, before.len(), reported)
     }
 
-    /// Backend servers of a version that requests are sent to now.
+    /// The backend servers of a version that requests are sent to now.
     ///
-    /// Until a version is declared done its requests go to so few of its servers that each has so
-    /// many times the load to come. Spread over all they would leave each one idle on trial, and a
-    /// version that fails only under load would show it when nothing can be taken back.
+    /// Until a version is declared done, its requests go to so few of its servers that each has
+    /// `load` times its future load. Spread over all servers, they would leave each one idle on
+    /// trial, and a version that fails only under load would show it only when nothing can be
+    /// undone.
     #[must_use]
     pub fn active<'a>(&'a self, version: &Name, load: f64, now: Millis) -> Vec<&'a Arc<Backend>> {
         let all = self.members(version).map(|members| members.all.as_slice()).unwrap_or_default();
@@ -239,7 +240,8 @@
         all.iter().take(count).collect()
     }
 
-    /// Those of them that one request looks at: of thousands, some that a seed draws.
+    /// The active servers that are compared for one request. Of a version with thousands of servers
+    /// a sample is drawn by the seed.
     #[must_use]
     pub fn candidates<'a>(
         &'a self,
@@ -261,10 +263,10 @@
 
     /// Whether a stream or session that is on a version stays there.
     ///
-    /// When a roll-out has succeeded the servers of the version before are stopped without notice,
-    /// and are listed for some seconds more. A stream that was cut by that and asked those servers
-    /// one after another would have used up its tries before it came to one that lives. They are
-    /// stopped before all hosts know of the success, so it is enough that the new version has all
+    /// After a successful roll-out, the servers of the version before are stopped without notice
+    /// and stay listed for some seconds. A stream that was cut by that and tried those servers one
+    /// after another would use up its attempts before it came to a running one. Servers are stopped
+    /// before all hosts know of the success, so it is enough that the new version receives all
     /// requests.
     #[must_use]
     pub fn stays_on(&self, version: &Name, now: Millis) -> bool {
@@ -273,14 +275,15 @@
         !is_left && self.servers(version).next().is_some()
     }
 
-    /// The version that a request may go to instead when this one has no server left for it.
+    /// The version that a request may go to instead if `version` has no server left for it.
     ///
-    /// From a trial it falls back on the version before. Never the other way round while the
-    /// version before has servers: trouble there would flood a version that is not yet trusted.
+    /// Requests for the version on trial fall back to the version before. The reverse never happens
+    /// while the version before has servers: trouble there would flood a version that is not yet
+    /// trusted.
     ///
-    /// Once a roll-out may be done, servers that refuse connections, all of them, were stopped, though the
-    /// list has them for some seconds more: a host that has not heard of the success would give up all its
-    /// streams.
+    /// Once a roll-out may be done, old servers that all refuse connections have been stopped,
+    /// although they stay listed for some seconds. A host that does not yet know of the success
+    /// would give up all its streams if it did not fall forward to the new version.
     #[must_use]
     pub fn fallback(&self, version: &Name, now: Millis) -> Option<&Name> {
         let rollout = self.rollout.as_ref()?;
--- a/crates/gateway/src/reach.rs
+++ b/crates/gateway/src/reach.rs
@@ -14,22 +14,23 @@
 use crate::codec::Codec;
 use crate::state::State;
 
-/// Between two looks for servers that take connections.
+/// The time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// Servers that are looked at at once.
+/// How many servers are probed at once while this host reaches none.
 const PROBED_COUNT: usize = 2;
-/// Looks at one server until it is clear whether it has ended. What was lost there is remembered for as
-/// long.
+/// The most probes of one server until it is clear whether it has ended. Requests that were lost
+/// with it are remembered for as long as these probes take.
 const PROBES_MAX: usize = 20;
-/// Others that are looked at before a server that refuses is taken for ended: some may have ended as
-/// well, and nobody knows yet.
+/// How many other servers are probed before a server that refuses connections counts as ended. Some
+/// of them may have ended as well, which nobody knows yet.
 const CONTROLS_MAX: usize = 4;
 
-/// What this host knows of its way to the backend servers.
+/// What this host knows of its connection to the backend servers.
 #[derive(Default)]
 pub struct Reachability {
     isolation: Mutex<Isolation>,
-    /// Nothing speaks for it: most connections open, and need no lock to say so.
+    /// Whether nothing suggests an isolation. Most connections open, and need no lock to record
+    /// that.
     is_calm: AtomicBool,
     isolated: watch::Sender<bool>,
 }
@@ -41,25 +42,25 @@
         *self.isolated.borrow()
     }
 
-    /// Whether it may be, so that what it sees of servers says nothing of them.
+    /// Whether this host may be cut off, so that its observations say nothing about the servers.
     #[must_use]
     pub fn is_doubtful(&self) -> bool {
         let is_calm = self.is_calm.load(Ordering::Relaxed);
         !is_calm && self.with(|isolation| isolation.is_doubtful(clock::steady()))
     }
 
-    /// Whether a server is among those that failed since one last answered.
+    /// Whether the server has failed since any server last answered.
     fn has_failed(&self, backend: &Backend) -> bool {
         self.with(|isolation| isolation.has_failed(backend.id_hash))
     }
 
-    /// Tells when that changes.
+    /// A receiver that is notified when the host becomes isolated or reaches servers again.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<bool> {
         self.isolated.subscribe()
     }
 
-    /// A backend server took no connection, or broke one off without an answer.
+    /// Records that a backend server accepted no connection, or broke one off without an answer.
     pub fn record_failure(&self, backend: &Backend) {
         if self.with(|isolation| isolation.failed(backend.id_hash, clock::steady())) {
             log::warn!(target: "route", backend:% = backend.id;
@@ -70,7 +71,8 @@
         }
     }
 
-    /// A backend server answered on a new connection; whether the host had been cut off.
+    /// Records that a backend server answered on a new connection. Returns whether the host had
+    /// been cut off.
     fn record_reached(&self) -> bool {
         if self.is_calm.load(Ordering::Relaxed) {
             return false;
@@ -92,22 +94,23 @@
 }
 
 impl<C: Codec> State<C> {
-    /// A backend server answered on a new connection.
+    /// Records that a backend server answered on a new connection.
     pub fn record_reached(&self) {
         if !self.reach.record_reached() {
             return;
         }
-        // It was this host, and not they: to wait for the time that each is held ill would keep
-        // requests on their way by other hosts.
+        // The fault was with this host and not with the servers. If each of them stayed ill for its
+        // time, requests would go on taking the way through other hosts.
         let (snapshot, now) = (self.snapshot.load(), clock::steady());
         let backends = snapshot.pools.values().flat_map(|pool| &pool.backends);
         backends.for_each(|backend| backend.server.note_success(now));
     }
 
-    /// Looks for a server that takes connections whenever this host reaches none, until the process ends.
+    /// Probes servers whenever this host reaches none, until one accepts connections. Runs until
+    /// the process ends.
     pub async fn probe_while_isolated(self: Arc<Self>) {
         let mut isolated = self.reach.watch();
-        // The sender lives as long as the state.
+        // The sender exists as long as the state.
         while isolated.wait_for(|isolated| *isolated).await.is_ok() {
             if any_accepts(&self.sample_servers(PROBED_COUNT, |_| true)).await {
                 self.record_reached();
@@ -116,14 +119,14 @@
         }
     }
 
-    /// Looks, in the background, whether a server has ended: a connection that breaks alone says nothing
-    /// of the server.
+    /// Probes in the background whether a server has ended. A single broken connection says nothing
+    /// of its server.
     pub fn probe_soon(self: &Arc<Self>, backend: &Arc<Backend>) {
         let (state, backend) = (Arc::clone(self), Arc::clone(backend));
         tokio::spawn(async move {
             for _ in 0..PROBES_MAX {
-                // Other servers may have ended in the same moment. What was lost here must not be
-                // forgotten for that.
+                // Other servers may have ended in the same moment. What was lost with this one must
+                // not be forgotten for that.
                 if state.probe(&backend).await != Liveness::Unclear {
                     return;
                 }
@@ -132,7 +135,7 @@
         });
     }
 
-    /// Looks whether a server has ended.
+    /// Probes whether a server has ended.
     pub async fn probe(&self, backend: &Arc<Backend>) -> Liveness {
         let now = clock::steady();
         let is_well = |other: &Backend| !other.server.is_ill(now) && !self.reach.has_failed(other);
@@ -144,7 +147,7 @@
         liveness
     }
 
-    /// Some of the servers that are so, so many at most.
+    /// A random sample of at most `max` servers for which `matches` is true.
     fn sample_servers(&self, max: usize, matches: impl Fn(&Backend) -> bool) -> Vec<Arc<Backend>> {
         let snapshot = self.snapshot.load();
         let backends = snapshot.pools.values().flat_map(|pool| &pool.backends);
--- a/crates/gateway/src/recall.rs
+++ b/crates/gateway/src/recall.rs
@@ -1,8 +1,8 @@
-//! Takes requests back that were passed on to another host, and asks after them.
+//! Recalls requests that were passed on to another host, and asks for their status.
 //!
-//! A host that leaves another one closes its connection. Where that has fallen silent the other one never
-//! learns of it and works on: the request runs on two servers at once, or for a caller who is gone. So it
-//! is notified on a new connection.
+//! A host that gives up on another one closes its connection. If the connection has fallen silent,
+//! the other host does not notice and works on: the request runs on two servers at once, or for a
+//! caller who has gone. So the other host is told on a new connection.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,19 +22,20 @@
 use crate::backend::Backend;
 use crate::forward;
 
-/// Longest wait for a connection to the other host, and for its answer.
+/// The timeout of a connection to the other host, and of its answer.
 const TIMEOUT: Duration = Duration::from_millis(250);
-/// Before the first question after a request, and between two while it may be over.
+/// The time before the first status query, and between two queries while the request may be over.
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest time between two questions; it doubles while the request is under way.
+/// The longest time between two status queries. The interval doubles while the request is in
+/// flight.
 const QUERY_INTERVAL_MAX: Duration = Duration::from_secs(2);
-/// Answers in a row that the other host has sent more than has come, from which on that is lost: it may
-/// still be on its way when the first question is answered.
+/// After this many consecutive reports that the other host has sent more than was received, the
+/// rest counts as lost. When the first report comes, the data may still be on its way.
 const LOST_ANSWERS_MIN: u32 = 2;
-/// Recalls that are remembered: one may overtake its request.
+/// How many recalls are remembered. A recall may overtake its request.
 const RECALLS_MAX: usize = 256;
 
-/// Requests of other hosts that are under way here.
+/// The requests of other hosts that are in flight here.
 #[derive(Default)]
 pub struct Registry(Mutex<Requests>);
 
@@ -44,7 +45,7 @@
     recalled: VecDeque<u64>,
 }
 
-/// Another host's request, under way until dropped.
+/// A request of another host, registered as in flight until dropped.
 pub struct Registration {
     registry: Arc<Registry>,
     number: u64,
@@ -58,29 +59,29 @@
     last_event: AtomicU64,
 }
 
-/// Whether a request is under way at another host.
+/// The status of a request at another host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Status {
-    /// Not under way there: it was answered, or never came.
+    /// The request is not in flight there: it was answered, or never arrived.
     Over,
-    /// Under way.
+    /// The request is in flight.
     UnderWay {
-        /// The last event of its stream that was passed on.
+        /// The last event of the request's stream that was passed on.
         last_event: Option<u64>,
     },
 }
 
-/// What another host wants to know or to have done.
+/// What a host asks of another one about a request that it passed on, by the request's number.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Message {
-    /// The request is to end.
+    /// End the request.
     Recall(u64),
-    /// Whether the request is under way.
+    /// Report the status of the request.
     Query(u64),
 }
 
 impl Registry {
-    /// A request comes in.
+    /// Registers a request that has arrived. If it was recalled before, it is cancelled at once.
     #[must_use]
     pub fn register(self: &Arc<Self>, number: u64) -> Registration {
         let entry = Arc::<Entry>::default();
@@ -93,7 +94,7 @@
         Registration { registry: Arc::clone(self), number, entry }
     }
 
-    /// Whether the request that is asked after is under way; one that is recalled ends.
+    /// Carries out a message, and returns the status of its request.
     pub fn handle(&self, message: Message) -> Status {
         let mut requests = self.lock();
         let number = match message {
@@ -120,13 +121,13 @@
 }
 
 impl Registration {
-    /// Cancelled when its host takes it back.
+    /// A token that is cancelled when the request's host recalls it.
     #[must_use]
     pub fn recalled(&self) -> CancellationToken {
         self.entry.recalled.clone()
     }
 
-    /// Its stream was passed on up to this event.
+    /// Records the last event of the request's stream that was passed on.
     pub fn record_passed_on(&self, last_event: u64) {
         self.entry.last_event.store(last_event, Ordering::Relaxed);
     }
@@ -139,7 +140,7 @@
 }
 
 impl Message {
-    /// The question that came in place of a request, if it is one.
+    /// The message in a request's headers; `None` if it is an ordinary request.
     #[must_use]
     pub fn parse(headers: &HeaderMap) -> Option<Self> {
         let number = |name| headers.get(name)?.to_str().ok()?.parse().ok();
@@ -153,7 +154,8 @@
         }
     }
 
-    /// Asks a host whether the request is under way there; none if that is not known.
+    /// Sends the message to a host, and returns the status of the request there; `None` if it is
+    /// not known.
     async fn send(self, host: &Backend) -> Option<Status> {
         let mut connection = Connection::open(host.server.address, TIMEOUT).await.ok()?;
         let mut request = Request::new(Full::new(Bytes::new()));
@@ -167,13 +169,13 @@
                 Some(Status::UnderWay { last_event })
             }
             StatusCode::NO_CONTENT => Some(Status::Over),
-            // One that doesn't know such questions.
+            // A host that doesn't know such messages.
             _ => None,
         }
     }
 }
 
-/// The answer to a question.
+/// The response that reports a status.
 #[must_use]
 pub fn response(status: Status) -> Response<Answer> {
     let mut response = Response::new(Answer::whole(Bytes::new()));
@@ -187,7 +189,8 @@
     response
 }
 
-/// A request at another host; dropped before its answer was read whole it is taken back.
+/// A request that was passed on to another host. Dropped before its answer was read whole, it is
+/// recalled.
 pub struct Forwarding {
     host: Arc<Backend>,
     request: Name,
@@ -196,28 +199,28 @@
 }
 
 impl Forwarding {
-    /// One that is sent to a host now, with a number that no other has.
+    /// A request that is sent to a host now, with a new random number.
     #[must_use]
     pub fn new(host: &Arc<Backend>, request: &Name) -> Self {
         let (host, request) = (Arc::clone(host), request.clone());
         Self { host, request, number: rand::random(), is_complete: false }
     }
 
-    /// See [`wire::forward::NUMBER`].
+    /// The number of the request in messages between hosts, see [`wire::forward::NUMBER`].
     #[must_use]
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Its answer was read whole.
+    /// Records that the answer was read whole, so that the request is not recalled.
     pub fn complete(&mut self) {
         self.is_complete = true;
     }
 
-    /// Waits until the other host has sent more than has come, which is up to an event of a stream or nothing
-    /// yet: the connection is silent.
+    /// Waits until the other host has sent more than was received, which means that the connection
+    /// has lost data. `last_event` is the last event received; `None` before the first one.
     ///
-    /// A host that can't be asked may still be at it.
+    /// A host that does not answer the query may still be working on the request.
     pub async fn wait_until_lost(&self, last_event: Option<u64>) {
         let (mut ahead, mut pause) = (0, QUERY_INTERVAL);
         while ahead < LOST_ANSWERS_MIN {
@@ -240,7 +243,7 @@
         }
         let (host, request) = (Arc::clone(&self.host), self.request.clone());
         let number = self.number;
-        // None outside of a runtime: then the process ends, and its connections with it.
+        // Without a runtime the process is ending, and its connections end with it.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
                 let status = Message::Recall(number).send(&host).await;
--- a/crates/gateway/src/refuse.rs
+++ b/crates/gateway/src/refuse.rs
@@ -7,49 +7,55 @@
 
 use crate::codec::Codec;
 
-/// While no backend server can be reached; they are asked again about as often.
+/// When a caller may come back if no backend server can be reached. Unreachable servers are probed
+/// about as often.
 const NO_BACKEND_RETRY_MS: u64 = 250;
-/// While all backend servers of a service stand in evacuated failure domains: operators take orders
-/// back after seconds at the least.
+/// The least time after which a caller may come back if all backend servers of a service are in
+/// evacuated failure domains. Operators lift an evacuation after seconds at the earliest.
 const EVACUATED_RETRY_MS: f64 = 1_000.0;
-/// While all backend servers of a service leave: those that come in their place take about as long to
-/// start and to be listed.
+/// The least time after which a caller may come back if all backend servers of a service are
+/// leaving. Their replacements take about as long to start and to be listed.
 const LEAVING_RETRY_MS: f64 = 1_000.0;
-/// Before there is a table of routes.
+/// When a caller may come back if this host has no routing table yet.
 const NOT_READY_RETRY_MS: u64 = 500;
-/// Requests a second of a service below which callers are asked to come back as if it took so many.
+/// The lowest rate that callers of a limited service are sent back by. Services with a lower limit
+/// count as if they had this one, which bounds the wait.
 const LIMITED_PER_SECOND_MIN: f64 = 0.2;
-/// Least time after which a caller of a full service comes back.
+/// The least time after which a caller of a full service may come back.
 const BUSY_RETRY_MS_MIN: f64 = 100.0;
 
-/// There is no table of routes yet.
+/// This host has no routing table yet.
 #[must_use]
 pub fn not_ready() -> Refusal {
     Refusal::not_run(Code::NotReady, "no configuration yet").retry_after(NOT_READY_RETRY_MS)
 }
 
-/// No route has the host and path.
+/// No route matches the host name and path.
 #[must_use]
 pub fn no_route() -> Refusal {
     Refusal::not_run(Code::NotFound, "no route for this host and path")
 }
 
-/// The key belongs to no account.
+/// The key belongs to no client account.
 #[must_use]
 pub fn unknown_key() -> Refusal {
     Refusal::not_run(Code::UnknownAccount, "the key belongs to no client account")
 }
 
-/// Every backend server tried was full. `service_ms` is how long one request takes, `draw` a
-/// uniform draw that keeps callers refused together from coming back together.
+/// Every backend server that was tried is full.
+///
+/// `service_ms` is how long one request takes. `draw` is uniform in 0 to 1 and keeps callers that
+/// were refused together from coming back together.
 #[must_use]
 pub fn busy(service_ms: f64, draw: f64) -> Refusal {
     let ms = service_ms.max(BUSY_RETRY_MS_MIN) * (1.0 + draw);
     Refusal::not_run(Code::Overloaded, "every backend server is full").retry_after(ms as u64)
 }
 
-/// Every backend server that could be sent to takes only so many requests a second, `per_second` in
-/// all; `draw` as above.
+/// Every backend server that could be used has reached its limit.
+///
+/// `per_second` is the sum of their limits. `draw` is uniform in 0 to 1 and keeps callers that were
+/// refused together from coming back together.
 #[must_use]
 pub fn limited(per_second: f64, draw: f64) -> Refusal {
     let ms =
@@ -58,9 +64,11 @@
         .retry_after(ms as u64)
 }
 
-/// Every backend server that could be sent to wants a pause from this host, the first for so many
-/// milliseconds; `draw` as above. Callers return over a quarter of that more, so that they don't all
-/// come in the moment in which it ends.
+/// Every backend server that could be used wants a pause from this host.
+///
+/// `ms` is the time until the first pause ends. `draw` is uniform in 0 to 1: callers come back
+/// spread over a further quarter of the pause, so that they don't all arrive at the moment in which
+/// it ends.
 #[must_use]
 pub fn paused(ms: u64, draw: f64) -> Refusal {
     let spread = draw * (ms as f64 / 4.0).max(BUSY_RETRY_MS_MIN);
@@ -68,14 +76,17 @@
         .retry_after(ms + spread as u64)
 }
 
-/// No backend server could be reached.
+/// No backend server can be reached.
 #[must_use]
 pub fn no_backend() -> Refusal {
     Refusal::not_run(Code::NoBackend, "no backend server can be reached")
         .retry_after(NO_BACKEND_RETRY_MS)
 }
 
-/// All backend servers stand in evacuated failure domains; `draw` as above.
+/// All backend servers of the service are in evacuated failure domains.
+///
+/// `draw` is uniform in 0 to 1 and keeps callers that were refused together from coming back
+/// together.
 #[must_use]
 pub fn evacuated(draw: f64) -> Refusal {
     let ms = EVACUATED_RETRY_MS * (1.0 + draw);
@@ -83,20 +94,23 @@
         .retry_after(ms as u64)
 }
 
-/// All backend servers leave; `draw` as above.
+/// All backend servers of the service are leaving.
+///
+/// `draw` is uniform in 0 to 1 and keeps callers that were refused together from coming back
+/// together.
 #[must_use]
 pub fn leaving(draw: f64) -> Refusal {
     let ms = LEAVING_RETRY_MS * (1.0 + draw);
     Refusal::not_run(Code::NoBackend, "all backend servers leave").retry_after(ms as u64)
 }
 
-/// The host that passed the request on has taken it back.
+/// The host that passed the request on has recalled it.
 #[must_use]
 pub fn recalled() -> Refusal {
     Refusal::may_have_run(Code::BackendFailed, "taken back by the host that passed it on")
 }
 
-/// The response that tells a caller.
+/// The response with which a caller receives a refusal of the request `id`.
 #[must_use]
 pub fn response<C: Codec>(codec: &C, id: &Name, mut refusal: Refusal) -> Response<Answer> {
     refusal.request = Some(id.clone());
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passes a stream on to its caller as it comes, and goes on with it elsewhere if it breaks.
+//! Relays a stream to its caller as it comes, and resumes it at another backend server if it
+//! breaks.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -28,37 +29,39 @@
 use crate::recall::Forwarding;
 use crate::resume::Obstacle;
 
-/// Pieces on their way to a caller that reads slowly; then the backend server waits as well.
+/// Pieces queued for a caller that reads slowly. When the queue is full, the backend server has to
+/// wait as well.
 const PIECES_AHEAD_MAX: usize = 16;
 
 type Pieces = mpsc::Sender<Result<Bytes, Broken>>;
 
-/// A stream that is coming.
+/// A stream that a backend server is sending.
 pub struct LiveStream {
     body: Incoming,
     splitter: EventSplitter,
-    /// What came before the first event.
+    /// Comments that came before the first event.
     comments: BytesMut,
-    /// Events that have come and are not yet passed on.
+    /// Events that were received and not yet passed on.
     unsent_events: Bytes,
     is_ended: bool,
-    /// Its end can be distinguished from a connection that is lost.
+    /// Whether the stream's end can be told from a lost connection.
     is_framed: bool,
     backend: Arc<Backend>,
     sent_at: Instant,
     progress: RelayProgress,
-    /// How soon its events follow one another, and when the last ones came.
+    /// The pace of the events. `last_events_at` is when the last ones came.
     pace: Pace,
     last_events_at: Option<Instant>,
-    /// Since when no event has come. Bytes that make none are as good as silence: a server in trouble may send them
-    /// without end.
+    /// When an event last came. Bytes without events count as silence: a server in trouble may send
+    /// them without end.
     quiet_since: Instant,
-    /// As it was counted for a roll-out.
+    /// How the stream was counted for a roll-out, if it was.
     counted: Option<CountedAnswer>,
-    // Dropped with the stream: closes the connection, which stops the backend server's work.
+    // Dropping the connection closes it, which stops the backend server's work.
     _connection: Connection,
     _lease: Lease,
-    /// The other host that it comes by, if it does: recalled from there when dropped too soon.
+    /// The request at the other host that the stream comes through, if any. Dropped before the
+    /// stream is complete, it recalls the request.
     forwarding: Option<Forwarding>,
 }
 
@@ -68,11 +71,11 @@
 }
 
 impl LiveStream {
-    /// Reads up to the first whole event. Until then the caller has got nothing, and the request
-    /// can still be answered otherwise.
+    /// Reads up to the first whole event. Until then the caller has received nothing, and the
+    /// request can still be answered by another server.
     ///
     /// # Errors
-    /// The stream broke before; the connection is closed by then.
+    /// The stream broke before its first event. The connection is closed by then.
     pub async fn begin<C: Codec>(
         job: &Job<C>,
         reply: Reply,
@@ -100,14 +103,14 @@
         };
         match live.next(job).await.map_err(Failure::Lost)? {
             Piece::Events(events) => live.unsent_events = events,
-            // A run that goes on behind the last event has nothing more to say.
+            // A stream that is resumed after its last event has no more events.
             Piece::End if last.is_some() => live.is_ended = true,
             Piece::End => return Err(Failure::Lost(Cause::Truncated)),
         }
         Ok(live)
     }
 
-    /// Whole events, or the end.
+    /// Receives the next whole events, or the end of the stream.
     async fn next<C: Codec>(&mut self, job: &Job<C>) -> Result<Piece, Cause> {
         loop {
             let framed = self.next_data(job).await;
@@ -123,7 +126,8 @@
             };
             let (events, count) = self.splitter.feed(&data).map_err(|_| Cause::Broken)?;
             if count == 0 && self.progress.events == 0 {
-                // Passed on, comments alone would make an answer that can't be had from another server any more.
+                // If comments alone were passed on, the answer would have begun, and no other
+                // server could answer any more.
                 self.comments.extend_from_slice(&events);
                 continue;
             }
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Events, with the comments that came before the first of them.
+    /// Puts the comments that came before the first event in front of it.
     fn prepend_comments(&mut self, events: Bytes) -> Bytes {
         if self.comments.is_empty() {
             return events;
@@ -150,7 +154,7 @@
         all.freeze()
     }
 
-    /// Events have come; counts the stream for a roll-out once its pace is known.
+    /// Records that events have come. Counts the stream for a roll-out once its pace is known.
     fn record_pace<C: Codec>(&mut self, job: &Job<C>, events: u32) {
         let now = Instant::now();
         let Some(before) = self.last_events_at.replace(now) else { return };
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Events have been passed on.
+    /// Records that events have been passed on.
     fn record_passed_on<C: Codec>(&mut self, job: &Job<C>) {
         self.progress.record_piece(Instant::now());
         if let (Some(registered), Some(last)) = (&job.registration, self.splitter.last_id()) {
@@ -168,17 +172,17 @@
         }
     }
 
-    /// No more events come; its engine is judged by all that have.
+    /// Judges the engine by the stream's pace. Called when no more events come.
     fn record_engine_speed<C: Codec>(&self, job: &Job<C>) {
         if let Some(pace_ms) = self.pace.best_ms() {
             job.record_engine_speed(&self.backend, pace_ms);
         }
     }
 
-    /// The next bytes, none at a clean end.
+    /// The next bytes; `None` at a clean end.
     ///
-    /// A silent stream is given up only for another run of it. Where there is none to be had, its
-    /// backend server's answer is the only one that can still come.
+    /// A silent stream is given up only if it can be resumed elsewhere. Otherwise only this backend
+    /// server can still complete the answer.
     async fn next_data<C: Codec>(&mut self, job: &Job<C>) -> Result<Option<Bytes>, Cause> {
         let route = job.route();
         let useful_ms = route.gap_ms.unwrap_or(route.objective_ms) as f64;
@@ -215,7 +219,8 @@
     }
 }
 
-/// Waits until what comes by another host is lost on its way; for ever if it doesn't.
+/// Waits until what comes through another host is lost on its way; for ever for a stream without
+/// such a host.
 async fn wait_until_lost(forwarding: Option<&Forwarding>, last_event: Option<u64>) {
     match forwarding {
         Some(forwarding) => forwarding.wait_until_lost(last_event).await,
@@ -223,7 +228,7 @@
     }
 }
 
-/// Starts a relay; the answer is what the caller reads from it.
+/// Starts a relay, and returns the answer from which the caller reads.
 #[must_use]
 pub fn start<C: Codec>(job: Job<C>, live: Box<LiveStream>) -> Answer {
     let (pieces, answer) = mpsc::channel(PIECES_AHEAD_MAX);
@@ -232,8 +237,8 @@
     Answer::Pieces(answer)
 }
 
-/// Waits until nobody wants the answer any more: its caller has left, or the host that passed the request
-/// on has taken it back.
+/// Waits until the answer is no longer wanted: its caller has closed the connection, or the host
+/// that passed the request on has recalled it.
 async fn wait_until_unwanted(pieces: &Pieces, recalled: &CancellationToken) {
     tokio::select! {
         () = pieces.closed() => {}
@@ -243,18 +248,18 @@
 
 async fn run<C: Codec>(job: Job<C>, live: Box<LiveStream>, pieces: Pieces) {
     if !pass_all(job, live, &pieces).await {
-        // The caller learns of it by a connection that closes before the stream's end.
+        // The caller sees that the connection closes before the stream's end.
         let _ = pieces.send(Err(Broken)).await;
     }
 }
 
-/// Passes all of a stream on; whether it came to its end.
+/// Relays a whole stream, and returns whether it came to its end.
 async fn pass_all<C: Codec>(mut job: Job<C>, live: Box<LiveStream>, pieces: &Pieces) -> bool {
     let mut live = live;
     let recalled = job.recalled();
     loop {
         let end = tokio::select! {
-            // Also while nothing comes: the caller's leaving must stop the work at once.
+            // Also watched while no events come: a caller that leaves must stop the work at once.
             () = wait_until_unwanted(pieces, &recalled) => Err(End::CallerGone),
             end = pass_on(&mut live, &job, pieces) => end,
         };
@@ -277,7 +282,7 @@
         job.blame(&backend, Failure::Lost(cause));
         let last = live.splitter.last_id();
         let progress = live.progress;
-        // Closes the old run's connection before another run begins.
+        // Closes the connection of the broken run before another run begins.
         drop(live);
         let resumed = match last {
             Some(last) => tokio::select! {
@@ -292,12 +297,12 @@
         match resumed {
             Ok(next) => {
                 live = Box::new(next);
-                // A pause that another run ends is a pause for the caller.
+                // The caller experiences one pause, even if another run ends it.
                 let RelayProgress { pause_ms, last_at, .. } = progress;
                 live.progress = RelayProgress { pause_ms, last_at, ..live.progress };
             }
             Err(obstacle) => {
-                // The host that passed it on decides what follows.
+                // The host that passed the request on decides what follows.
                 if job.origin == Origin::Caller {
                     end::log_stranded(&job, obstacle);
                 }
--- a/crates/gateway/src/resume.rs
+++ b/crates/gateway/src/resume.rs
@@ -1,4 +1,4 @@
-//! A stream that goes on at another backend server, in the answer that its caller has begun to read.
+//! Resumes a stream at another backend server, in the answer that its caller has begun to read.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,36 +14,36 @@
 use crate::job::Job;
 use crate::relay::LiveStream;
 
-/// Longest pause of all servers that a stream waits out. Callers leave a stream after two seconds without
-/// an event, at the earliest.
+/// The longest pause of all servers that a stream waits out. Callers leave a stream after two
+/// seconds without an event at the earliest.
 const PAUSE_WAIT_MAX: Duration = Duration::from_millis(1_500);
-/// A pause that has just ended is over within this time.
+/// The least wait, for a pause that is just ending.
 const PAUSE_WAIT_MIN: Duration = Duration::from_millis(10);
 
-/// What stands against another try of a request.
+/// What stands against another attempt of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Obstacle {
-    /// Its time is over.
+    /// The deadline has passed.
     Late,
-    /// It may have run, and its kind may not run again.
+    /// The request may have run, and requests of its kind may not run again.
     Kind,
-    /// It was sent to as many backend servers as its route allows.
+    /// The request has been sent to as many backend servers as its route allows.
     Attempts,
-    /// Too many connections did not open in time.
+    /// Too many connections failed without an answer.
     Connections,
     /// The host has no repeat left.
     Repeats,
-    /// No backend server is known that takes it.
+    /// No known backend server takes the request.
     NoServer,
-    /// It is held, since servers ended under it.
+    /// The request is quarantined, because servers crashed under it.
     Held,
 }
 
 impl<C: Codec> Job<C> {
-    /// Goes on with a stream that broke, behind the last event that the caller has.
+    /// Resumes a broken stream after the last event that the caller has.
     ///
     /// # Errors
-    /// Why no other backend server has taken it up.
+    /// Why the stream was not resumed at another backend server.
     pub async fn resume(&mut self, last: u64) -> Result<LiveStream, Obstacle> {
         self.claim_attempt()?;
         loop {
@@ -52,15 +52,15 @@
             let obstacle = resumption.obstacle;
             match resumed {
                 Ok(live) => return Ok(live),
-                // What is paid for is still to be made.
+                // The repeat that was taken has not been used yet.
                 Err(_) if obstacle == Obstacle::NoServer && self.wait_out_pause().await => {}
                 Err(_) => return Err(obstacle),
             }
         }
     }
 
-    /// Waits until the first server takes requests again, if all want a pause and that is soon: a caller
-    /// that has the beginning of a stream can't come back for the rest.
+    /// If all servers want a pause that ends soon, waits until the first of them takes requests
+    /// again. A caller that has the beginning of a stream can't come back for the rest.
     async fn wait_out_pause(&self) -> bool {
         let is_untried = |backend: &Backend| !self.attempts.excluded.contains(&backend.id);
         let pause = self.paused_ms(is_untried).map(Duration::from_millis);
@@ -73,12 +73,12 @@
     }
 }
 
-/// A stream that goes on elsewhere, in the answer that its caller has begun to read.
+/// The resumption of a broken stream, as a request that is carried to a new run.
 struct Resumption<'a, C> {
     job: &'a mut Job<C>,
     /// The last event that the caller has.
     last: u64,
-    /// What stands against another try, if none is made.
+    /// What stands against another attempt, if none is made.
     obstacle: Obstacle,
 }
 
@@ -128,7 +128,7 @@
         leave.is_ok()
     }
 
-    /// The caller learns of it by a connection that closes before the stream's end.
+    /// The caller sees that the connection closes before the stream's end.
     fn give_up(&mut self) -> Result<LiveStream, Refusal> {
         Err(Refusal::may_have_run(Code::BackendFailed, "the stream broke off"))
     }
--- a/crates/gateway/src/shed.rs
+++ b/crates/gateway/src/shed.rs
@@ -1,4 +1,4 @@
-//! Closes new connections unread while this host can't keep up, or has no room for more; see
+//! Closes new connections unread while this host is overloaded or has no room for more. See
 //! [`policy::overload`].
 
 use std::sync::Arc;
@@ -11,24 +11,25 @@
 
 use crate::state::State;
 
-/// One connection is taken after so long in any case, in milliseconds: callers that meet a host which says
-/// that it is ready, and closes each of them, would not find out that it is well again.
+/// While connections are closed, one is accepted if none was for this long. Callers that meet a
+/// host which reports ready and closes each of their connections could not find out that it has
+/// recovered.
 const ACCEPT_INTERVAL_MS: u64 = 250;
 
-/// What new connections are taken by.
+/// Decides which new connections are accepted.
 #[derive(Debug)]
 pub struct Shedder {
     /// Connections that are open.
     pub connections: TaskTracker,
     connections_max: usize,
-    /// The bits of the part that is closed.
+    /// The fraction of new connections that is closed, as the bits of an `f64`.
     closed_share_bits: AtomicU64,
-    /// When one was last taken while some are closed, in milliseconds.
+    /// When a connection was last accepted while others are closed, in milliseconds.
     accepted_at: AtomicU64,
 }
 
 impl Shedder {
-    /// With so many connections at most.
+    /// A shedder for a host that may have up to `connections_max` connections open.
     #[must_use]
     pub fn new(connections_max: usize) -> Self {
         Self {
@@ -39,13 +40,13 @@
         }
     }
 
-    /// Whether there is no room for one more; then the host is not ready for new ones.
+    /// Whether the host has as many connections as it may have. It does not report ready then.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.connections.len() >= self.connections_max
     }
 
-    /// Whether a new connection is taken.
+    /// Whether a new connection is accepted.
     #[must_use]
     pub fn accepts(&self, now: Millis) -> bool {
         let closed = f64::from_bits(self.closed_share_bits.load(Ordering::Relaxed));
@@ -63,7 +64,10 @@
 }
 
 impl<C> State<C> {
-    /// Follows how late this process comes to what is due, until the process ends.
+    /// Measures how late this process runs what is due, and adjusts the fraction of connections
+    /// that is closed. Runs until the process ends.
+    ///
+    /// `standing_ms` is the delay from which on work comes in faster than it is done.
     pub async fn follow_delay(self: Arc<Self>, standing_ms: f64) {
         let mut overload = Overload::new(standing_ms);
         loop {
--- a/crates/gateway/src/snapshot.rs
+++ b/crates/gateway/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! What requests are decided by at one moment; replaced whole, never changed.
+//! What requests are decided by at one moment: the routing table and the backend servers. A
+//! snapshot is replaced as a whole and never changed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,16 +9,17 @@
 use crate::index::Index;
 use crate::pool::Pool;
 
-/// One state of the world.
+/// The routing table and backend servers at one moment.
 #[derive(Default)]
 pub struct RoutingSnapshot {
-    /// The table of routes in force; version 0 before there is one.
+    /// The routing table in force; its version is 0 until there is a table.
     pub index: Arc<Index>,
     /// Backend servers by service.
     pub pools: HashMap<Name, Arc<Pool>>,
-    /// Revision of the list of backend servers.
+    /// The store revision of the list of backend servers.
     pub revision: u64,
-    /// Everything that requests need has been read once. It stands here, and not beside what was
-    /// read: a host that was ready before its requests saw that would refuse them.
+    /// Whether everything that requests need has been read once. The flag is part of the snapshot
+    /// because a host that reported ready before its requests saw the data would refuse those
+    /// requests.
     pub is_complete: bool,
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What all requests share.
+//! The state that all requests of a host share.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -16,7 +16,6 @@
 use tokio_util::task::TaskTracker;
 
 use crate::backend::{Prefill, RestrictionNotice};
-use crate::buffers::BufferBudget;
 use crate::detour_hosts::DetourHosts;
 use crate::evidence::Tally;
 use crate::paces::Paces;
@@ -26,28 +25,31 @@
 use crate::shed::Shedder;
 use crate::snapshot::RoutingSnapshot;
 use crate::timing::Timing;
+use crate::volume::BufferBudget;
 
-/// What requests have for the other hosts.
+/// Queues of messages for the other hosts. The host's exchange with its peers empties them.
 pub struct Outbox {
-    /// Long prompts that were just sent, for the failure domain.
+    /// Long prompts that this host has just sent, announced to the hosts of its failure domain.
     pub prefills: mpsc::Sender<Prefill>,
-    /// What backend servers say of how much they take, for the failure domain.
+    /// Limits and departures that backend servers state, announced to the hosts of this failure
+    /// domain.
     pub restrictions: mpsc::Sender<RestrictionNotice>,
-    /// Requests that one host of all may try.
+    /// Requests that may crash servers and that only one host of all may try.
     pub trials: mpsc::Sender<TrialMessage>,
 }
 
-/// Hosts of one failure domain, each as a hash of its name.
+/// The hosts of one failure domain, each as a hash of its name.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Peers {
-    /// This host.
+    /// The hash of this host's name.
     pub own: u64,
-    /// The others that live.
+    /// The hashes of the other hosts' names, of those that are alive.
     pub others: Vec<u64>,
 }
 
 impl Peers {
-    /// Hosts whose turn at a backend server comes before this one's.
+    /// The number of hosts that come before this one in the order of hosts for a backend server.
+    /// The order differs from server to server.
     #[must_use]
     pub fn count_before(&self, backend: u64) -> usize {
         let turn = |host: &u64| mix(*host ^ backend);
@@ -56,58 +58,61 @@
     }
 }
 
-/// Shared by every request.
+/// The state that all requests of a host share.
 pub struct State<C> {
-    /// How the wire spells what requests say.
+    /// Reads and writes the names that requests and answers use on the wire.
     pub codec: C,
-    /// What requests are decided by.
+    /// The routing table and backend servers that requests are decided by.
     pub snapshot: ArcSwap<RoutingSnapshot>,
-    /// How often requests may be sent again.
+    /// How often this host may send requests again.
     pub allowance: ArcSwap<Allowance>,
-    /// What was sent again lately, by service.
+    /// The requests and repeats of the last seconds, by service.
     pub windows: Sharded<Window>,
-    /// Times of answers, by route and model.
+    /// Answer times, by route and model.
     pub timings: Sharded<Timing>,
-    /// How fast engines read prompts, by model, or by service where the caller chooses the model.
+    /// How fast engines read prompts: by model, or by service where the caller chooses the model.
     pub speeds: Sharded<Speed>,
-    /// How fast engines' streams were, for the other hosts.
+    /// The pace of the streams of engines, not yet announced to the other hosts.
     pub paces: Paces,
-    /// How much more confidence models have than the smallest of a route, by model.
+    /// How much more confidence a model has in its answers than the smallest model of its route, by
+    /// model.
     pub gains: Sharded<Gain>,
-    /// How long callers wait for streams to begin lately, as parts of their objectives, by service.
+    /// How long callers have lately waited for streams to begin, as a fraction of the objective, by
+    /// service.
     pub delays: Sharded<Patience>,
-    /// Rejected requests that servers tolerate which fall over beyond that, by service.
+    /// The rate of rejected requests that servers tolerate before they crash, by service. Services
+    /// whose servers tolerate any rate have none.
     pub tolerances: Sharded<Tolerance>,
-    /// How versions under roll-out answer.
+    /// Counts of the answers of versions under roll-out.
     pub tally: Tally,
-    /// Streams on their way to callers.
+    /// Streams that are being relayed to callers.
     pub relays: TaskTracker,
-    /// Requests under way.
+    /// Requests in flight on this host, including those of other hosts.
     pub in_flight: AtomicUsize,
-    /// What the other hosts are to hear.
+    /// Messages for the other hosts.
     pub outbox: Outbox,
     /// Whether this host reaches any backend server.
     pub reach: Arc<Reachability>,
-    /// Other hosts that requests go by when it reaches none.
+    /// Other hosts that requests go through while this host reaches no backend server.
     pub detour_hosts: DetourHosts,
-    /// Requests of other hosts that are under way here.
+    /// Requests in flight here that other hosts have passed on.
     pub registry: Arc<Registry>,
-    /// The other hosts of the failure domain; none until it is known who is there.
+    /// The hosts of this failure domain; `None` until they are known.
     pub peers: ArcSwap<Option<Peers>>,
-    /// Requests that were lost with their servers.
+    /// Requests that crashed the servers that ran them, and those suspected of it.
     pub poison: Arc<Guard>,
-    /// Which new connections are taken.
+    /// Decides which new connections are accepted.
     pub shed: Shedder,
-    /// Bytes of answers that are read whole.
+    /// The memory for answers that are read whole.
     pub buffers: BufferBudget,
-    /// Cancelled when the store has been read for the first time, or could not be.
+    /// Cancelled when the store has been read for the first time, or when reading it has failed.
     pub started: CancellationToken,
-    /// Cancelled when the process is to take no new connections.
+    /// Cancelled when the process stops accepting new connections.
     pub stop: CancellationToken,
 }
 
 impl<C> State<C> {
-    /// At the start of the process.
+    /// The state at the start of the process.
     #[must_use]
     pub fn new(codec: C, allowance: Allowance, outbox: Outbox, stop: CancellationToken) -> Self {
         let poison = Arc::new(Guard::new(outbox.trials.clone()));
--- a/crates/gateway/src/timing.rs
+++ b/crates/gateway/src/timing.rs
@@ -1,19 +1,20 @@
-//! Times of answers, by route and model, as requests and roll-outs are judged by.
+//! Answer times by route and model. Requests and roll-outs are judged by them.
 
 use policy::patience::Patience;
 use policy::slowdown::Usual;
 
-/// Times of one route's answers by one model.
+/// The answer times of one route and model.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Timing {
-    /// From sending a request to the beginning of its answer.
+    /// Time from sending a request to the beginning of its answer.
     pub first: Patience,
-    /// From sending a request to the end of its answer.
+    /// Time from sending a request to the end of its answer.
     pub whole: Patience,
-    /// The same for each event of a stream too short to have a pace, or for a whole plain answer.
+    /// Time per event of a stream that is too short to have a pace, or of a whole plain answer.
     pub short: Patience,
-    /// Between two events of a stream, as `policy::pace` sees it.
+    /// Time between two events of a stream, as [`policy::pace`] measures it.
     pub pace: Patience,
-    /// The same at its best, by which engines' speeds are compared.
+    /// The usual best pace of a stream: its shortest gap between two events. The speeds of engines
+    /// are compared by it.
     pub best: Usual,
 }
--- a/crates/gateway/src/unavailable.rs
+++ b/crates/gateway/src/unavailable.rs
@@ -1,4 +1,4 @@
-//! Why no backend server takes a request, and what its caller gets.
+//! Why no backend server takes a request, and the refusal that its caller receives.
 
 use std::sync::Arc;
 
@@ -12,8 +12,8 @@
 use crate::refuse;
 
 impl<C: Codec> Job<C> {
-    /// The refusal of a request that no backend server has answered; one that says "not run" only if none
-    /// can have run it.
+    /// The refusal of a request that no backend server has answered. It says "not run" only if no
+    /// server can have run the request.
     #[must_use]
     pub fn refusal(&self) -> Refusal {
         let late = self.time_left().is_zero();
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Whether servers that work are left alone, since they tolerate only so many rejected requests.
+    /// Whether servers that take work were spared, because they tolerate only a limited rate of
+    /// rejected requests.
     fn is_spared(&self) -> bool {
         let snapshot = self.state.snapshot.load();
         let Some(pool) = snapshot.pools.get(&self.service) else { return false };
@@ -44,7 +45,8 @@
         self.tolerance().is_some() && pool.backends.iter().any(takes_work)
     }
 
-    /// Requests a second that the service's servers take in all, if limits keep this one from them.
+    /// The sum of the limits of the service's servers in requests a second, if limits keep this
+    /// request from them.
     fn limited(&self) -> Option<f64> {
         let snapshot = self.state.snapshot.load();
         let backends = &snapshot.pools.get(&self.service)?.backends;
@@ -56,15 +58,15 @@
         (rate > 0.0).then_some(rate)
     }
 
-    /// Whether all servers of the service stand in evacuated failure domains.
+    /// Whether all servers of the service are in evacuated failure domains.
     fn is_evacuated(&self) -> bool {
         let snapshot = self.state.snapshot.load();
         let pool = snapshot.pools.get(&self.service);
         pool.is_some_and(|pool| pool.backends.is_empty() && pool.evacuated > 0)
     }
 
-    /// How long all servers of the service that count still want nothing from this host, in milliseconds;
-    /// none if one of them takes requests, or if none can be reached.
+    /// The time in milliseconds until the first pause ends, if all servers that match `counts` want
+    /// a pause from this host. `None` if one of them takes requests, or if none can be reached.
     #[must_use]
     pub fn paused_ms(&self, counts: impl Fn(&Backend) -> bool) -> Option<u64> {
         let snapshot = self.state.snapshot.load();
@@ -78,7 +80,7 @@
         first_end.filter(|end| *end < Millis(u64::MAX)).map(|end| end.since(now))
     }
 
-    /// Whether all servers of the service leave.
+    /// Whether all servers of the service are leaving.
     fn is_leaving(&self) -> bool {
         let snapshot = self.state.snapshot.load();
         let pool = snapshot.pools.get(&self.service);
--- a/crates/gateway/src/buffers.rs
+++ b/crates/gateway/src/volume.rs
@@ -1,21 +1,22 @@
-//! Bytes of answers that are read whole before they are passed on, all together.
+//! Memory for answers that are read whole before they are passed on.
 //!
-//! A backend server in trouble may send a body without end. Each caller's alone is bounded, but a host in front of
-//! such a server has hundreds of them at once, and little memory.
+//! A backend server in trouble may send a body without end. The body of a single answer is bounded,
+//! but a host in front of such a server has hundreds of them at once, and little memory. So the sum
+//! is bounded as well.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Longest answer.
+/// The longest answer that is read whole.
 const ANSWER_BYTES_MAX: usize = 16 << 20;
-/// An answer up to this length is read whatever the others take.
+/// Answers up to this length are read even if the budget is used up.
 const SMALL_BYTES: usize = 64 << 10;
-/// Part of a host's memory that all of them may take.
+/// All answers together may use the host's memory divided by this number.
 const MEMORY_DIVISOR: u64 = 8;
-/// The same of a host that does not say how much it has, in bytes.
+/// The budget of a host whose memory is unknown.
 const DEFAULT_BYTES_MAX: u64 = 32 << 20;
 
-/// What all answers of a host take.
+/// The memory that all answers of a host use together.
 #[derive(Debug)]
 pub struct BufferBudget {
     held_bytes: Arc<AtomicUsize>,
@@ -23,7 +24,7 @@
 }
 
 impl BufferBudget {
-    /// Of a host with so much memory, in bytes, if that is known.
+    /// The budget of a host with `memory` bytes, if that is known.
     #[must_use]
     pub fn new(memory: Option<u64>) -> Self {
         let bytes_max = memory.map_or(DEFAULT_BYTES_MAX, |memory| memory / MEMORY_DIVISOR);
@@ -33,7 +34,7 @@
         }
     }
 
-    /// One answer's.
+    /// Begins the reservation of one answer, at 0 bytes.
     #[must_use]
     pub fn reserve(&self) -> Reservation {
         Reservation {
@@ -44,7 +45,7 @@
     }
 }
 
-/// What one answer takes; given back when dropped.
+/// The memory that one answer uses. It is returned to the budget on drop.
 #[derive(Debug)]
 pub struct Reservation {
     held_bytes: Arc<AtomicUsize>,
@@ -53,7 +54,8 @@
 }
 
 impl Reservation {
-    /// Takes more; whether it may. One that may not is given up by whoever reads it.
+    /// Adds bytes that were read, and tells whether the answer may be read further. If it may not,
+    /// the reader must give the answer up.
     #[must_use]
     pub fn grow(&mut self, bytes: usize) -> bool {
         self.own_bytes += bytes;
