--- a/crates/gateway/src/wait.rs
+++ b/crates/gateway/src/wait.rs
@@ -12,17 +12,18 @@
 use crate::codec::Codec;
 use crate::job::Job;
 
-/// Least wait for a plain answer before another backend server is tried.
+/// The least time that a plain answer is waited for before the request is sent to another backend
+/// server.
 const PLAIN_WAIT_MS_MIN: f64 = 60.0;
-/// Most of the time left that is waited before that.
+/// The longest wait before another backend server is tried, as a fraction of the time left.
 const PLAIN_WAIT_SHARE: f64 = 0.5;
-/// Mean wait, as a part of the objective, from which slow beginnings are the load's doing. To
-/// leave a busy engine then would only read the prompt twice.
+/// The mean wait for a stream's beginning, as a fraction of the objective, from which slow
+/// beginnings are due to load. Leaving a busy engine then would only read the prompt twice.
 pub const STREAM_BUSY_SHARE: f64 = 0.4;
 
 impl<C: Codec> Job<C> {
-    /// How long the head of an answer is still waited for before the backend server is left; none
-    /// if the time has come.
+    /// How much longer the request waits for the head of an answer before it leaves the backend
+    /// server; `None` if it should leave now. `since` is when the request was sent.
     pub async fn head_wait(&self, backend: &Backend, since: Instant) -> Option<Duration> {
         let route = self.route();
         if !route.kind.may_repeat() || self.attempts.sent + 1 >= self.attempts_max {
@@ -43,8 +44,10 @@
         backend.tolerated_silence(&bounds, silent, objective).await
     }
 
-    /// Whether a silent backend server is left: only if the request can be sent to another one.
-    /// The repeat is paid for then, so that the next try can't be refused for want of it.
+    /// Whether the request leaves a silent backend server. It does only if it can be sent to
+    /// another one.
+    ///
+    /// The repeat is taken here, so that the next attempt can't fail because no repeat is left.
     pub fn claim_leave(&self, backend: &Backend) -> bool {
         let snapshot = self.state.snapshot.load();
         let Some(pool) = snapshot.pools.get(&self.service) else { return false };
@@ -59,9 +62,9 @@
         let has_alternative = self.route().kind.may_repeat()
             && sent < self.attempts_max
             && (pool.servers(version).any(|other| is_other(&other))
-                || is_isolated && self.has_detour());
+                || is_isolated && self.has_host());
         let is_paid = has_alternative && self.take_repeat();
-        self.attempts.is_repeat_taken.fetch_or(is_paid, Ordering::Relaxed);
+        self.attempts.is_paid.fetch_or(is_paid, Ordering::Relaxed);
         is_paid
     }
 }
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams of events, cut anywhere.
+//! Streams of events that are cut into arbitrary pieces.
 
 use bytes::Bytes;
 use gateway::events::{EventSplitter, Fault};
@@ -51,7 +51,7 @@
     assert_eq!(splitter.feed(&piece), Err(Fault::TooLong));
 }
 
-/// Guards against a stream that brings bytes without end and never an event with a new number.
+/// Guards against a stream that sends bytes without end and never an event with a new number.
 #[test]
 fn feed_endless_events_without_a_number() {
     let mut splitter = EventSplitter::default();
@@ -67,8 +67,8 @@
     assert!((0..12).all(|_| splitter.feed(&piece).is_ok()));
 }
 
-/// However a stream is cut into pieces, and wherever it breaks and goes on from the last event
-/// passed on, with some that the caller has: each event comes once, whole and in order.
+/// However a stream is cut into pieces, and wherever it breaks and resumes with some events that
+/// the caller already has, each event comes once, whole and in order.
 #[test]
 fn feed_any_cut_any_resumption() {
     fuzz::check::<(Vec<u8>, u8, u8)>(2_000, |(cuts, breaks_at, repeats)| {
--- a/crates/gateway/tests/evidence.rs
+++ b/crates/gateway/tests/evidence.rs
@@ -4,10 +4,10 @@
 use policy::canary::{Count, Sign};
 use policy::name::Name;
 
-/// A version whose streams break late seemed to fail half as often as it did: each was counted as
-/// good by its first events, and again when it broke.
+/// Guards against a version whose streams break late and that seems to fail half as often as it
+/// does: each stream was counted as good by its first events, and again when it broke.
 #[test]
-fn forget_stream_that_breaks_late_is_counted_once() {
+fn retract_stream_that_breaks_late_is_counted_once() {
     let (service, route) = (Name::from("s"), Name::from("r"));
     let tally = Tally::default();
     for sign in [Sign::Good, Sign::Slow, Sign::Good] {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn forget_what_was_cleared_is_nothing() {
+fn retract_what_was_cleared_does_nothing() {
     let (service, route) = (Name::from("s"), Name::from("r"));
     let tally = Tally::default();
     tally.record(&service, &route, Cohort::New, Sign::Good);
--- a/crates/gateway/tests/helpers.rs
+++ b/crates/gateway/tests/helpers.rs
@@ -1,4 +1,4 @@
-//! Other hosts that requests go by.
+//! Other hosts that requests go through.
 
 use std::net::SocketAddr;
 
@@ -31,7 +31,7 @@
     assert!(!detour_hosts.has_untried(&[Name::from(NAME)], clock::steady()));
 }
 
-/// Guards against a host that is left alone for long after it has come back.
+/// Guards against a host that is not used for long after it has come back.
 #[test]
 fn add_again_makes_a_failed_host_usable() {
     let detour_hosts = detour_hosts();
@@ -42,9 +42,10 @@
     assert_eq!(choose(&detour_hosts, &[]), Some(Name::from(NAME)));
 }
 
-/// Guards against hosts that are held ill, for longer each time, since they say that they are cut off.
+/// Guards against hosts that are marked ill, for longer each time, because they say that they are
+/// cut off.
 #[test]
-fn note_away_is_no_failure() {
+fn record_unavailable_is_no_failure() {
     let detour_hosts = detour_hosts();
     let host = detour_hosts.choose(&[], 1, clock::steady()).unwrap();
     host.record_unavailable(clock::steady());
--- a/crates/gateway/tests/index.rs
+++ b/crates/gateway/tests/index.rs
@@ -1,4 +1,4 @@
-//! Routes by host and prefix, accounts by key.
+//! Routes by host name and prefix, accounts by key.
 
 use gateway::index::Index;
 use policy::name::Name;
--- a/crates/gateway/tests/look.rs
+++ b/crates/gateway/tests/look.rs
@@ -1,4 +1,4 @@
-//! Looks at backend servers that may have ended.
+//! Probes of backend servers that may have ended.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
     Arc::new(Backend::new(&row, true))
 }
 
-/// Guards against streams lost together that wait for one look after another.
+/// Guards against requests that were lost together and wait for one probe after another.
 #[tokio::test(flavor = "multi_thread")]
 async fn probe_by_many_of_a_server_that_accepts_no_connections_is_shared() {
     let socket = TcpSocket::new_v4().unwrap();
@@ -51,8 +51,8 @@
     assert!(began.elapsed() < Duration::from_millis(300), "{:?}", began.elapsed());
 }
 
-/// Guards against requests lost with a server that are forgotten since, in the moment of its end, others
-/// refused connections as well.
+/// Guards against forgetting the requests that were lost with a server because other servers also
+/// refused connections at the moment of its end.
 #[tokio::test]
 async fn probe_while_the_host_may_be_cut_off_is_unclear_until_another_server_accepts_connections() {
     let free = || std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -64,7 +64,7 @@
     assert_eq!(ended.probe(&guard, || others.to_vec()).await, Liveness::Unclear);
     let alive = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let others = [backend("b1", free()), backend("b3", alive.local_addr().unwrap())];
-    // Looks that follow one another at once share what the first one found.
+    // Probes in quick succession share the result of the first one.
     let until = Instant::now() + Duration::from_secs(10);
     while ended.probe(&guard, || others.to_vec()).await != Liveness::Ended {
         assert!(Instant::now() < until, "still unclear");
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Backend servers of a service while its version changes.
+//! The backend servers of a service while its version changes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -43,8 +43,8 @@
     Millis((part * WITHIN_MS as f64) as u64)
 }
 
-/// Streams cut when old servers stop, on a host that has not yet heard of the roll-out's success,
-/// used up their tries at other stopped servers.
+/// Guards against streams that use up their attempts at stopped servers. Old servers stop before
+/// every host has learnt of the roll-out's success.
 #[test]
 fn stays_on_the_old_version_only_until_the_new_one_has_all_requests() {
     let pool = pool(Stage::Moving, false);
@@ -62,8 +62,8 @@
     assert!(halted.stays_on(&Name::from("v1"), at(0.96)));
 }
 
-/// A version that fails only under load showed nothing on trial: its few requests were spread over
-/// all of its servers, and each was idle.
+/// Guards against a version that fails only under load and shows nothing on trial, because its few
+/// requests are spread over all of its servers and leave each one idle.
 #[test]
 fn active_on_trial_gives_few_servers_the_load_to_come() {
     let mut pool = pool(Stage::Trial, false);
@@ -72,7 +72,7 @@
     let open = |part: f64| pool.active(&trial, canary::USUAL_LOAD, at(part)).len();
     for part in [0.52, 0.7, 0.9] {
         let share = pool.rollout.as_ref().unwrap().share(at(part));
-        // Each has at most what it will have, and not less than a half of it.
+        // Each server has at most its future load, and at least half of it.
         let load = share * 60.0 / open(part) as f64;
         assert!((0.5..=1.0).contains(&load), "{load} at {part}");
     }
@@ -97,8 +97,8 @@
     );
 }
 
-/// A plain service's version that fails only under load was declared done, and failed when the load
-/// rose: it had never had more than the load of a calm moment.
+/// Guards against a plain service's version that fails only under load and is declared done,
+/// because it has never had more than the load of a calm moment.
 #[test]
 fn active_until_done_gives_plain_servers_the_load_of_a_peak() {
     let mut pool = pool(Stage::Moving, false);
@@ -109,7 +109,8 @@
     assert_eq!(all(&pool), 6);
 }
 
-/// An engine's version on trial had the usual load at most, and was declared done unseen.
+/// Guards against an engine's version that is declared done without ever having had more than the
+/// usual load.
 #[test]
 fn is_at_peak_for_engines_late_on_trial_and_for_plain_servers_to_the_end() {
     let (trial, old) = (Name::from("v2"), Name::from("v1"));
@@ -142,7 +143,7 @@
     Pool::new(Name::from("v1"), backends.map(Arc::new).collect())
 }
 
-/// Guards against requests that look at each of thousands of servers.
+/// Guards against requests that compare each of thousands of servers.
 #[test]
 fn candidates_do_not_grow_with_the_servers() {
     for (near, far) in [(1, 0), (30, 60), (128, 64), (1_700, 8_300), (0, 5_000), (3_400, 16_600)] {
@@ -159,7 +160,7 @@
     }
 }
 
-/// Guards against caches that each host fills at another engine.
+/// Guards against hosts that fill the caches of different engines with the same prompt part.
 #[test]
 fn candidates_hosts_agree_on_an_engine_for_a_subject() {
     let pools = [large(1_700, 8_300), large(1_700, 8_300)];
@@ -176,7 +177,7 @@
     }
 }
 
-/// Another seed at each call.
+/// A different seed at each call.
 fn next_seed(subject: u64) -> u64 {
     static CALLS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     policy::place::mix(subject ^ CALLS.fetch_add(1, Ordering::Relaxed))
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use entry::{callers, clock};
-use gateway::buffers::BufferBudget;
 use gateway::forward::PeerHandler;
 use gateway::shed::Shedder;
 use gateway::state::Outbox;
+use gateway::volume::BufferBudget;
 use gateway::{Codec, State};
 use metrics_exporter_prometheus::PrometheusHandle;
 use policy::bootstrap::Bootstrap;
