--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -157,7 +157,8 @@
         .with(&job.service, |tolerance| tolerance.heard(info.tolerance, sent, now))
     {
         log::info!(target: "route", service:% = job.service, backend:% = backend.id,
-            rejected_per_second:? = info.tolerance; "servers say how many rejected requests they tolerate");
+            rejected_per_second:? = info.tolerance;
+            "servers state another tolerance for rejected requests");
     }
     for restricted in backend.record_statement(&info.statement, sent, clock::steady()) {
         // If the queue is full, the other hosts learn of the limit with this host's next periodic
@@ -183,7 +184,8 @@
         };
         tokio::select! {
             answered = answer.as_mut() => return answered.map_err(|failure| match failure {
-                Sent { sent: true, .. } if job.time_left().is_zero() => Failure::Lost(Cause::Deadline),
+                Sent { sent: true, .. } if job.time_left().is_zero() =>
+                    Failure::Lost(Cause::Deadline),
                 Sent { sent: true, cause } => Failure::Lost(cause),
                 Sent { sent: false, cause } => Failure::Unsent(cause),
             }),
--- a/crates/gateway/src/backend/restriction.rs
+++ b/crates/gateway/src/backend/restriction.rs
@@ -62,11 +62,11 @@
         let limit = news.is_limit.then(|| {
             let per_second = statement.per_second;
             log::info!(target: "route", backend:% = self.id, per_second:? = per_second;
-                "backend server names another limit");
+                "backend server states another limit");
             Restriction::Limit(Limit { per_second, at: now, until: None })
         });
         let leaving = news.is_leave.then(|| {
-            log::info!(target: "route", backend:% = self.id; "backend server says that it leaves");
+            log::info!(target: "route", backend:% = self.id; "backend server states that it is leaving");
             Restriction::Leaving
         });
         limit.into_iter().chain(leaving).map(|restriction| self.restricted(restriction)).collect()
@@ -84,7 +84,7 @@
                 let is_news = self.with_intake(|intake| intake.leave(now));
                 if is_news {
                     log::info!(target: "route", backend:% = self.id;
-                        "leave of a backend server heard of");
+                        "another host reports that a backend server is leaving");
                 }
                 is_news
             }
@@ -96,7 +96,7 @@
         if self.with_intake(|intake| intake.learn(limit, now)) {
             log::info!(target: "route", backend:% = self.id, per_second:? = limit.per_second,
                 until_ms = limit.until.map(|until| until.since(now));
-                "limit of a backend server heard of");
+                "limit of a backend server learnt from another host or its entry");
         }
     }
 
@@ -110,7 +110,7 @@
         let is_news = self.with_intake(|intake| intake.learn(limit, now));
         is_news.then(|| {
             log::info!(target: "route", backend:% = self.id, per_second = warmup.per_second,
-                until_ms = warmup.ms; "backend server may start again");
+                until_ms = warmup.ms; "backend server unreachable, limited until warm in case it restarts");
             self.restricted(Restriction::Limit(limit))
         })
     }
--- a/crates/gateway/src/detour.rs
+++ b/crates/gateway/src/detour.rs
@@ -131,7 +131,11 @@
         let lease = Lease::new(Arc::clone(&host.server));
         let (sent_at, sent) = (Instant::now(), clock::steady());
         let answered = tokio::select! {
-            answered = attempt::wait_for_head(self, host, connection.send(request, self.time_left())) => answered,
+            answered = attempt::wait_for_head(
+                self,
+                host,
+                connection.send(request, self.time_left()),
+            ) => answered,
             () = forwarding.wait_until_lost(last_event) => Err(Failure::Lost(Cause::Silent)),
         };
         let response = match answered {
@@ -173,7 +177,7 @@
         self.attempts.sent = attempts;
         log::info!(target: "route", request:% = self.info.id, host:% = host.id,
             server:% = report.server.as_deref().unwrap_or_default(),
-            status = head.status.as_u16(), sent = attempts; "request went by another host");
+            status = head.status.as_u16(), sent = attempts; "request sent through another host");
         let outcome = if is_misdirected { "misdirected" } else { "answered" };
         metrics::counter!("gateway_detours_total", "outcome" => outcome).increment(1);
         if self.attempts.was_attempted {
@@ -292,7 +296,7 @@
 
 /// Another host's refusal in this host's words.
 fn refusal_from(head: &Parts) -> Refusal {
-    const MESSAGE: &str = "refused by the host that it went by";
+    const MESSAGE: &str = "refused by the host that it was passed to";
     let seconds: Option<f64> = header_number(&head.headers, RETRY_AFTER.as_str());
     let refusal = match head.status {
         StatusCode::SERVICE_UNAVAILABLE => Refusal::not_run(Code::Overloaded, MESSAGE),
--- a/crates/gateway/src/end.rs
+++ b/crates/gateway/src/end.rs
@@ -81,13 +81,14 @@
         .record(ms / 1_000.0);
     let attempts = &job.attempts;
     log::info!(target: "route", request:% = job.info.id, route:% = route, service:% = job.service,
-        version:% = display(attempts.version.as_ref()), backend:% = display(attempts.backend.as_ref()),
-        model:% = display(job.model()), doubted:% = display(attempts.dropped_confidence), sent = attempts.sent,
+        version:% = display(attempts.version.as_ref()),
+        backend:% = display(attempts.backend.as_ref()), model:% = display(job.model()),
+        doubted:% = display(attempts.dropped_confidence), sent = attempts.sent,
         unsent = attempts.unsent, refused = attempts.refused, not_run = attempts.not_run,
         events = progress.events, pause_ms = progress.pause_ms,
         gap_ms = job.route().gap_ms.unwrap_or_default(), objective_ms = job.route().objective_ms,
-        prompt = job.info.prompt_tokens, expected_ms = attempts.expected_ms, head_ms = attempts.head_ms,
-        first_ms = attempts.began_after_ms, ms = ms as u64,
+        prompt = job.info.prompt_tokens, expected_ms = attempts.expected_ms,
+        head_ms = attempts.head_ms, first_ms = attempts.began_after_ms, ms = ms as u64,
         table = job.state.snapshot.load().index.version, outcome:? = end; "request ended");
 }
 
@@ -113,7 +114,7 @@
         stage:? = rollout.map(|rollout| rollout.stage),
         share = rollout.map_or(0.0, |rollout| rollout.share(now)),
         target_servers = rollout.map_or(0, |rollout| takes_work(&rollout.target));
-        "stream not taken up elsewhere");
+        "stream not resumed at another backend server");
 }
 
 /// Formats a value for a log line; an absent value is an empty string.
--- a/crates/gateway/src/judge.rs
+++ b/crates/gateway/src/judge.rs
@@ -79,7 +79,7 @@
         // The host that made the attempt may be asked again, for another server.
         self.record_failed_server(self.attempts.backend.clone());
         log::info!(target: "route", request:% = self.info.id, backend:% = backend.id,
-            status = head.status.as_u16(), sent = self.attempts.sent; "backend server failed");
+            status = head.status.as_u16(), sent = self.attempts.sent; "backend server answered with an error");
         match self.route().kind.may_repeat() {
             true => {
                 self.attempts.failure_answer = Some((head, body));
--- a/crates/gateway/src/poison.rs
+++ b/crates/gateway/src/poison.rs
@@ -1,4 +1,4 @@
-//! Quarantines requests that crash the servers that run them, by themselves or by a part of their
+//! Holds back requests that crash the servers that run them, by themselves or by a part of their
 //! prompts. See [`policy::poison`].
 
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -175,7 +175,7 @@
     /// Checks that the request may be sent to one more server, or to another host.
     ///
     /// # Errors
-    /// The request is quarantined, because it was lost with one server after another.
+    /// The request is held back, because it was lost with one server after another.
     pub async fn permit(&mut self, place: &Backend) -> Result<(), Refusal> {
         if let Some(backend) = self.attempts.unprobed_server.take() {
             // The outcome of the last attempt decides about the next one.
@@ -204,7 +204,7 @@
             {
                 self.attempts.granted_trial = Some((cause.0, servers));
                 log::info!(target: "route", request:% = self.info.id, digest:% = cause.0,
-                    kind:? = cause.1, servers; "suspect request tried");
+                    kind:? = cause.1, servers; "trial of a suspect request");
                 Ok(())
             }
             Verdict::Trial { .. } => Err(self.hold(cause, TRIAL_RETRY_MS)),
@@ -225,10 +225,10 @@
         log::warn!(target: "route", request:% = self.info.id, digest:% = digest, kind:? = kind,
             prompt_part:% = self.part_id(digest).unwrap_or_default(), hold_ms = ms,
             servers:% = servers.join(" "), sent = self.attempts.sent;
-            "request held, servers ended under it");
-        const HELD_REQUEST: &str = "held back, servers ended when they ran this request";
+            "request held, servers ended while running it");
+        const HELD_REQUEST: &str = "held back, servers ended while running this request";
         const HELD_PART: &str =
-            "held back, servers ended when they ran a prompt with one of its parts";
+            "held back, servers ended while running a prompt with one of its parts";
         let why = if kind == Kind::Part { HELD_PART } else { HELD_REQUEST };
         match self.attempts.may_have_run {
             true => Refusal::may_have_run(Code::BackendFailed, why),
--- a/crates/gateway/src/refuse.rs
+++ b/crates/gateway/src/refuse.rs
@@ -101,13 +101,13 @@
 #[must_use]
 pub fn leaving(draw: f64) -> Refusal {
     let ms = LEAVING_RETRY_MS * (1.0 + draw);
-    Refusal::not_run(Code::NoBackend, "all backend servers leave").retry_after(ms as u64)
+    Refusal::not_run(Code::NoBackend, "all backend servers are leaving").retry_after(ms as u64)
 }
 
 /// The host that passed the request on has recalled it.
 #[must_use]
 pub fn recalled() -> Refusal {
-    Refusal::may_have_run(Code::BackendFailed, "taken back by the host that passed it on")
+    Refusal::may_have_run(Code::BackendFailed, "recalled by the host that passed it on")
 }
 
 /// The response with which a caller receives a refusal of the request `id`.
--- a/crates/gateway/src/resume.rs
+++ b/crates/gateway/src/resume.rs
@@ -35,7 +35,7 @@
     Repeats,
     /// No known backend server takes the request.
     NoServer,
-    /// The request is quarantined, because servers crashed under it.
+    /// The request is held back, because servers ended under it.
     Held,
 }
 
--- a/crates/gateway/src/shed.rs
+++ b/crates/gateway/src/shed.rs
@@ -80,7 +80,7 @@
                 let closed = overload.closed();
                 metrics::gauge!("gateway_connections_closed_part").set(closed);
                 log::info!(target: "route", late_ms, closed, open = self.shed.connections.len();
-                    "new connections closed unread or no longer");
+                    "closing of new connections began or ended");
             }
         }
     }
