--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -68,7 +68,8 @@
     Unwanted,
     /// The backend server says that it did not run the request.
     NotRun {
-        /// Whether the request was for another server.
+        /// Whether the server says that the request was for another server, or the host that it
+        /// takes no requests.
         misdirected: bool,
     },
     /// The request may have run.
@@ -113,7 +114,8 @@
     let (head, body) = response.into_parts();
     let info = job.state.codec.answer_info(head.status, &head.headers);
     backend.record_contact(clock::steady());
-    // Another server at the address of a server that is gone speaks only for itself.
+    // Another server may answer at the address of one that is gone. Its load and limits are its
+    // own.
     if !info.misdirected {
         if let Some(load) = info.load {
             backend.record_load(load, clock::steady());
@@ -160,10 +162,10 @@
             rejected_per_second:? = info.tolerance;
             "servers state another tolerance for rejected requests");
     }
-    for restricted in backend.record_statement(&info.statement, sent, clock::steady()) {
+    for notice in backend.record_statement(&info.statement, sent, clock::steady()) {
         // If the queue is full, the other hosts learn of the limit with this host's next periodic
         // message.
-        let _ = job.state.outbox.restrictions.try_send(restricted);
+        let _ = job.state.outbox.restrictions.try_send(notice);
     }
 }
 
--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -39,7 +39,7 @@
 policy::domain! {
     /// A long prompt that was just sent to a backend server, as announced to other hosts.
     pub struct Prefill {
-        /// The id of the backend server, which names one start of it.
+        /// The id of the backend server.
         pub backend: Name,
         /// How long the server is expected to read the prompt, in milliseconds.
         pub read_ms: u32,
@@ -51,7 +51,7 @@
 
 /// One start of a backend server, or another host that passes requests on.
 pub struct Backend {
-    /// The id of this start of the server, or the name of the host.
+    /// The server's id, or the name of the host. A server may start again under the same id.
     pub id: Name,
     /// When this start began, in milliseconds since the epoch; 0 if it is not stated.
     pub born: u64,
--- a/crates/gateway/src/backend/restriction.rs
+++ b/crates/gateway/src/backend/restriction.rs
@@ -66,7 +66,8 @@
             Restriction::Limit(Limit { per_second, at: now, until: None })
         });
         let leaving = news.is_leave.then(|| {
-            log::info!(target: "route", backend:% = self.id; "backend server states that it is leaving");
+            log::info!(target: "route", backend:% = self.id;
+                "backend server states that it is leaving");
             Restriction::Leaving
         });
         limit.into_iter().chain(leaving).map(|restriction| self.restricted(restriction)).collect()
@@ -103,14 +104,15 @@
     /// Records that the server can't be reached and may start again before its entry says so.
     /// Returns what the other hosts must be told, if it is news.
     ///
-    /// A server that is back under its id has empty caches. Without a limit all hosts would send to
-    /// it at once and crash it again before it is warm.
+    /// A server that is back under its id has no requests yet. Without a limit all hosts would send
+    /// to it at once and crash it again before it is warm.
     pub fn expect_restart(&self, warmup: Warmup, now: Millis) -> Option<RestrictionNotice> {
         let limit = Limit::warmup(warmup.per_second, now + warmup.ms, now);
         let is_news = self.with_intake(|intake| intake.learn(limit, now));
         is_news.then(|| {
             log::info!(target: "route", backend:% = self.id, per_second = warmup.per_second,
-                until_ms = warmup.ms; "backend server unreachable, limited until warm in case it restarts");
+                until_ms = warmup.ms;
+                "backend server unreachable, limited until warm in case it restarts");
             self.restricted(Restriction::Limit(limit))
         })
     }
--- a/crates/gateway/src/blame.rs
+++ b/crates/gateway/src/blame.rs
@@ -145,9 +145,9 @@
         let snapshot = self.state.snapshot.load();
         let service = snapshot.index.services.get(&self.service);
         let Some(warmup) = service.and_then(|service| service.warmup) else { return };
-        if let Some(restricted) = backend.expect_restart(warmup, clock::steady()) {
+        if let Some(notice) = backend.expect_restart(warmup, clock::steady()) {
             // If the queue is full, the other hosts find out by themselves.
-            let _ = self.state.outbox.restrictions.try_send(restricted);
+            let _ = self.state.outbox.restrictions.try_send(notice);
         }
     }
 }
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -61,7 +61,7 @@
 /// What a backend server receives along with the caller's request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptInfo<'a> {
-    /// The id of the start of the backend server that alone may run the request.
+    /// The id of the backend server, which alone may run the request.
     pub backend: &'a Name,
     /// The client account of the caller's key.
     pub account: Option<&'a Name>,
--- a/crates/gateway/src/detour.rs
+++ b/crates/gateway/src/detour.rs
@@ -260,17 +260,17 @@
             headers.remove(name);
         }
         let tried: Vec<&str> = self.attempts.failed_servers.iter().map(Name::as_str).collect();
-        let mut tell = |name, value: HeaderValue| {
+        let mut insert = |name, value: HeaderValue| {
             headers.insert(HeaderName::from_static(name), value);
         };
-        tell(TRIES, HeaderValue::from(self.attempts.sent));
-        tell(TRIED, HeaderValue::from_str(&tried.join(",")).ok()?);
-        tell(NUMBER, HeaderValue::from(forwarding.number()));
+        insert(TRIES, HeaderValue::from(self.attempts.sent));
+        insert(TRIED, HeaderValue::from_str(&tried.join(",")).ok()?);
+        insert(NUMBER, HeaderValue::from(forwarding.number()));
         if !self.route().models.is_empty() {
-            tell(MODEL, HeaderValue::from(self.attempts.model));
+            insert(MODEL, HeaderValue::from(self.attempts.model));
         }
         if let Some(version) = &self.attempts.version {
-            tell(VERSION, HeaderValue::from_str(version).ok()?);
+            insert(VERSION, HeaderValue::from_str(version).ok()?);
         }
         *request.headers_mut() = headers;
         Some(request)
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -103,7 +103,7 @@
 }
 
 /// The headers that report on a refused request: those of [`add_report_headers`], and whether a
-/// server crashed under the request.
+/// server ended under the request.
 pub async fn refusal_report_headers<C: Codec>(job: &mut Job<C>) -> HeaderMap {
     let mut headers = HeaderMap::new();
     add_report_headers(job, &mut headers);
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -113,8 +113,8 @@
     /// Time from the request's arrival to the beginning of its answer, in milliseconds; 0 before
     /// that.
     pub began_after_ms: u64,
-    /// The digest that this host was granted a trial for, and the number of servers that had
-    /// crashed under the digest by then.
+    /// The digest that this host was granted a trial for, and the number of servers that had ended
+    /// under the digest by then.
     pub granted_trial: Option<(Digest, u32)>,
     /// When the answer to the last attempt began: a plain answer with its head, a stream with its
     /// first event. `None` if none has begun.
--- a/crates/gateway/src/judge.rs
+++ b/crates/gateway/src/judge.rs
@@ -79,7 +79,8 @@
         // The host that made the attempt may be asked again, for another server.
         self.record_failed_server(self.attempts.backend.clone());
         log::info!(target: "route", request:% = self.info.id, backend:% = backend.id,
-            status = head.status.as_u16(), sent = self.attempts.sent; "backend server answered with an error");
+            status = head.status.as_u16(), sent = self.attempts.sent;
+            "backend server answered with an error");
         match self.route().kind.may_repeat() {
             true => {
                 self.attempts.failure_answer = Some((head, body));
@@ -146,8 +147,8 @@
     fn escalation(&self, reply: &Reply) -> Option<usize> {
         let models = &self.route().models;
         let largest = models.len().saturating_sub(1);
-        let may = self.route().kind.may_repeat() && self.attempts.sent < self.attempts_max;
-        if reply.head.status != StatusCode::OK || self.attempts.model >= largest || !may {
+        let may_repeat = self.route().kind.may_repeat() && self.attempts.sent < self.attempts_max;
+        if reply.head.status != StatusCode::OK || self.attempts.model >= largest || !may_repeat {
             return None;
         }
         let larger = self.next_larger_model(reply.info.confidence?, self.delay_share());
@@ -174,8 +175,8 @@
         let objective_ms = self.route().objective_ms as f64;
         let timing = self.state.timings.with(&self.indexed.timings[larger], |timing| *timing);
         let usual_ms = timing.first.faded_ms(objective_ms / 4.0, clock::steady());
-        // A prompt far longer than usual keeps an engine busy for seconds, and all requests that
-        // wait there.
+        // A prompt far longer than usual keeps an engine busy for seconds, and delays all requests
+        // that wait there.
         let read_ms = f64::from(self.info.prompt_tokens) / self.tokens_per_ms(larger);
         Doubt {
             confidence,
@@ -222,8 +223,8 @@
         let waited = self.started.elapsed().as_secs_f64() * 1_000.0;
         self.attempts.began_after_ms = waited as u64;
         self.attempts.has_stream_begun = true;
-        let part = waited / self.route().objective_ms.max(1) as f64;
-        self.state.delays.with(&self.service, |delay| delay.note(part, clock::steady()));
+        let share = waited / self.route().objective_ms.max(1) as f64;
+        self.state.delays.with(&self.service, |delay| delay.note(share, clock::steady()));
     }
 
     /// Counts an answer for the roll-out in progress. `took_ms` is the answer's time, for a stream
@@ -297,12 +298,12 @@
         let trial = pool.and_then(|pool| pool.rollout.as_ref()).filter(|trial| trial.is_open());
         let trial = trial?;
         let now = clock::steady();
-        let came = now - self.started.elapsed().as_millis() as u64;
+        let arrived_at = now - self.started.elapsed().as_millis() as u64;
         let cohort = match backend.version == trial.target {
             false => Cohort::Old,
             // A request that arrived under peak load is in flight for a while with all others that
             // arrived then.
-            true if trial.is_at_peak(came) => Cohort::NewAtPeak,
+            true if trial.is_at_peak(arrived_at) => Cohort::NewAtPeak,
             true if trial.has_all(now) => Cohort::NewAtFull,
             true => Cohort::New,
         };
--- a/crates/gateway/src/paces.rs
+++ b/crates/gateway/src/paces.rs
@@ -9,7 +9,7 @@
 policy::domain! {
     /// The pace of the streams of one engine, as announced to other hosts.
     pub struct PaceSample {
-        /// The id of the backend server, which names one start of it.
+        /// The id of the backend server.
         pub backend: Name,
         /// How many streams there were, and how much longer than usual they took.
         pub shown: Shown,
--- a/crates/gateway/src/recall.rs
+++ b/crates/gateway/src/recall.rs
@@ -217,8 +217,9 @@
         self.is_complete = true;
     }
 
-    /// Waits until the other host has sent more than was received, which means that the connection
-    /// has lost data. `last_event` is the last event received; `None` before the first one.
+    /// Waits until the connection has lost data: the other host reports repeatedly that it has sent
+    /// more than was received, or that the request is over. `last_event` is the last event
+    /// received; `None` before the first one.
     ///
     /// A host that does not answer the query may still be working on the request.
     pub async fn wait_until_lost(&self, last_event: Option<u64>) {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -49,8 +49,9 @@
     backend: Arc<Backend>,
     sent_at: Instant,
     progress: RelayProgress,
-    /// The pace of the events. `last_events_at` is when the last ones came.
+    /// How soon the stream's events follow one another.
     pace: Pace,
+    /// When the last events came; `None` before the first ones.
     last_events_at: Option<Instant>,
     /// When an event last came. Bytes without events count as silence: a server in trouble may send
     /// them without end.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -52,9 +52,9 @@
     /// The order differs from server to server.
     #[must_use]
     pub fn count_before(&self, backend: u64) -> usize {
-        let turn = |host: &u64| mix(*host ^ backend);
-        let own = turn(&self.own);
-        self.others.iter().filter(|other| turn(other) < own).count()
+        let order = |host: &u64| mix(*host ^ backend);
+        let own = order(&self.own);
+        self.others.iter().filter(|other| order(other) < own).count()
     }
 }
 
--- a/crates/gateway/tests/look.rs
+++ b/crates/gateway/tests/look.rs
@@ -40,13 +40,13 @@
     let backend = backend("i", address);
     let guard = Arc::new(Guard::new(tokio::sync::mpsc::channel(1).0));
     let began = Instant::now();
-    let looks = (0..10).map(|_| {
+    let probes = (0..10).map(|_| {
         let (backend, guard) = (Arc::clone(&backend), Arc::clone(&guard));
         tokio::spawn(async move { backend.probe(&guard, Vec::new).await })
     });
-    let looks: Vec<_> = looks.collect();
-    for look in looks {
-        assert_eq!(look.await.unwrap(), Liveness::Alive);
+    let probes: Vec<_> = probes.collect();
+    for probe in probes {
+        assert_eq!(probe.await.unwrap(), Liveness::Alive);
     }
     assert!(began.elapsed() < Duration::from_millis(300), "{:?}", began.elapsed());
 }
