--- a/crates/gateway/src/backend/restriction.rs
+++ b/crates/gateway/src/backend/restriction.rs
@@ -1,4 +1,5 @@
-//! What a backend server says of how much it takes, and what other hosts are notified of.
+//! The limits, pauses and departures that backend servers state, and what other hosts are told of
+//! them.
 
 use entry::clock;
 use policy::intake::{Intake, Statement};
@@ -10,28 +11,29 @@
 use super::Backend;
 
 policy::domain! {
-    /// What a backend server says of how much it takes, as other hosts are notified of it.
-    pub struct Restricted {
-        /// The backend server.
+    /// A limit or departure that a backend server states, as announced to other hosts.
+    pub struct RestrictionNotice {
+        /// The id of the backend server.
         pub backend: Name,
-        /// When the start of it began that says so, see [`Backend::born`].
+        /// When the start of the server began that states the restriction, see [`Backend::born`].
         #[serde(default)]
         pub born: u64,
-        /// What it says.
+        /// What the server states.
         pub restriction: Restriction,
     }
 
     /// What keeps requests from a backend server.
     pub enum Restriction {
-        /// It takes so many requests a second.
+        /// The server takes only a limited number of requests a second.
         Limit(Limit),
-        /// It leaves.
+        /// The server is leaving and takes no new requests.
         Leaving,
     }
 }
 
 impl Restriction {
-    /// The same with its times on another clock; `from` and `to` are the same moment on both.
+    /// The same restriction with its times on another clock. `from` and `to` are the same moment on
+    /// both clocks.
     #[must_use]
     pub fn on_clock(&self, from: Millis, to: Millis) -> Self {
         match self {
@@ -42,14 +44,14 @@
 }
 
 impl Backend {
-    /// What it says of how much it takes, in the answer to a request that was sent then; what the other
-    /// hosts are to be notified of.
-    pub fn note_statement(
+    /// Records what the server stated in the answer to a request that was sent at `sent`. Returns
+    /// what the other hosts must be told.
+    pub fn record_statement(
         &self,
         statement: &Statement,
         sent: Millis,
         now: Millis,
-    ) -> Vec<Restricted> {
+    ) -> Vec<RestrictionNotice> {
         let draw = rand::random();
         let news = self.with_intake(|intake| intake.record_answer(statement, sent, draw, now));
         if news.has_begun_pause {
@@ -60,17 +62,19 @@
         let limit = news.has_new_limit.then(|| {
             let per_second = statement.per_second;
             log::info!(target: "route", backend:% = self.id, per_second:? = per_second;
-                "backend server names another limit");
+                "backend server states another limit");
             Restriction::Limit(Limit { per_second, at: now, until: None })
         });
         let leaving = news.has_begun_leaving.then(|| {
-            log::info!(target: "route", backend:% = self.id; "backend server says that it leaves");
+            log::info!(target: "route", backend:% = self.id;
+                "backend server states that it is leaving");
             Restriction::Leaving
         });
         limit.into_iter().chain(leaving).map(|restriction| self.restricted(restriction)).collect()
     }
 
-    /// What it takes, as another host says of this start of it; whether the world is another one now.
+    /// Records a restriction of this start of the server that another host announced. Returns
+    /// whether the server has newly left the pools, so that a new snapshot is needed.
     pub fn learn(&self, restriction: &Restriction, now: Millis) -> bool {
         match restriction {
             Restriction::Limit(limit) => {
@@ -81,56 +85,57 @@
                 let is_news = self.with_intake(|intake| intake.mark_leaving(now));
                 if is_news {
                     log::info!(target: "route", backend:% = self.id;
-                        "leave of a backend server heard of");
+                        "another host reports that a backend server is leaving");
                 }
                 is_news
             }
         }
     }
 
-    /// How much it takes, as another host or its entry says.
+    /// Records the server's limit, as announced by another host or stated in the server's entry.
     pub fn learn_limit(&self, limit: Limit, now: Millis) {
         if self.with_intake(|intake| intake.learn_limit(limit, now)) {
             log::info!(target: "route", backend:% = self.id, per_second:? = limit.per_second,
                 until_ms = limit.until.map(|until| until.since(now));
-                "limit of a backend server heard of");
+                "limit of a backend server learnt from another host or its entry");
         }
     }
 
-    /// It can't be reached, and may start again before its entry says so; what the other hosts are
-    /// to be notified of, if it is news.
+    /// Records that the server can't be reached and may start again before its entry says so.
+    /// Returns what the other hosts must be told, if it is news.
     ///
-    /// A server that is back under its id is empty, so that all hosts would send to it at once, and
-    /// end it once more before it is warm.
-    pub fn may_start_again(&self, warmup: Warmup, now: Millis) -> Option<Restricted> {
+    /// A server that is back under its id has no requests yet. Without a limit all hosts would send
+    /// to it at once and crash it again before it is warm.
+    pub fn expect_restart(&self, warmup: Warmup, now: Millis) -> Option<RestrictionNotice> {
         let limit = Limit::warmup(warmup.per_second, now + warmup.ms, now);
         let is_news = self.with_intake(|intake| intake.learn_limit(limit, now));
         is_news.then(|| {
             log::info!(target: "route", backend:% = self.id, per_second = warmup.per_second,
-                until_ms = warmup.ms; "backend server may start again");
+                until_ms = warmup.ms;
+                "backend server unreachable, limited until warm in case it restarts");
             self.restricted(Restriction::Limit(limit))
         })
     }
 
-    /// What the other hosts should know of how much it takes.
+    /// What the other hosts should know of the limits that the server states.
     #[must_use]
-    pub fn restrictions(&self, now: Millis) -> Vec<Restricted> {
+    pub fn restrictions(&self, now: Millis) -> Vec<RestrictionNotice> {
         let intake = self.with_intake(|intake| *intake);
         let limit = intake.throttle.shared(now).map(Restriction::Limit);
         let leaving = intake.is_leaving().then_some(Restriction::Leaving);
         limit.into_iter().chain(leaving).map(|restriction| self.restricted(restriction)).collect()
     }
 
-    fn restricted(&self, restriction: Restriction) -> Restricted {
-        Restricted { backend: self.id.clone(), born: self.born, restriction }
+    fn restricted(&self, restriction: Restriction) -> RestrictionNotice {
+        RestrictionNotice { backend: self.id.clone(), born: self.born, restriction }
     }
 
-    /// Uses what is known of how much it takes.
+    /// Runs a function on what is known of how many requests the server takes.
     pub fn with_intake<T>(&self, use_it: impl FnOnce(&mut Intake) -> T) -> T {
         self.server.with_intake(clock::steady(), use_it)
     }
 
-    /// Whether it has said that it takes nothing now.
+    /// Whether the server has said that it takes no requests now.
     #[must_use]
     pub fn is_closed(&self, now: Millis) -> bool {
         self.server.is_restricted() && self.with_intake(|intake| intake.is_closed(now))
--- a/crates/gateway/src/helpers.rs
+++ b/crates/gateway/src/detour_hosts.rs
@@ -1,4 +1,4 @@
-//! Other hosts that a request may go by when its own host reaches no backend server.
+//! Other hosts that a request may go through while its own host reaches no backend server.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,71 +13,72 @@
 
 use crate::backend::Backend;
 
-/// Hosts that pass on requests of others, by name.
+/// Hosts that pass on requests for this one, by name.
 #[derive(Default)]
-pub struct Helpers {
+pub struct DetourHosts {
     hosts: Mutex<HashMap<Name, Arc<Backend>>>,
-    /// Other hosts of this failure domain, those that are cut off among them.
+    /// The number of other hosts of this failure domain, including those that are cut off.
     neighbours: AtomicUsize,
-    /// Wakes whoever finds more of them.
+    /// Notified when requests need more such hosts than are known.
     pub wanted: Notify,
 }
 
-impl Helpers {
-    /// A host passes requests on that come to an address.
-    pub fn add(&self, name: &Name, address: SocketAddr, failure_domain: &Name, near: bool) {
+impl DetourHosts {
+    /// Adds a host that takes requests at an address.
+    pub fn add(&self, name: &Name, address: SocketAddr, failure_domain: &Name, is_near: bool) {
         let mut hosts = self.lock();
         match hosts.get(name) {
-            // Whatever it failed before, it lives.
+            // The host is alive, whatever it failed before.
             Some(known) if known.server.address == address => {
                 known.server.note_success(clock::steady());
             }
             _ => {
-                let host = Backend::host(name.clone(), address, failure_domain.clone(), near);
+                let host = Backend::host(name.clone(), address, failure_domain.clone(), is_near);
                 hosts.insert(name.clone(), Arc::new(host));
             }
         }
     }
 
-    /// A host passes on nothing now.
+    /// Removes a host that no longer passes requests on.
     pub fn remove(&self, name: &Name) {
         self.lock().remove(name);
     }
 
-    /// Forgets the hosts of this failure domain that are not among these.
+    /// Removes the hosts of this failure domain for which `is_there` is false.
     pub fn retain_near(&self, is_there: impl Fn(&Name) -> bool) {
-        self.lock().retain(|name, host| !host.near || is_there(name));
+        self.lock().retain(|name, host| !host.is_near || is_there(name));
     }
 
-    /// This failure domain has so many other hosts, those that are cut off among them.
+    /// Sets the number of other hosts of this failure domain, including those that are cut off.
     pub fn set_neighbours(&self, count: usize) {
         self.neighbours.store(count, Ordering::Relaxed);
     }
 
-    /// Whether hosts of other failure domains are to be found.
+    /// Whether hosts of other failure domains must be found.
     #[must_use]
     pub fn wants_far(&self, now: Millis) -> bool {
         let hosts = self.lock();
-        let usable = hosts.values().filter(|host| !host.near && host.server.takes_work(now));
+        let usable = hosts.values().filter(|host| !host.is_near && host.server.takes_work(now));
         self.domain(&hosts).needs_other_domains(usable.count())
     }
 
-    /// Whether one takes requests that is not among those tried.
+    /// Whether a host that is not in `tried` takes requests.
     #[must_use]
     pub fn has_untried(&self, tried: &[Name], now: Millis) -> bool {
         self.lock().values().any(|host| is_untried(host, tried, now))
     }
 
-    /// The host that a request goes by which was not sent by those tried; a seed draws it.
+    /// Chooses the host that a request goes through, among those that are not in `tried`. The seed
+    /// draws it.
     #[must_use]
     pub fn choose(&self, tried: &[Name], seed: u64, now: Millis) -> Option<Arc<Backend>> {
         let hosts = self.lock();
         let untried = hosts.values().filter(|host| is_untried(host, tried, now));
-        let (mut near, mut far): (Vec<_>, Vec<_>) = untried.partition(|host| host.near);
-        near.sort_unstable_by_key(|host| host.hash);
-        far.sort_unstable_by_key(|host| host.hash);
+        let (mut near, mut far): (Vec<_>, Vec<_>) = untried.partition(|host| host.is_near);
+        near.sort_unstable_by_key(|host| host.id_hash);
+        far.sort_unstable_by_key(|host| host.id_hash);
         let loads = |hosts: &[&Arc<Backend>]| -> Vec<Load> {
-            hosts.iter().map(|host| host.requests(now)).collect()
+            hosts.iter().map(|host| host.recent_requests(now)).collect()
         };
         match self.domain(&hosts).choose(&loads(&near), &loads(&far), seed)? {
             Choice::SameDomain(index) => Some(Arc::clone(near[index])),
@@ -86,7 +87,7 @@
     }
 
     fn domain(&self, hosts: &HashMap<Name, Arc<Backend>>) -> Domain {
-        let serving = hosts.values().filter(|host| host.near).count();
+        let serving = hosts.values().filter(|host| host.is_near).count();
         let neighbours = self.neighbours.load(Ordering::Relaxed);
         Domain { serving, isolated: 1 + neighbours.saturating_sub(serving) }
     }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,66 +1,67 @@
-//! A stream of events, cut at the ends of events however it arrives.
+//! Splits a stream of events into whole events, however it is cut into pieces on arrival.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event taken; a longer one is no event but a runaway. As much is held for each stream under way.
+/// The longest event that is accepted. A longer one is a runaway, not an event. Each stream in
+/// flight may buffer as much.
 const EVENT_BYTES_MAX: usize = 64 << 10;
-/// Most that comes without an event of a new number; more is no stream but bytes without end.
+/// The most bytes that are accepted without an event with a new number. A stream that sends more is
+/// bytes without end.
 const UNNUMBERED_BYTES_MAX: usize = 1 << 20;
 const BLANK_LINE: &[u8] = b"\n\n";
-const ID: &[u8] = b"id:";
+const ID_FIELD: &[u8] = b"id:";
 
-/// Why a stream can't go on.
+/// Why a stream can't continue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// An event does not end.
+    /// An event exceeds the longest accepted length without an end.
     TooLong,
-    /// Nothing that comes has a new number.
+    /// Too many bytes came without an event with a new number.
     Unnumbered,
 }
 
-/// Passes on whole events only, each once and in order.
+/// Passes on only whole events, each once and in order.
 ///
-/// A backend server that breaks off may do so in the middle of an event. Half an event that was
-/// passed on could not be taken back when the stream goes on elsewhere, so it is kept here until
-/// its end has come. After a resumption the new run may begin with events that the caller has;
-/// those are dropped.
+/// A backend server may break off in the middle of an event. Half an event that was passed on could
+/// not be taken back when the stream resumes elsewhere, so it is buffered until its end has come.
+/// After a resumption the new run may begin with events that the caller has; those are dropped.
 #[derive(Clone, Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     pending: BytesMut,
-    last: Option<u64>,
-    /// Bytes of whole events that have come since the last one with a new number.
+    last_id: Option<u64>,
+    /// Bytes of whole events that have come since the last event with a new number.
     unnumbered: usize,
 }
 
-impl Splitter {
-    /// Behind an event that the caller has.
+impl EventSplitter {
+    /// A splitter that drops events up to the last one that the caller has.
     #[must_use]
-    pub fn behind(last: Option<u64>) -> Self {
-        Self { last, ..Self::default() }
+    pub fn resume_after(last_id: Option<u64>) -> Self {
+        Self { last_id, ..Self::default() }
     }
 
-    /// The last event passed on.
+    /// The number of the last event passed on; `None` if no event had a number.
     #[must_use]
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
-    /// Whether no part of an event is held back.
+    /// Whether no part of an event is buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Takes the next piece; gives what may be passed on, which may be nothing, and how many
-    /// events that is, comments not counted.
+    /// Takes the next piece of the stream. Returns the bytes to pass on, which may be none, and the
+    /// number of events in them without comments.
     ///
     /// # Errors
-    /// [`Fault`]; nothing more can be made of the stream.
+    /// The stream is unusable from here on.
     pub fn feed(&mut self, piece: &Bytes) -> Result<(Bytes, u32), Fault> {
         if self.pending.is_empty() && piece.ends_with(BLANK_LINE) {
-            return self.sift_some(piece);
+            return self.filter_limited(piece);
         }
-        // What was there before has no end but perhaps the first half of one.
+        // The buffered bytes contain no end of an event, except perhaps its first half.
         let seen = self.pending.len().saturating_sub(1);
         self.pending.extend_from_slice(piece);
         let Some(end) = last_end(&self.pending[seen..]).map(|end| seen + end) else {
@@ -70,25 +71,26 @@
             };
         };
         let whole = self.pending.split_to(end).freeze();
-        self.sift_some(&whole)
+        self.filter_limited(&whole)
     }
 
-    /// Of whole events, those that the caller has not got, unless too much has come without a new number.
-    fn sift_some(&mut self, whole: &Bytes) -> Result<(Bytes, u32), Fault> {
-        let before = self.last;
-        let sifted = self.sift(whole);
-        self.unnumbered = match self.last > before {
+    /// The whole events that the caller does not have, unless too many bytes came without a new
+    /// number.
+    fn filter_limited(&mut self, whole: &Bytes) -> Result<(Bytes, u32), Fault> {
+        let before = self.last_id;
+        let filtered = self.filter_new(whole);
+        self.unnumbered = match self.last_id > before {
             true => 0,
             false => self.unnumbered + whole.len(),
         };
         match self.unnumbered > UNNUMBERED_BYTES_MAX {
             true => Err(Fault::Unnumbered),
-            false => Ok(sifted),
+            false => Ok(filtered),
         }
     }
 
-    /// Of whole events, those that the caller has not got.
-    fn sift(&mut self, whole: &Bytes) -> (Bytes, u32) {
+    /// The whole events that the caller does not have.
+    fn filter_new(&mut self, whole: &Bytes) -> (Bytes, u32) {
         let mut kept = 0;
         let mut dropped = false;
         let mut out = BytesMut::new();
@@ -96,7 +98,7 @@
         while let Some(length) = first_end(&whole[at..]) {
             let event = &whole[at..at + length];
             let id = event_id(event);
-            let is_new = id.is_none_or(|id| self.last.is_none_or(|last| id > last));
+            let is_new = id.is_none_or(|id| self.last_id.is_none_or(|last| id > last));
             kept += u32::from(is_new && !is_comment(event));
             match (is_new, dropped) {
                 (true, false) => {}
@@ -108,7 +110,7 @@
                 (false, true) => {}
             }
             if is_new {
-                self.last = id.or(self.last);
+                self.last_id = id.or(self.last_id);
             }
             at += length;
         }
@@ -127,13 +129,13 @@
     bytes.windows(BLANK_LINE.len()).rposition(|two| two == BLANK_LINE).map(|at| at + 2)
 }
 
-/// Whether it says nothing: such are sent to keep a connection open.
+/// Whether the event is only a comment. Comments are sent to keep a connection open.
 fn is_comment(event: &[u8]) -> bool {
     event.split(|byte| *byte == b'\n').all(|line| line.is_empty() || line.starts_with(b":"))
 }
 
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
-    let id = lines.find_map(|line| line.strip_prefix(ID))?;
+    let id = lines.find_map(|line| line.strip_prefix(ID_FIELD))?;
     std::str::from_utf8(id.trim_ascii()).ok()?.parse().ok()
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,10 +1,10 @@
-//! Takes requests that other hosts pass on, which reach no backend server.
+//! Receives requests that other hosts pass on because they reach no backend server.
 //!
-//! The host that has the caller counts the request's tries, and decides what follows on one. A host that it
-//! is passed on to makes a single try: it finds route, account and place, and sends it to one backend
-//! server. Were it to make more, a lost answer or a silent connection would leave the first one with a
-//! count that is too low. It passes requests on to no third host, so that two that are cut off don't ask
-//! each other in turn.
+//! The host that has the caller counts the request's attempts and decides what follows. A host that
+//! the request is passed to makes a single attempt: it finds route, account and backend server, and
+//! sends the request there once. If it made more attempts, a lost answer or a silent connection
+//! would leave the first host with a count that is too low. It does not pass the request on to a
+//! third host, so that two isolated hosts don't ask each other in turn.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,31 +20,33 @@
 };
 use wire::refusal::{Code, Refusal};
 
-use crate::backend::Found;
+use crate::backend::Liveness;
 use crate::codec::Codec;
 use crate::handle;
 use crate::job::Job;
-use crate::recall::{self, Question, Registered};
+use crate::recall::{self, Message, Registration};
 use crate::refuse;
 use crate::state::State;
 
-/// Takes what other hosts pass on.
-pub struct Port<C>(pub Arc<State<C>>);
+/// Handles the requests that other hosts pass on.
+pub struct PeerHandler<C>(pub Arc<State<C>>);
 
-impl<C: Codec> Handler for Port<C> {
+impl<C: Codec> Handler for PeerHandler<C> {
     async fn handle(self: Arc<Self>, mut request: Request<Incoming>) -> Response<Answer> {
         let state = &self.0;
-        if let Some(question) = Question::read(request.headers()) {
-            return recall::response(state.registry.answer(question));
+        if let Some(message) = Message::parse(request.headers()) {
+            return recall::response(state.registry.handle(message));
         }
-        let registered =
-            number(request.headers(), NUMBER).map(|number| state.registry.enter(number));
-        let forwarded = Forwarded { registered, ..Forwarded::take(request.headers_mut()) };
-        let recalled = forwarded.registered.as_ref().map(Registered::recalled);
-        let id = state.codec.ask(request.headers()).id;
+        let registration =
+            header_number(request.headers(), NUMBER).map(|number| state.registry.register(number));
+        let forwarded =
+            ForwardedRequest { registration, ..ForwardedRequest::take_from(request.headers_mut()) };
+        let recalled = forwarded.registration.as_ref().map(Registration::recalled);
+        let id = state.codec.request_info(request.headers()).id;
         tokio::select! {
             response = handle::answer(state, request, Some(forwarded)) => response,
-            // Dropped with its connection to the backend server, which stops the work there.
+            // Dropping the answer closes the connection to the backend server, which stops the work
+            // there.
             () = recalled.unwrap_or_default().cancelled_owned() => {
                 refuse::response(&state.codec, &id, refuse::recalled())
             }
@@ -56,31 +58,31 @@
     }
 }
 
-/// A request of another host's caller.
+/// What another host says of a request that it passes on.
 #[derive(Default)]
-pub struct Forwarded {
-    /// Backend servers that it was sent to before.
+pub struct ForwardedRequest {
+    /// Attempts that were made before.
     pub sent: u32,
-    /// Those that it is not sent to again.
-    pub tried: Vec<Name>,
-    /// Index of the model that is asked, if its host has chosen one.
+    /// Backend servers that the request must not be sent to again.
+    pub excluded: Vec<Name>,
+    /// The index of the requested model, if the route has models to choose from.
     pub model: Option<usize>,
-    /// The version that it stays on.
+    /// The version that the request stays on.
     pub version: Option<Name>,
-    /// Its entry among the requests of other hosts that are under way here.
-    pub registered: Option<Registered>,
+    /// The registration among the requests of other hosts that are in flight here.
+    pub registration: Option<Registration>,
 }
 
-impl Forwarded {
-    /// Takes what its host says of it out of its headers.
-    fn take(headers: &mut HeaderMap) -> Self {
-        let tried = text(headers, TRIED).unwrap_or_default();
+impl ForwardedRequest {
+    /// Takes the other host's statements out of the request's headers.
+    fn take_from(headers: &mut HeaderMap) -> Self {
+        let excluded = header_text(headers, TRIED).unwrap_or_default();
         let forwarded = Self {
-            sent: number(headers, TRIES).unwrap_or_default(),
-            tried: tried.split(',').filter(|id| !id.is_empty()).map(Name::from).collect(),
-            model: number(headers, MODEL),
-            version: text(headers, VERSION).map(Name::from),
-            registered: None,
+            sent: header_number(headers, TRIES).unwrap_or_default(),
+            excluded: excluded.split(',').filter(|id| !id.is_empty()).map(Name::from).collect(),
+            model: header_number(headers, MODEL),
+            version: header_text(headers, VERSION).map(Name::from),
+            registration: None,
         };
         for name in WITH_REQUEST {
             headers.remove(name);
@@ -89,31 +91,32 @@
     }
 }
 
-/// What another host learns of a request that it has passed on here.
-pub fn describe<C: Codec>(job: &Job<C>, headers: &mut HeaderMap) {
+/// Adds the headers that tell another host what became of the request that it passed on.
+pub fn add_report_headers<C: Codec>(job: &Job<C>, headers: &mut HeaderMap) {
     let in_flight = job.state.in_flight.load(Ordering::Relaxed);
     headers.insert(LOAD, HeaderValue::from(in_flight));
-    headers.insert(TRIES, HeaderValue::from(job.tries.sent));
-    let server = job.tries.backend.as_ref();
+    headers.insert(TRIES, HeaderValue::from(job.attempts.sent));
+    let server = job.attempts.backend.as_ref();
     if let Some(server) = server.and_then(|server| HeaderValue::from_str(server).ok()) {
         headers.insert(SERVER, server);
     }
 }
 
-/// The same of one that is refused: also whether a server ended under it.
-pub async fn describe_refused<C: Codec>(job: &mut Job<C>) -> HeaderMap {
+/// The headers that report on a refused request: those of [`add_report_headers`], and whether a
+/// server ended under the request.
+pub async fn refusal_report_headers<C: Codec>(job: &mut Job<C>) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    describe(job, &mut headers);
-    let broke_at = job.tries.broke_at.take();
+    add_report_headers(job, &mut headers);
+    let broke_at = job.attempts.unprobed_server.take();
     if let Some(server) = broke_at
-        && job.state.look(&server).await == Found::Ended
+        && job.state.probe(&server).await == Liveness::Ended
     {
         headers.insert(ENDED, HeaderValue::from_static("1"));
     }
     headers
 }
 
-/// Whether a refusal is this host's own doing, so that another one may do better.
+/// Whether the cause of a refusal lies with this host, so that another host may do better.
 #[must_use]
 pub fn is_for_another_host(refusal: &Refusal) -> bool {
     matches!(
@@ -126,24 +129,25 @@
     )
 }
 
-/// The refusal of a request that another host is to be asked for.
+/// Turns a refusal into one that tells the other host to ask a third one. A host that can't serve
+/// any request says so with [`AWAY`].
 #[must_use]
-pub fn misdirected<C>(state: &State<C>, mut response: Response<Answer>) -> Response<Answer> {
+pub fn mark_misdirected<C>(state: &State<C>, mut response: Response<Answer>) -> Response<Answer> {
     *response.status_mut() = StatusCode::MISDIRECTED_REQUEST;
-    if state.reach.is_isolated() || !state.world.load().is_complete {
+    if state.reach.is_isolated() || !state.snapshot.load().is_complete {
         response.headers_mut().insert(AWAY, HeaderValue::from_static("1"));
     }
     response
 }
 
-/// A header's text.
+/// The value of a header as text; `None` if the header is missing or not text.
 #[must_use]
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A header's number.
+/// The value of a header as a number; `None` if the header is missing or not a number.
 #[must_use]
-pub fn number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
-    text(headers, name)?.parse().ok()
+pub fn header_number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
+    header_text(headers, name)?.parse().ok()
 }
--- a/crates/gateway/src/index.rs
+++ b/crates/gateway/src/index.rs
@@ -1,4 +1,4 @@
-//! The table of routes, indexed for the request path.
+//! The routing table, indexed for the request path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,40 +6,41 @@
 use policy::name::Name;
 use wire::routing::{Account, Limits, Route, Service, Table};
 
-/// A route, and what is worked out of it once.
+/// A route with the values derived from it once per table version.
 #[derive(Clone, Debug)]
-pub struct Known {
-    /// The route.
+pub struct IndexedRoute {
+    /// The route as operators configured it.
     pub route: Route,
-    /// Names under which the times of its answers are kept, by model; one if it has no models.
+    /// The keys of the route's answer times in [`crate::State::timings`], one for each model, or a
+    /// single one if the route has no models.
     pub timings: Vec<Name>,
 }
 
-/// One version of the table.
+/// One version of the routing table.
 #[derive(Debug, Default)]
 pub struct Index {
-    /// Its version.
+    /// The table's version; 0 if there is no table yet.
     pub version: u64,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub limits: Limits,
     /// Services by name.
     pub services: HashMap<Name, Service>,
-    /// By host, longest prefix first.
-    routes: HashMap<Name, Vec<Arc<Known>>>,
+    /// Routes by host name, those with the longest prefix first.
+    routes: HashMap<Name, Vec<Arc<IndexedRoute>>>,
     accounts: HashMap<Name, Arc<Account>>,
 }
 
 impl Index {
-    /// Indexes a table.
+    /// Indexes a routing table.
     #[must_use]
     pub fn new(table: Table) -> Self {
-        let mut routes: HashMap<Name, Vec<Arc<Known>>> = HashMap::new();
+        let mut routes: HashMap<Name, Vec<Arc<IndexedRoute>>> = HashMap::new();
         for route in table.routes {
-            let known = Known { timings: timings(&route), route };
-            routes.entry(known.route.host.clone()).or_default().push(Arc::new(known));
+            let indexed = IndexedRoute { timings: timings(&route), route };
+            routes.entry(indexed.route.host.clone()).or_default().push(Arc::new(indexed));
         }
         for of_host in routes.values_mut() {
-            of_host.sort_by_key(|known| std::cmp::Reverse(known.route.prefix.len()));
+            of_host.sort_by_key(|indexed| std::cmp::Reverse(indexed.route.prefix.len()));
         }
         let mut accounts = HashMap::new();
         for account in table.accounts.into_iter().map(Arc::new) {
@@ -51,23 +52,23 @@
         Self { version: table.version, limits: table.limits, services, routes, accounts }
     }
 
-    /// The route of a host and path: of those whose prefix begins the path, the longest.
+    /// The route for a host name and path: the one with the longest prefix of the path.
     #[must_use]
-    pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Known>> {
+    pub fn route(&self, host: &str, path: &str) -> Option<&Arc<IndexedRoute>> {
         let of_host = match self.routes.get(host) {
             Some(of_host) => of_host,
             None => self.routes.get(host.to_ascii_lowercase().as_str())?,
         };
-        of_host.iter().find(|known| path.starts_with(known.route.prefix.as_str()))
+        of_host.iter().find(|indexed| path.starts_with(indexed.route.prefix.as_str()))
     }
 
-    /// The account that a key belongs to.
+    /// The client account that a key belongs to.
     #[must_use]
     pub fn account(&self, key: &str) -> Option<&Arc<Account>> {
         self.accounts.get(key)
     }
 
-    /// Whether requests need a key at all.
+    /// Whether the table has client accounts, so that requests need a key.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty()
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,24 +1,25 @@
-//! Routed requests: found by host and path, carried to a backend server, answered unchanged.
+//! Carries routed requests: finds the route by host and path, sends the request to a backend server
+//! and passes its answer on unchanged.
 //!
-//! This is the second front end of the data plane; connections, backend servers, callers'
-//! connections and answers are those of `entry`. A request passes [`handle`] (route, account,
-//! body), [`carry`] (which backend server, again or not), [`judge`] (what becomes of an answer)
-//! and, if that is a stream, [`relay`]. What callers and backend servers call things on the wire is behind [`codec::Codec`].
+//! This crate is the second front end of the data plane. Connections, backend servers, callers'
+//! connections and answers come from `entry`. A request passes through [`handle`] (route, account,
+//! body), [`carry`] (choice of backend servers, repeats), [`judge`] (whether an answer is passed
+//! on) and, if the answer is a stream, [`relay`]. The names that callers and backend servers use on
+//! the wire are hidden behind [`codec::Codec`].
 
 pub mod attempt;
 pub mod backend;
 pub mod blame;
 pub mod carry;
-pub mod closed;
 pub mod codec;
 pub mod detour;
+pub mod detour_hosts;
 pub mod end;
 pub mod events;
 pub mod evidence;
 pub mod fingerprint;
 pub mod forward;
 pub mod handle;
-pub mod helpers;
 pub mod index;
 pub mod job;
 pub mod judge;
@@ -33,11 +34,12 @@
 pub mod relay;
 pub mod resume;
 pub mod shed;
+pub mod snapshot;
 pub mod state;
 pub mod timing;
+pub mod unavailable;
 pub mod volume;
 pub mod wait;
-pub mod world;
 
 pub use codec::Codec;
 pub use state::State;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Keeps to what backend servers say that they take, together with the other hosts.
+//! Keeps to the limits that backend servers state. The hosts share each limit between them.
 
 use std::sync::Arc;
 
@@ -12,18 +12,19 @@
 use crate::pool::Pool;
 use crate::state::Peers;
 
-/// Where this host stands among those that may send to a service's servers.
-pub struct Limits {
+/// This host's place among the hosts that may send requests to a service's servers, at one moment.
+pub struct SendLimits {
     peers: Arc<Option<Peers>>,
     domains: usize,
-    /// Rejected requests a second that a server of the service tolerates, if they fall over beyond that.
+    /// Rejected requests a second that a server of the service tolerates before it crashes; `None`
+    /// if it tolerates any number.
     tolerance: Option<f64>,
 }
 
-impl Limits {
-    /// As it is now.
+impl SendLimits {
+    /// The limits for a request at this moment.
     #[must_use]
-    pub fn of<C: Codec>(job: &Job<C>, pool: &Pool) -> Self {
+    pub fn current<C: Codec>(job: &Job<C>, pool: &Pool) -> Self {
         Self {
             peers: job.state.peers.load_full(),
             domains: pool.domains(),
@@ -41,30 +42,30 @@
         let has_room = match (self.tolerance, &place) {
             (None, _) => true,
             (Some(per_second), Some(place)) => backend.has_room(per_second, place, now),
-            // It would take all parts of a server.
+            // Without known peers, this host would use the shares of all hosts at the server.
             (Some(_), None) => false,
         };
         let verdict = |intake: &mut Intake| intake.verdict(place.as_ref(), now);
         has_room && backend.with_intake(verdict) == Verdict::Open
     }
 
-    /// This host sends the server a request.
-    pub fn sent(&self, backend: &Backend, now: Millis) {
+    /// Counts a request that this host is about to send to the server.
+    pub fn record_sent(&self, backend: &Backend, now: Millis) {
         if backend.server.is_restricted() {
             let place = self.place(backend);
             backend.with_intake(|intake| intake.record_sent(place.as_ref(), now));
         }
         if self.tolerance.is_some() {
-            backend.chosen(now);
+            backend.record_chosen(now);
         }
     }
 
     fn place(&self, backend: &Backend) -> Option<Place> {
         let peers = self.peers.as_ref().as_ref()?;
         Some(Place {
-            before: peers.before(backend.hash),
+            before: peers.count_before(backend.id_hash),
             hosts: peers.others.len() + 1,
-            is_near: backend.near,
+            is_near: backend.is_near,
             domains: self.domains,
         })
     }
--- a/crates/gateway/src/paces.rs
+++ b/crates/gateway/src/paces.rs
@@ -1,4 +1,4 @@
-//! What streams of this host showed of their engines' speeds, until the other hosts are notified.
+//! The pace of this host's streams by engine, collected until it is announced to the other hosts.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -7,30 +7,30 @@
 use policy::slowdown::Observation;
 
 policy::domain! {
-    /// What streams of one engine showed, as other hosts are notified of it.
-    pub struct Seen {
-        /// The backend server's start.
+    /// The pace of the streams of one engine, as announced to other hosts.
+    pub struct PaceSample {
+        /// The id of the backend server.
         pub backend: Name,
-        /// What they showed.
+        /// How many streams there were, and how much longer than usual they took.
         pub shown: Observation,
     }
 }
 
-/// By backend server.
+/// Streams not yet announced to the other hosts, by backend server.
 #[derive(Default)]
 pub struct Paces(Mutex<HashMap<Name, Observation>>);
 
 impl Paces {
-    /// A stream of a backend server has ended.
-    pub fn note(&self, backend: &Name, shown: Observation) {
+    /// Records a stream of a backend server that has ended.
+    pub fn record(&self, backend: &Name, shown: Observation) {
         let mut paces = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let held = paces.entry(backend.clone()).or_default();
-        *held = held.merge(shown);
+        let sample = paces.entry(backend.clone()).or_default();
+        *sample = sample.merge(shown);
     }
 
-    /// What the others have not been notified of yet.
-    pub fn take(&self) -> Vec<Seen> {
+    /// Takes what has not yet been announced to the other hosts.
+    pub fn take(&self) -> Vec<PaceSample> {
         let paces = std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
-        paces.into_iter().map(|(backend, shown)| Seen { backend, shown }).collect()
+        paces.into_iter().map(|(backend, shown)| PaceSample { backend, shown }).collect()
     }
 }
--- a/crates/gateway/src/reach.rs
+++ b/crates/gateway/src/reach.rs
@@ -9,59 +9,60 @@
 use policy::sample;
 use tokio::sync::watch;
 
-use crate::backend::look::any_keeps;
-use crate::backend::{Backend, Found};
+use crate::backend::probe::any_accepts;
+use crate::backend::{Backend, Liveness};
 use crate::codec::Codec;
 use crate::state::State;
 
-/// Between two looks for servers that take connections.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// Servers that are looked at at once.
-const LOOKED_AT: usize = 2;
-/// Looks at one server until it is clear whether it has ended. What was lost there is remembered for as
-/// long.
-const LOOKS_MAX: usize = 20;
-/// Others that are looked at before a server that refuses is taken for ended: some may have ended as
-/// well, and nobody knows yet.
-const CONTROLS: usize = 4;
-
-/// What this host knows of its way to the backend servers.
+/// The time between two probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// How many servers are probed at once while this host reaches none.
+const PROBED_COUNT: usize = 2;
+/// The most probes of one server until it is clear whether it has ended. Requests that were lost
+/// with it are remembered for as long as these probes take.
+const PROBES_MAX: usize = 20;
+/// How many other servers are probed before a server that refuses connections counts as ended. Some
+/// of them may have ended as well, which nobody knows yet.
+const CONTROLS_MAX: usize = 4;
+
+/// What this host knows of its connection to the backend servers.
 #[derive(Default)]
-pub struct Reach {
+pub struct Reachability {
     isolation: Mutex<Isolation>,
-    /// Nothing speaks for it: most connections open, and need no lock to say so.
+    /// Whether nothing suggests an isolation. Most connections open, and need no lock to record
+    /// that.
     is_calm: AtomicBool,
     isolated: watch::Sender<bool>,
 }
 
-impl Reach {
+impl Reachability {
     /// Whether this host is cut off from all backend servers.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
         *self.isolated.borrow()
     }
 
-    /// Whether it may be, so that what it sees of servers says nothing of them.
+    /// Whether this host may be cut off, so that its observations say nothing about the servers.
     #[must_use]
     pub fn is_doubtful(&self) -> bool {
         let is_calm = self.is_calm.load(Ordering::Relaxed);
         !is_calm && self.with(|isolation| isolation.may_be_isolated(clock::steady()))
     }
 
-    /// Whether a server is among those that failed since one last answered.
+    /// Whether the server has failed since any server last answered.
     fn has_failed(&self, backend: &Backend) -> bool {
-        self.with(|isolation| isolation.has_failed(backend.hash))
+        self.with(|isolation| isolation.has_failed(backend.id_hash))
     }
 
-    /// Tells when that changes.
+    /// A receiver that is notified when the host becomes isolated or reaches servers again.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<bool> {
         self.isolated.subscribe()
     }
 
-    /// A backend server took no connection, or broke one off without an answer.
-    pub fn failed(&self, backend: &Backend) {
-        if self.with(|isolation| isolation.record_failure(backend.hash, clock::steady())) {
+    /// Records that a backend server accepted no connection, or broke one off without an answer.
+    pub fn record_failure(&self, backend: &Backend) {
+        if self.with(|isolation| isolation.record_failure(backend.id_hash, clock::steady())) {
             log::warn!(target: "route", backend:% = backend.id;
                 "this host reaches no backend server");
             metrics::gauge!("gateway_isolated").set(1.0);
@@ -70,8 +71,9 @@
         }
     }
 
-    /// A backend server answered on a new connection; whether the host had been cut off.
-    fn reached(&self) -> bool {
+    /// Records that a backend server answered on a new connection. Returns whether the host had
+    /// been cut off.
+    fn record_reached(&self) -> bool {
         if self.is_calm.load(Ordering::Relaxed) {
             return false;
         }
@@ -92,62 +94,64 @@
 }
 
 impl<C: Codec> State<C> {
-    /// A backend server answered on a new connection.
-    pub fn reached(&self) {
-        if !self.reach.reached() {
+    /// Records that a backend server answered on a new connection.
+    pub fn record_reached(&self) {
+        if !self.reach.record_reached() {
             return;
         }
-        // It was this host, and not they: to wait for the time that each is held ill would keep
-        // requests on their way by other hosts.
-        let (world, now) = (self.world.load(), clock::steady());
-        let backends = world.pools.values().flat_map(|pool| &pool.backends);
+        // The fault was with this host and not with the servers. If each of them stayed ill for its
+        // time, requests would go on taking the way through other hosts.
+        let (snapshot, now) = (self.snapshot.load(), clock::steady());
+        let backends = snapshot.pools.values().flat_map(|pool| &pool.backends);
         backends.for_each(|backend| backend.server.note_success(now));
     }
 
-    /// Looks for a server that takes connections whenever this host reaches none, until the process ends.
-    pub async fn look_for_servers(self: Arc<Self>) {
+    /// Probes servers whenever this host reaches none, until one accepts connections. Runs until
+    /// the process ends.
+    pub async fn probe_while_isolated(self: Arc<Self>) {
         let mut isolated = self.reach.watch();
-        // The sender lives as long as the state.
+        // The sender exists as long as the state.
         while isolated.wait_for(|isolated| *isolated).await.is_ok() {
-            if any_keeps(&self.some_servers(LOOKED_AT, |_| true)).await {
-                self.reached();
+            if any_accepts(&self.sample_servers(PROBED_COUNT, |_| true)).await {
+                self.record_reached();
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 
-    /// Looks, in the background, whether a server has ended: a connection that breaks alone says nothing
-    /// of the server.
-    pub fn look_soon(self: &Arc<Self>, backend: &Arc<Backend>) {
+    /// Probes in the background whether a server has ended. A single broken connection says nothing
+    /// of its server.
+    pub fn probe_soon(self: &Arc<Self>, backend: &Arc<Backend>) {
         let (state, backend) = (Arc::clone(self), Arc::clone(backend));
         tokio::spawn(async move {
-            for _ in 0..LOOKS_MAX {
-                // Other servers may have ended in the same moment. What was lost here must not be
-                // forgotten for that.
-                if state.look(&backend).await != Found::Unclear {
+            for _ in 0..PROBES_MAX {
+                // Other servers may have ended in the same moment. What was lost with this one must
+                // not be forgotten for that.
+                if state.probe(&backend).await != Liveness::Unclear {
                     return;
                 }
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(PROBE_INTERVAL).await;
             }
         });
     }
 
-    /// Looks whether a server has ended.
-    pub async fn look(&self, backend: &Arc<Backend>) -> Found {
+    /// Probes whether a server has ended.
+    pub async fn probe(&self, backend: &Arc<Backend>) -> Liveness {
         let now = clock::steady();
         let is_well = |other: &Backend| !other.server.is_ill(now) && !self.reach.has_failed(other);
-        let found = backend.look(&self.poison, || self.some_servers(CONTROLS, is_well)).await;
-        if found == Found::Ended && self.reach.is_doubtful() {
-            self.reached();
+        let liveness =
+            backend.probe(&self.poison, || self.sample_servers(CONTROLS_MAX, is_well)).await;
+        if liveness == Liveness::Ended && self.reach.is_doubtful() {
+            self.record_reached();
         }
-        found
+        liveness
     }
 
-    /// Some of the servers that are so, so many at most.
-    fn some_servers(&self, max: usize, is_so: impl Fn(&Backend) -> bool) -> Vec<Arc<Backend>> {
-        let world = self.world.load();
-        let backends = world.pools.values().flat_map(|pool| &pool.backends);
-        let backends: Vec<&Arc<Backend>> = backends.filter(|backend| is_so(backend)).collect();
+    /// A random sample of at most `max` servers for which `matches` is true.
+    fn sample_servers(&self, max: usize, matches: impl Fn(&Backend) -> bool) -> Vec<Arc<Backend>> {
+        let snapshot = self.snapshot.load();
+        let backends = snapshot.pools.values().flat_map(|pool| &pool.backends);
+        let backends: Vec<&Arc<Backend>> = backends.filter(|backend| matches(backend)).collect();
         let drawn = sample::draw(backends.len(), max, rand::random());
         drawn.map(|index| Arc::clone(backends[index])).collect()
     }
--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -8,10 +8,10 @@
 
 use arc_swap::ArcSwap;
 use entry::clock;
-use gateway::backend::{Backend, Restricted};
+use gateway::backend::{Backend, RestrictionNotice};
 use gateway::index::Index;
 use gateway::pool::{Pool, Rollout};
-use gateway::world::World;
+use gateway::snapshot::RoutingSnapshot;
 use policy::canary::{self, Stage};
 use policy::domain;
 use policy::evacuation::{self, Evacuations};
@@ -223,7 +223,7 @@
     /// Limits, pauses and other restrictions that backend servers have recently set on what they
     /// take.
     #[must_use]
-    pub fn restrictions(&self, now: Millis) -> Vec<Restricted> {
+    pub fn restrictions(&self, now: Millis) -> Vec<RestrictionNotice> {
         let inner = self.lock();
         let restricted = inner.backends.values().filter(|backend| backend.server.is_restricted());
         restricted.flat_map(|backend| backend.restrictions(now)).collect()
@@ -232,7 +232,12 @@
     /// Applies a restriction that a peer heard from a backend server, with `from` as the peer's
     /// clock and `now` as this host's. Returns whether a new snapshot must be published. A
     /// restriction from another start of the server is ignored.
-    pub fn accept_restriction(&self, restricted: &Restricted, from: Millis, now: Millis) -> bool {
+    pub fn accept_restriction(
+        &self,
+        restricted: &RestrictionNotice,
+        from: Millis,
+        now: Millis,
+    ) -> bool {
         let backend = self.backend(&restricted.backend);
         let backend = backend.filter(|backend| backend.born == restricted.born);
         let restriction = restricted.restriction.on_clock(from, now);
@@ -322,7 +327,7 @@
     /// The followers of both lists publish, on any thread. The lock is held until the snapshot is
     /// stored: otherwise one built before a routing table arrived could replace the one built after
     /// it, and all requests would be rejected until the next change.
-    pub fn publish(&self, target: &ArcSwap<World>, now: Millis) -> Published {
+    pub fn publish(&self, target: &ArcSwap<RoutingSnapshot>, now: Millis) -> Published {
         let mut inner = self.lock();
         let before = target.load_full();
         let snapshot = inner.build_snapshot(self, now);
@@ -341,7 +346,7 @@
 }
 
 impl Inner {
-    fn build_snapshot(&mut self, catalog: &Catalog, now: Millis) -> World {
+    fn build_snapshot(&mut self, catalog: &Catalog, now: Millis) -> RoutingSnapshot {
         let entries = self.roster.entries(now);
         self.warm_at.retain(|_, until| now < *until);
         let mut backends = HashMap::new();
@@ -361,7 +366,9 @@
             let pool = pools.entry(listed.service.clone()).or_default();
             match listed.draining || backend.server.is_leaving() {
                 true => pool.leaving += 1,
-                false if self.evacuations.is_evacuated(&listed.failure_domain) => pool.evacuated += 1,
+                false if self.evacuations.is_evacuated(&listed.failure_domain) => {
+                    pool.evacuated += 1
+                }
                 false => pool.backends.push(backend),
             }
         }
@@ -382,7 +389,7 @@
                 .get(service)
                 .map(|tracked| pool_rollout(tracked, catalog.exposure_share));
         }
-        World {
+        RoutingSnapshot {
             index: Arc::clone(&self.index),
             revision: self.roster.revision.number,
             is_complete: self.is_complete(),
@@ -429,7 +436,7 @@
     }
 
     /// Servers of an earlier snapshot that are no longer listed or have restarted.
-    fn vanished_servers(&self, before: &World) -> Vec<Name> {
+    fn vanished_servers(&self, before: &RoutingSnapshot) -> Vec<Name> {
         let served = before.pools.values().flat_map(|pool| &pool.backends);
         let vanished = served.filter(|backend| {
             let listed = self.backends.get(&backend.id);
@@ -486,13 +493,13 @@
         .map(|(version, _)| (*version).clone())
 }
 
-fn pool_rollout(tracked: &TrackedRollout, allowed: f64) -> Rollout {
+fn pool_rollout(tracked: &TrackedRollout, exposure_share: f64) -> Rollout {
     Rollout {
         target: tracked.order.target.clone(),
         stage: tracked.record.as_ref().map(|record| record.stage).unwrap_or_default(),
-        began: tracked.started_at,
+        began_at: tracked.started_at,
         within_ms: tracked.order.within_ms,
-        allowed,
+        exposure_share,
         halted: Arc::clone(&tracked.is_halted),
     }
 }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -72,7 +72,7 @@
 }
 
 fn ready<C: Codec>(context: &Context<C>) -> (StatusCode, String) {
-    let snapshot = context.state.world.load();
+    let snapshot = context.state.snapshot.load();
     let (status, why) = match () {
         () if context.state.stop.is_cancelled() => {
             (StatusCode::SERVICE_UNAVAILABLE, "shutting down")
@@ -103,7 +103,7 @@
 }
 
 fn render<C: Codec>(context: &Context<C>) -> String {
-    let snapshot = context.state.world.load();
+    let snapshot = context.state.snapshot.load();
     let in_flight = context.state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
     metrics::gauge!("node_table_version").set(snapshot.index.version as f64);
     metrics::gauge!("node_evacuated_domains").set(context.catalog.evacuated().len() as f64);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use entry::clock;
-use gateway::backend::{Prefill, Restricted, Restriction};
-use gateway::paces::Seen;
+use gateway::backend::{Prefill, Restriction, RestrictionNotice};
+use gateway::paces::PaceSample;
 use gateway::{Codec, State};
 use policy::backlog::Prompt;
 use policy::listing::Listing;
@@ -84,7 +84,7 @@
     /// Long prompts that were just sent to engines.
     pub prefills: mpsc::Receiver<Prefill>,
     /// Restrictions that backend servers have just set on what they take.
-    pub restrictions: mpsc::Receiver<Restricted>,
+    pub restrictions: mpsc::Receiver<RestrictionNotice>,
     /// Other events that peers are notified of.
     pub notices: mpsc::Receiver<Notice>,
 }
@@ -173,8 +173,8 @@
                     sent = tokio::time::Instant::now();
                     self.watch.directory.evict_silent(clock::steady());
                     let directory = &self.watch.directory;
-                    self.state.helpers.retain_near(|name| directory.address(name).is_some());
-                    self.state.helpers.set_neighbours(directory.count());
+                    self.state.detour_hosts.retain_near(|name| directory.address(name).is_some());
+                    self.state.detour_hosts.set_neighbours(directory.count());
                     if has_found {
                         self.watch.update_retry_budget();
                     }
@@ -198,7 +198,7 @@
             Notice::Rollouts => (self.addresses(), self.rollouts()),
             Notice::Counts => (delegate.into_iter().collect(), self.counts()),
             Notice::Suspects => {
-                let new = self.state.poison.with(|book| book.take_for_peers(clock::steady()));
+                let new = self.state.poison.with_book(|book| book.take_for_peers(clock::steady()));
                 (self.addresses(), new.into_iter().map(Entry::Suspect).collect())
             }
             Notice::Incoming(list) => (self.addresses(), vec![Entry::Incoming(list)]),
@@ -216,7 +216,7 @@
     /// Content of a heartbeat.
     fn heartbeat(&self) -> Vec<Entry> {
         let now = clock::steady();
-        let suspects = self.state.poison.with(|book| book.suspects(now));
+        let suspects = self.state.poison.with_book(|book| book.suspects(now));
         let suspects = suspects.into_iter().map(Entry::Suspect);
         self.positions().into_iter().chain(suspects).chain(self.restrictions(now)).collect()
     }
@@ -245,7 +245,7 @@
     fn counts(&self) -> Vec<Entry> {
         let orders = self.watch.catalog.open_orders().into_iter();
         let counts = orders.flat_map(|(service, order)| {
-            let routes = self.state.tally.of(&service).into_iter();
+            let routes = self.state.tally.evidence(&service).into_iter();
             routes.map(move |route| {
                 let routes = vec![route];
                 Entry::Counted(HostCounts { service: service.clone(), order, routes })
@@ -302,15 +302,15 @@
                     is_changed |=
                         self.watch.catalog.accept_restriction(&restricted, message.now, now);
                 }
-                Entry::Seen(Seen { backend, shown }) => {
+                Entry::Seen(PaceSample { backend, shown }) => {
                     if let Some(backend) = self.watch.catalog.backend(&backend) {
-                        backend.note_streams(shown, now);
+                        backend.record_streams(shown, now);
                     }
                 }
                 Entry::Prefill(Prefill { backend, read_ms, rank }) => {
                     metrics::counter!("node_peer_prefills_total").increment(1);
                     if let Some(backend) = self.watch.catalog.backend(&backend) {
-                        backend.announced(Prompt { rank, read_ms: f64::from(read_ms) }, now);
+                        backend.record_announced(Prompt { rank, read_ms: f64::from(read_ms) }, now);
                     }
                 }
             }
@@ -325,11 +325,11 @@
     fn set_forward(&self, host: &Name, forward: Option<SocketAddr>) {
         match forward {
             Some(address) => {
-                self.state.helpers.add(host, address, &self.failure_domain, true);
+                self.state.detour_hosts.add(host, address, &self.failure_domain, true);
             }
-            None => self.state.helpers.remove(host),
+            None => self.state.detour_hosts.remove(host),
         }
-        self.state.helpers.set_neighbours(self.watch.directory.count());
+        self.state.detour_hosts.set_neighbours(self.watch.directory.count());
     }
 
     /// Addresses of all known peers.
--- a/crates/node/src/peers/message.rs
+++ b/crates/node/src/peers/message.rs
@@ -1,7 +1,7 @@
 //! Format of a message between hosts of a failure domain, and its division into datagrams.
 
-use gateway::backend::{Prefill, Restricted};
-use gateway::paces::Seen;
+use gateway::backend::{Prefill, RestrictionNotice};
+use gateway::paces::PaceSample;
 use policy::domain;
 use policy::name::Name;
 use policy::poison::Suspect;
@@ -55,11 +55,11 @@
         /// A request, or a part of prompts, that is suspected of crashing servers.
         Suspect(Suspect),
         /// A restriction that a backend server has set on what it takes.
-        Restricted(Restricted),
+        Restricted(RestrictionNotice),
         /// A long prompt that the sender has just sent to an engine.
         Prefill(Prefill),
         /// What the sender observed of an engine's streams.
-        Seen(Seen),
+        Seen(PaceSample),
     }
 }
 
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use entry::clock;
-use gateway::poison::{Ask, Guard, Trial};
+use gateway::poison::{Guard, TrialMessage, TrialRequest};
 use gateway::{Codec, State};
 use policy::domain;
 use policy::name::Name;
@@ -77,7 +77,11 @@
 impl<S: Store, C: Codec> Poison<S, C> {
     /// Runs until the process ends. On any start but the first of the deployment the rows are read
     /// at once, because the host may have forgotten what it knew.
-    pub async fn run(self: Arc<Self>, mut trials: mpsc::Receiver<Trial>, is_first_start: bool) {
+    pub async fn run(
+        self: Arc<Self>,
+        mut trials: mpsc::Receiver<TrialMessage>,
+        is_first_start: bool,
+    ) {
         if !is_first_start {
             self.guard().alarm();
         }
@@ -86,7 +90,7 @@
         loop {
             tokio::select! {
                 () = self.guard().changed.notified() => {}
-                Ok(()) = era.changed() => self.guard().with(|book| book.mark_own_unsent()),
+                Ok(()) = era.changed() => self.guard().with_book(|book| book.mark_own_unsent()),
                 () = tokio::time::sleep(POLL_INTERVAL), if self.guard().is_awake() => {}
                 Some(trial) = trials.recv() => {
                     let poison = Arc::clone(&self);
@@ -108,18 +112,20 @@
     }
 
     async fn synchronize(&self, clocks: &mut Option<ClockPair>) -> Result<(), Error> {
-        if self.guard().with(|book| book.has_unsent()) {
+        if self.guard().with_book(|book| book.has_unsent()) {
             self.watch.notify(Notice::Suspects);
         }
-        if self.guard().polls(|polls| polls.is_due(clock::steady())) && self.watch.is_delegate() {
+        if self.guard().with_polls(|polls| polls.is_due(clock::steady()))
+            && self.watch.is_delegate()
+        {
             self.read(clocks).await?;
         }
-        let Some(row) = self.guard().with(|book| book.take_store_row(clock::steady())) else {
+        let Some(row) = self.guard().with_book(|book| book.take_store_row(clock::steady())) else {
             return Ok(());
         };
         let written = self.write(&row, clocks).await;
         if written.is_err() {
-            self.guard().with(|book| book.mark_unsent(&row));
+            self.guard().with_book(|book| book.mark_unsent(&row));
         }
         written
     }
@@ -129,7 +135,7 @@
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, SUSPECTS_PREFIX).await;
         let now = clock::steady();
         let learnt = rows.as_ref().map_or(0, |rows| self.accept_rows(rows, now));
-        self.guard().polls(|polls| polls.record_read(learnt > 0, now));
+        self.guard().with_polls(|polls| polls.record_read(learnt > 0, now));
         let rows = rows?;
         *clocks = Some(ClockPair { local: now, store: Millis(rows.now_ms) });
         if learnt > 0 {
@@ -174,10 +180,10 @@
         Ok(())
     }
 
-    async fn handle_trial(&self, trial: Trial) {
+    async fn handle_trial(&self, trial: TrialMessage) {
         match trial {
-            Trial::Ask(ask) => self.decide_trial(ask).await,
-            Trial::Answered(digest) => {
+            TrialMessage::Request(ask) => self.decide_trial(ask).await,
+            TrialMessage::Answered(digest) => {
                 let written = self.write_answered(digest).await;
                 written.unwrap_or_else(|error| {
                     log::warn!(target: "poison", digest:% = digest, error:% = error;
@@ -190,7 +196,7 @@
     /// Answers whether this host may try a suspect request. If the store can't be reached, nobody
     /// can tell whether another host tries it too. A request that is held stays held then; one that
     /// is not held is allowed, since it would be rejected only because the store is away.
-    async fn decide_trial(&self, ask: Ask) {
+    async fn decide_trial(&self, ask: TrialRequest) {
         let granted = self.try_grant(&ask).await.unwrap_or_else(|error| {
             let granted = ask.alone_ms <= TRIAL_MS;
             log::warn!(target: "poison", digest:% = ask.digest, servers = ask.servers, granted,
@@ -203,7 +209,7 @@
 
     /// Claims a trial in the store, so that no other host tries the request for a while. Also
     /// returns true if a server has answered another host's trial.
-    async fn try_grant(&self, ask: &Ask) -> Result<bool, Error> {
+    async fn try_grant(&self, ask: &TrialRequest) -> Result<bool, Error> {
         let key = claim_key(ask.digest);
         let rows = self.watch.store.rows(record::NO_GROUP, TABLE, &key).await?;
         let now = clock::steady();
@@ -223,7 +229,8 @@
             };
             self.guard().learn(&answered.on_clock(Millis(rows.now_ms), now), Source::Store);
             let fingerprint = Fingerprint::from_request(ask.digest);
-            if self.guard().with(|book| book.judge(&fingerprint, now)).verdict == Verdict::Run {
+            if self.guard().with_book(|book| book.judge(&fingerprint, now)).verdict == Verdict::Run
+            {
                 return Ok(true);
             }
         }
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -122,7 +122,7 @@
         followers: &[Follower],
         now: Millis,
     ) -> Self {
-        let snapshot = state.world.load();
+        let snapshot = state.snapshot.load();
         let services = snapshot.pools.iter().map(|(name, pool)| (name.clone(), service(pool, now)));
         let requests = state.in_flight.load(std::sync::atomic::Ordering::Relaxed);
         Self {
@@ -149,7 +149,7 @@
             requests: requests as u64,
             held: state
                 .poison
-                .with(|book| book.suspects(now))
+                .with_book(|book| book.suspects(now))
                 .iter()
                 .map(|s| held_suspect(s, now))
                 .collect(),
@@ -178,7 +178,7 @@
             target: rollout.target.clone(),
             stage: rollout.stage,
             share: rollout.share(now),
-            age_ms: now.since(rollout.began),
+            age_ms: now.since(rollout.began_at),
         }),
         leaving: pool.leaving,
         evacuated: pool.evacuated,
@@ -187,7 +187,7 @@
 }
 
 fn backend(backend: &gateway::backend::Backend, now: Millis) -> Backend {
-    let seen = backend.seen(0, &[], u8::MAX, now);
+    let seen = backend.estimate(0, &[], u8::MAX, now);
     Backend {
         version: backend.version.clone(),
         address: backend.server.address.to_string(),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -126,12 +126,12 @@
     /// Builds a snapshot and publishes it to requests. Servers that have vanished since the
     /// snapshot before are reported as possible crashes.
     pub fn publish(&self) {
-        let published = self.catalog.publish(&self.state.world, clock::steady());
+        let published = self.catalog.publish(&self.state.snapshot, clock::steady());
         if published.is_complete {
             self.state.started.cancel();
         }
         for server in &published.vanished_servers {
-            self.state.poison.ended(server);
+            self.state.poison.record_ended(server);
         }
         if !published.vanished_servers.is_empty() {
             self.state.poison.alarm();
--- a/crates/node/tests/catalog.rs
+++ b/crates/node/tests/catalog.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use arc_swap::ArcSwap;
-use gateway::world::World;
+use gateway::snapshot::RoutingSnapshot;
 use node::catalog::Catalog;
 use policy::evacuation;
 use policy::name::Name;
@@ -19,7 +19,7 @@
 #[test]
 fn publish_newest_table_stays() {
     let catalog = Arc::new(Catalog::new(Name::from("a")));
-    let target = Arc::new(ArcSwap::from_pointee(World::default()));
+    let target = Arc::new(ArcSwap::from_pointee(RoutingSnapshot::default()));
     let ended = Arc::new(AtomicBool::new(false));
     let other = {
         let (catalog, target, ended) =
@@ -58,7 +58,7 @@
 
 /// Remaining warm-up of a server right after it was listed so, in milliseconds.
 fn warmup_ms(listed: wire::routing::Backend) -> u64 {
-    let (catalog, target) = (catalog(), ArcSwap::from_pointee(World::default()));
+    let (catalog, target) = (catalog(), ArcSwap::from_pointee(RoutingSnapshot::default()));
     catalog.with_roster(|roster| roster.put(listed.clone(), 1.into()));
     catalog.set_warmup(&listed, NOW);
     catalog.publish(&target, NOW);
@@ -77,7 +77,7 @@
     catalog
 }
 
-fn remaining_warmup_ms(target: &ArcSwap<World>, now: Millis) -> u64 {
+fn remaining_warmup_ms(target: &ArcSwap<RoutingSnapshot>, now: Millis) -> u64 {
     let snapshot = target.load();
     let backend = &snapshot.pools[SERVICE].backends[0];
     backend.with_intake(|intake| intake.throttle.warmup_ms(now))
@@ -105,7 +105,7 @@
 /// domain ends.
 #[test]
 fn accept_evacuations_end_leaves_servers_cold() {
-    let (catalog, target) = (catalog(), ArcSwap::from_pointee(World::default()));
+    let (catalog, target) = (catalog(), ArcSwap::from_pointee(RoutingSnapshot::default()));
     let listed = server("b", Some(0));
     catalog.with_roster(|roster| roster.put(listed.clone(), 1.into()));
     let entry = |revision, failure_domain| evacuation::Entry {
