--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -351,24 +351,21 @@
         self.warm_at.retain(|_, until| now < *until);
         let mut backends = HashMap::new();
         let mut pools: HashMap<Name, Pool> = HashMap::new();
-        for listed in &entries {
-            let is_near = listed.failure_domain == catalog.failure_domain;
-            let old = self.backends.remove(&listed.id).or_else(|| self.unlisted.remove(&listed.id));
+        for row in &entries {
+            let is_near = row.failure_domain == catalog.failure_domain;
+            let old = self.backends.remove(&row.id).or_else(|| self.unlisted.remove(&row.id));
             // A server that has restarted knows nothing of its previous run. Its caches, load and
             // connections are new, so it gets a new state.
-            let old =
-                old.filter(|old| old.server.address == listed.address && old.born == listed.born);
-            let backend = old.unwrap_or_else(|| Arc::new(Backend::new(listed, is_near)));
-            if let Some(limit) = self.warmup_limit(listed, now) {
+            let old = old.filter(|old| old.server.address == row.address && old.born == row.born);
+            let backend = old.unwrap_or_else(|| Arc::new(Backend::new(row, is_near)));
+            if let Some(limit) = self.warmup_limit(row, now) {
                 backend.learn_limit(limit, now);
             }
-            backends.insert(listed.id.clone(), Arc::clone(&backend));
-            let pool = pools.entry(listed.service.clone()).or_default();
-            match listed.draining || backend.server.is_leaving() {
+            backends.insert(row.id.clone(), Arc::clone(&backend));
+            let pool = pools.entry(row.service.clone()).or_default();
+            match row.draining || backend.server.is_leaving() {
                 true => pool.leaving += 1,
-                false if self.evacuations.is_evacuated(&listed.failure_domain) => {
-                    pool.evacuated += 1
-                }
+                false if self.evacuations.is_evacuated(&row.failure_domain) => pool.evacuated += 1,
                 false => pool.backends.push(backend),
             }
         }
