--- a/crates/control/benches/configuration.rs
+++ b/crates/control/benches/configuration.rs
@@ -12,7 +12,7 @@
 use common::{Deployment, document_with_slots, domain};
 use standin::proxy::Mode;
 use wire::settings::Control;
-use wire::view::Ask;
+use wire::view::ViewRequest;
 
 const HOSTS: usize = 7;
 const ROUNDS: u32 = 30;
@@ -94,13 +94,18 @@
 /// When a host first gave a view of that generation.
 async fn seen(deployment: &Deployment, host: usize, generation: u64) -> Instant {
     // Without a name it is not waited for by the change's own answer.
-    let mut ask = Ask::default();
+    let mut ask = ViewRequest::default();
     loop {
         let view = deployment.view(host, ask.clone()).await;
         if view.generation >= generation {
             return Instant::now();
         }
-        ask = Ask { incarnation: view.incarnation, revision: view.revision, wait_ms: 5_000, ..ask };
+        ask = ViewRequest {
+            incarnation: view.incarnation,
+            revision: view.revision,
+            wait_ms: 5_000,
+            ..ask
+        };
     }
 }
 
--- a/crates/control/src/bills.rs
+++ b/crates/control/src/bills.rs
@@ -17,7 +17,7 @@
 use policy::name::Name;
 use tokio::sync::{Notify, watch};
 use tokio_util::sync::{CancellationToken, DropGuard};
-use wire::bill::{Audit, Bill, Held, Hold};
+use wire::bill::{Audit, Bill, BillAnswer, HoldRequest};
 
 use crate::bills::book::{Book, Id};
 use crate::node::{Node, now};
@@ -75,7 +75,7 @@
     }
 
     /// Takes bills; answers when another control holds them too, or none is in reach.
-    pub async fn add(&self, bills: Vec<Bill>) -> Held {
+    pub async fn add(&self, bills: Vec<Bill>) -> BillAnswer {
         let me = &self.inner.node.incarnation;
         let mut by_log = BTreeMap::<Name, Vec<Bill>>::new();
         for mut bill in bills {
@@ -84,34 +84,34 @@
             }
             by_log.entry(bill.log.clone()).or_default().push(bill);
         }
-        let mut worst = Held::Twice;
+        let mut worst = BillAnswer::Twice;
         for (log, bills) in by_log {
             let held = match &log {
                 own if own == me => self.inner.keep(&log, bills).await,
                 _ => self.add_elsewhere(log, bills).await,
             };
             worst = match (worst, held) {
-                (Held::Full, _) | (_, Held::Full) => Held::Full,
-                (Held::Once, _) | (_, Held::Once) => Held::Once,
-                (Held::Twice, Held::Twice) => Held::Twice,
+                (BillAnswer::Full, _) | (_, BillAnswer::Full) => BillAnswer::Full,
+                (BillAnswer::Once, _) | (_, BillAnswer::Once) => BillAnswer::Once,
+                (BillAnswer::Twice, BillAnswer::Twice) => BillAnswer::Twice,
             };
         }
         worst
     }
 
     /// A bill whose log is another's: that one takes it if it can be reached.
-    async fn add_elsewhere(&self, log: Name, bills: Vec<Bill>) -> Held {
-        let hold = Hold { log: log.clone(), keeper: log.clone(), from: 0, bills };
+    async fn add_elsewhere(&self, log: Name, bills: Vec<Bill>) -> BillAnswer {
+        let hold = HoldRequest { log: log.clone(), keeper: log.clone(), from: 0, bills };
         match self.inner.hold_at(&log, &hold).await {
-            true => Held::Twice,
+            true => BillAnswer::Twice,
             false => self.inner.keep(&log, hold.bills).await,
         }
     }
 
     /// Holds bills for another control; false at the memory bound.
-    pub async fn hold(&self, hold: Hold) -> bool {
+    pub async fn hold(&self, hold: HoldRequest) -> bool {
         if hold.log == self.inner.node.incarnation {
-            return matches!(self.inner.keep(&hold.log, hold.bills).await, Held::Twice);
+            return matches!(self.inner.keep(&hold.log, hold.bills).await, BillAnswer::Twice);
         }
         self.inner.store(Id { log: hold.log, keeper: hold.keeper }, hold.from, hold.bills)
     }
@@ -160,21 +160,21 @@
 
 impl Inner {
     /// Keeps bills here, and waits until the copying that began after it is over.
-    async fn keep(&self, log: &Name, bills: Vec<Bill>) -> Held {
+    async fn keep(&self, log: &Name, bills: Vec<Bill>) -> BillAnswer {
         let requests: Vec<_> = bills.iter().map(|bill| bill.request.clone()).collect();
         let id = Id { log: log.clone(), keeper: self.node.incarnation.clone() };
         if !self.store(id.clone(), 0, bills) {
-            return Held::Full;
+            return BillAnswer::Full;
         }
         let round = self.begun.load(Ordering::SeqCst) + 1;
         let mut ended = self.ended.subscribe();
         self.work.notify_one();
         if ended.wait_for(|ended| *ended >= round).await.is_err() {
-            return Held::Once;
+            return BillAnswer::Once;
         }
         match self.with_book(&id, |book| requests.iter().all(|request| book.safe(request))) {
-            true => Held::Twice,
-            false => Held::Once,
+            true => BillAnswer::Twice,
+            false => BillAnswer::Once,
         }
     }
 
@@ -230,7 +230,7 @@
     }
 
     /// Asks one control to hold bills.
-    async fn hold_at(&self, incarnation: &str, hold: &Hold) -> bool {
+    async fn hold_at(&self, incarnation: &str, hold: &HoldRequest) -> bool {
         if !self.node.peers.is_alive(incarnation, now()) {
             return false;
         }
--- a/crates/control/src/bills/copy.rs
+++ b/crates/control/src/bills/copy.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 
 use policy::name::Name;
-use wire::bill::Hold;
+use wire::bill::HoldRequest;
 
 use crate::bills::book::Book;
 use crate::bills::{Inner, lock};
@@ -67,7 +67,7 @@
         let hold = {
             let book = lock(book);
             let (log, keeper) = (book.id.log.clone(), self.node.incarnation.clone());
-            Hold { log, keeper, from: book.floor(), bills }
+            HoldRequest { log, keeper, from: book.floor(), bills }
         };
         let held = self.hold_at(holder, &hold).await;
         if held {
--- a/crates/control/src/bills/flush.rs
+++ b/crates/control/src/bills/flush.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use policy::name::Name;
-use wire::bill::{self, Batch, Bill, Hold};
+use wire::bill::{self, Batch, Bill, HoldRequest};
 
 use crate::bills::book::Book;
 use crate::bills::copy::HOLD_MAX;
@@ -81,7 +81,7 @@
     }
 
     async fn read(&self, book: &Mutex<Book>, log: &Name, number: u64) -> Result<(), Error> {
-        let object = self.node.store.object(&bill::object(log, number)).await?;
+        let object = self.node.store.object(&bill::object_name(log, number)).await?;
         let Some(bytes) = object else {
             lock(book).at_end = true;
             return Ok(());
@@ -104,7 +104,7 @@
         let writer = self.node.incarnation.clone();
         let batch = Batch { incarnation: log.clone(), number, writer, bills };
         let bytes = serde_json::to_vec(&batch).map_err(|e| Error::Refused(e.to_string()))?;
-        let name = bill::object(log, number);
+        let name = bill::object_name(log, number);
         match self.node.store.put_if_absent(&name, bytes.into()).await {
             Ok(true) => lock(book).stands(number, &batch.bills, now()),
             Ok(false) => lock(book).at_end = false,
@@ -122,7 +122,7 @@
             let book = lock(book);
             let log = book.id.log.clone();
             let bills: Vec<_> = book.log.pending().values().take(HOLD_MAX).cloned().collect();
-            Hold { keeper: log.clone(), log, from: 0, bills }
+            HoldRequest { keeper: log.clone(), log, from: 0, bills }
         };
         let foreign = hold.log != self.node.incarnation;
         if foreign && !hold.bills.is_empty() && self.hold_at(&hold.log, &hold).await {
--- a/crates/control/src/burn.rs
+++ b/crates/control/src/burn.rs
@@ -10,7 +10,7 @@
 use policy::name::Name;
 use policy::time::Millis;
 use wire::configuration::Document;
-use wire::gossip::Level;
+use wire::gossip::LevelCounts;
 
 pub use plot::svg;
 
@@ -57,7 +57,7 @@
     }
 
     /// Adds counts of one piece of news.
-    pub fn count(&self, levels: &[Level], now: Millis) {
+    pub fn count(&self, levels: &[LevelCounts], now: Millis) {
         let mut all = self.series();
         for level in levels {
             let counts = Counts { good: level.good, total: level.total };
--- a/crates/control/src/configuration.rs
+++ b/crates/control/src/configuration.rs
@@ -135,7 +135,7 @@
     /// When it is not a whole document.
     pub fn adopt(&self, text: &str) -> Result<bool, Error> {
         let document =
-            check::accepted(text).map_err(|fault| Error::Malformed(fault.to_string()))?;
+            check::parse_accepted(text).map_err(|fault| Error::Malformed(fault.to_string()))?;
         let generation = document.generation;
         let mut next = InForce { generation, document, text: text.to_owned(), change: None };
         next.change = patch::between(&self.in_force(), &next);
@@ -201,7 +201,7 @@
             return Some(in_force.document.clone());
         }
         let row = self.node.store.row(TABLE, &document_key(generation)).await.ok()??;
-        check::accepted(&decode::<Kept>(&row.value).ok()?.text).ok()
+        check::parse_accepted(&decode::<Kept>(&row.value).ok()?.text).ok()
     }
 
     /// Takes a generation as the change from the one in force here, if it is that.
--- a/crates/control/src/configuration/accept.rs
+++ b/crates/control/src/configuration/accept.rs
@@ -55,7 +55,7 @@
     /// # Errors
     /// Any [`Refused`].
     pub async fn accept(&self, text: &str, change: &str) -> Result<u64, Refused> {
-        if !wire::settings::is_name(change) {
+        if !wire::settings::is_valid_name(change) {
             return Err(Refused::Change);
         }
         let document = check::parse(text).map_err(Refused::Faults)?;
--- a/crates/control/src/exposure.rs
+++ b/crates/control/src/exposure.rs
@@ -17,7 +17,7 @@
 use policy::time::Millis;
 use tokio::sync::{broadcast, watch};
 use wire::evidence::Report;
-use wire::gossip::{Digest, Forwarded, Mark, News};
+use wire::gossip::{Digest, ForwardedCounts, Mark, News};
 use wire::view::Estimate;
 
 use self::gathered::Gathered;
@@ -67,7 +67,7 @@
     }
 
     /// Takes in what another control of the failure domain gathered.
-    pub fn forwarded(&self, from: &Name, forwarded: Forwarded) {
+    pub fn forwarded(&self, from: &Name, forwarded: ForwardedCounts) {
         if !self.is_repeated(from, forwarded.number) {
             lock(&self.gathered).add(forwarded.counts);
         }
@@ -90,7 +90,7 @@
                 continue;
             };
             number += 1;
-            let forwarded = Some(Forwarded { number, counts: counts.clone() });
+            let forwarded = Some(ForwardedCounts { number, counts: counts.clone() });
             let digest = Digest { forwarded, ..self.gossip.digest(now) };
             if self.gossip.call(&reporter, digest).await.is_none() {
                 // It may have arrived. Counting a few answers twice is the lesser evil: evidence
--- a/crates/control/src/exposure/gathered.rs
+++ b/crates/control/src/exposure/gathered.rs
@@ -5,7 +5,7 @@
 use policy::name::Name;
 use wire::configuration::{Document, ServiceLevel};
 use wire::evidence::{Evidence, Outcome, Report};
-use wire::gossip::{Counts, Level};
+use wire::gossip::{Counts, LevelCounts};
 
 /// Ratings held of one version and task; the oldest go first when no reporter is in reach.
 const RATED_MAX: usize = 2_000;
@@ -61,8 +61,8 @@
     pub fn take(&mut self, generation: u64) -> Option<Counts> {
         let evidence: Vec<Evidence> = std::mem::take(&mut self.evidence).into_values().collect();
         let levels = std::mem::take(&mut self.levels).into_iter();
-        let levels: Vec<Level> =
-            levels.map(|(name, (good, total))| Level { name, good, total }).collect();
+        let levels: Vec<LevelCounts> =
+            levels.map(|(name, (good, total))| LevelCounts { name, good, total }).collect();
         match evidence.is_empty() && levels.is_empty() {
             true => None,
             false => Some(Counts { generation, evidence, levels }),
--- a/crates/control/src/gossip.rs
+++ b/crates/control/src/gossip.rs
@@ -230,7 +230,7 @@
 
     /// Takes document, hosts and marks from a peer's view, as a starting control does.
     pub async fn view_from(&self, member: &Member) {
-        let ask = wire::view::Ask::default();
+        let ask = wire::view::ViewRequest::default();
         let answer = member
             .link
             .call(CALL, |client, context| async move { client.view(context, ask).await });
--- a/crates/control/src/operators/console/diff.rs
+++ b/crates/control/src/operators/console/diff.rs
@@ -1,7 +1,7 @@
 //! What differs between two documents, member by member, for an operator who lost a race.
 
 use serde_json::Value;
-use wire::fault::join;
+use wire::fault::join_path;
 
 /// Differences shown at most.
 const SHOWN_MAX: usize = 50;
@@ -35,7 +35,7 @@
         (Some(Value::Object(old)), Some(Value::Object(new))) => {
             let added = new.keys().filter(|key| !old.contains_key(*key));
             for key in old.keys().chain(added) {
-                walk(&join(path, key), old.get(key), new.get(key), found);
+                walk(&join_path(path, key), old.get(key), new.get(key), found);
             }
         }
         // The value is the secret itself; that it changed is all to be shown.
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -9,14 +9,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
-use wire::bill::{Bill, Held, Hold};
+use wire::bill::{Bill, BillAnswer, HoldRequest};
 use wire::claim::{Claim, ClaimAnswer, Pin, PinAnswer};
 use wire::evidence::Report;
 use wire::gossip::{Delta, Digest};
 use wire::peer::Key;
 use wire::rpc::Control;
-use wire::shard::{Append, Appended, Home, Known, Reply};
-use wire::view::{Ask, View};
+use wire::shard::{Append, Appended, Home, Reply, ShardTable};
+use wire::view::{View, ViewRequest};
 
 use crate::accept;
 use crate::node;
@@ -29,7 +29,7 @@
 }
 
 impl Control for Server {
-    async fn view(self, _: Context, ask: Ask) -> View {
+    async fn view(self, _: Context, ask: ViewRequest) -> View {
         self.process.views.answer(ask).await
     }
 
@@ -45,7 +45,7 @@
         self.process.shards.pin(pin).await
     }
 
-    async fn bill(self, _: Context, bills: Vec<Bill>) -> Held {
+    async fn bill(self, _: Context, bills: Vec<Bill>) -> BillAnswer {
         self.process.ledger.add(bills).await
     }
 
@@ -86,7 +86,7 @@
         self.process.shards.owner_abandon(home, claim).await
     }
 
-    async fn shards(self, _: Context) -> Known {
+    async fn shards(self, _: Context) -> ShardTable {
         self.process.shards.known()
     }
 
@@ -98,7 +98,7 @@
         self.process.shards.append(append).await
     }
 
-    async fn hold(self, _: Context, hold: Hold) -> bool {
+    async fn hold(self, _: Context, hold: HoldRequest) -> bool {
         self.process.ledger.hold(hold).await
     }
 
--- a/crates/control/src/shards.rs
+++ b/crates/control/src/shards.rs
@@ -23,7 +23,7 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use wire::claim::{Claim, ClaimAnswer, Pin, PinAnswer};
 use wire::host::List;
-use wire::shard::{Append, Appended, Known, Reply};
+use wire::shard::{Append, Appended, Reply, ShardTable};
 
 use crate::node::Node;
 use crate::shards::cell::Cell;
@@ -136,7 +136,7 @@
 
     /// What is known here of the table.
     #[must_use]
-    pub fn known(&self) -> Known {
+    pub fn known(&self) -> ShardTable {
         self.inner.table.known()
     }
 
--- a/crates/control/src/shards/table.rs
+++ b/crates/control/src/shards/table.rs
@@ -9,7 +9,7 @@
 use policy::name::Name;
 use policy::revision::Revision;
 use policy::time::Millis;
-use wire::shard::{Holder, Known};
+use wire::shard::{Holder, ShardTable};
 use wire::store::{Condition, Row, Transaction, Write};
 
 use crate::node::now;
@@ -121,14 +121,14 @@
 
     /// All that is known.
     #[must_use]
-    pub fn known(&self) -> Known {
+    pub fn known(&self) -> ShardTable {
         let rows = self.rows.read().unwrap_or_else(PoisonError::into_inner);
         let holders = rows.iter().map(|(home, holder)| (home.clone(), holder.clone())).collect();
-        Known { layout: self.layout(), holders }
+        ShardTable { layout: self.layout(), holders }
     }
 
     /// Takes in what another control knows.
-    pub fn learn_all(&self, known: Known) {
+    pub fn learn_all(&self, known: ShardTable) {
         for (home, holder) in &known.holders {
             self.learn(home, holder);
         }
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -7,7 +7,7 @@
 use policy::name::Name;
 use policy::time::Millis;
 use tokio::sync::watch;
-use wire::view::{Ask, View};
+use wire::view::{View, ViewRequest};
 
 use crate::bills::Ledger;
 use crate::exposure;
@@ -91,7 +91,7 @@
     }
 
     /// Answers an entry, at once if it lacks something, otherwise at the next change.
-    pub async fn answer(&self, ask: Ask) -> View {
+    pub async fn answer(&self, ask: ViewRequest) -> View {
         let ours = ask.incarnation == self.gossip.node.incarnation;
         self.note(&ask, ours);
         let mut revision = self.revision.subscribe();
@@ -103,7 +103,7 @@
         self.view(&ask, ours)
     }
 
-    fn view(&self, ask: &Ask, ours: bool) -> View {
+    fn view(&self, ask: &ViewRequest, ours: bool) -> View {
         // Before the parts are read: a change in between makes one more revision, not none.
         let revision = *self.revision.borrow();
         let now = node::now();
@@ -134,7 +134,7 @@
     }
 
     /// Notes what the asker has: the generation it was sent, if that answer reached it.
-    fn note(&self, ask: &Ask, ours: bool) {
+    fn note(&self, ask: &ViewRequest, ours: bool) {
         if ask.entry.is_empty() {
             return;
         }
--- a/crates/control/tests/bills.rs
+++ b/crates/control/tests/bills.rs
@@ -10,7 +10,7 @@
 use policy::name::Name;
 use standin::fault::Down;
 use standin::platform::fault::Faults;
-use wire::bill::{Audit, Bill, Held};
+use wire::bill::{Audit, Bill, BillAnswer};
 use wire::peer::Link;
 
 const WITHIN: Duration = Duration::from_secs(20);
@@ -32,7 +32,7 @@
     (0..count).map(|index| format!("{prefix}-{index}")).collect()
 }
 
-async fn send(link: &Link, bills: Vec<Bill>) -> Option<Held> {
+async fn send(link: &Link, bills: Vec<Bill>) -> Option<BillAnswer> {
     let sent =
         link.call(WITHIN, |client, context| async move { client.bill(context, bills).await });
     sent.await.ok()
@@ -41,10 +41,10 @@
 impl Deployment {
     /// The log that an entry with this host's view names.
     async fn log(&self, number: usize) -> Name {
-        self.view(number, wire::view::Ask::default()).await.incarnation
+        self.view(number, wire::view::ViewRequest::default()).await.incarnation
     }
 
-    async fn bill(&self, number: usize, log: &Name, requests: &[String]) -> Option<Held> {
+    async fn bill(&self, number: usize, log: &Name, requests: &[String]) -> Option<BillAnswer> {
         let bills = requests.iter().map(|request| bill(request, log)).collect();
         send(&self.link(number), bills).await
     }
@@ -91,8 +91,8 @@
     let log = deployment.log(0).await;
     let all = requests("again", 60);
     for (index, some) in all.chunks(10).enumerate() {
-        assert_eq!(deployment.bill(0, &log, some).await, Some(Held::Twice));
-        assert_eq!(deployment.bill(index % 4, &log, some).await, Some(Held::Twice));
+        assert_eq!(deployment.bill(0, &log, some).await, Some(BillAnswer::Twice));
+        assert_eq!(deployment.bill(index % 4, &log, some).await, Some(BillAnswer::Twice));
     }
     deployment.wait_billed_once(&all).await;
     wait_for("nothing pending", || async {
@@ -112,7 +112,7 @@
         platform(&deployment, Faults { down, ..Faults::default() });
         let log = deployment.log(1).await;
         let all = requests(prefix, 20);
-        assert_eq!(deployment.bill(1, &log, &all).await, Some(Held::Twice));
+        assert_eq!(deployment.bill(1, &log, &all).await, Some(BillAnswer::Twice));
     }
     deployment.kill(1);
     // The holder finds that its peer is gone and gives a copy to a third; then it dies too.
@@ -135,7 +135,7 @@
     platform(&deployment, Faults { down: Down::Cut, ..Faults::default() });
     let log = deployment.log(0).await;
     let all = requests("holder", 20);
-    assert_eq!(deployment.bill(0, &log, &all).await, Some(Held::Twice));
+    assert_eq!(deployment.bill(0, &log, &all).await, Some(BillAnswer::Twice));
     assert_eq!(deployment.held(1).await, 20);
     deployment.kill(1);
     wait_for("a third holder", || async {
@@ -156,14 +156,14 @@
     platform(&deployment, Faults { down: Down::Unavailable, ..Faults::default() });
     let log = deployment.log(0).await;
     let all = requests("paused", 30);
-    assert_eq!(deployment.bill(0, &log, &all).await, Some(Held::Twice));
+    assert_eq!(deployment.bill(0, &log, &all).await, Some(BillAnswer::Twice));
     let paused = deployment.pause(0);
     platform(&deployment, Faults { lose_answers: 6, ..Faults::default() });
     deployment.wait_billed_once(&all).await;
     drop(paused);
     let more = requests("resumed", 10);
     wait_for("it holds bills again", || async {
-        deployment.bill(0, &log, &more).await == Some(Held::Twice)
+        deployment.bill(0, &log, &more).await == Some(BillAnswer::Twice)
     })
     .await;
     deployment.wait_billed_once(&[all, more].concat()).await;
@@ -177,7 +177,7 @@
     let mut deployment = start().await;
     let log = deployment.log(0).await;
     let before = requests("before", 10);
-    assert_eq!(deployment.bill(0, &log, &before).await, Some(Held::Twice));
+    assert_eq!(deployment.bill(0, &log, &before).await, Some(BillAnswer::Twice));
     deployment.wait_billed_once(&before).await;
     deployment.kill(0);
     let after = requests("after", 10);
@@ -194,14 +194,14 @@
     let mut deployment = start().await;
     let log = deployment.log(0).await;
     let stored = requests("stored", 10);
-    assert_eq!(deployment.bill(0, &log, &stored).await, Some(Held::Twice));
+    assert_eq!(deployment.bill(0, &log, &stored).await, Some(BillAnswer::Twice));
     deployment.stop(0);
     deployment.stopped(0).await;
     assert_eq!(deployment.platform.bills().ids().len(), stored.len());
     let log = deployment.log(1).await;
     platform(&deployment, Faults { down: Down::Cut, ..Faults::default() });
     let handed = requests("handed", 10);
-    assert_eq!(deployment.bill(1, &log, &handed).await, Some(Held::Twice));
+    assert_eq!(deployment.bill(1, &log, &handed).await, Some(BillAnswer::Twice));
     deployment.stop(1);
     deployment.stopped(1).await;
     deployment.kill(2);
@@ -225,19 +225,19 @@
     let log = deployment.log(0).await;
     platform(&deployment, Faults { down: Down::Unavailable, ..Faults::default() });
     let all = requests("bound", 95);
-    assert_eq!(deployment.bill(0, &log, &all).await, Some(Held::Twice));
+    assert_eq!(deployment.bill(0, &log, &all).await, Some(BillAnswer::Twice));
     wait_for("the view says so", || async {
-        deployment.view(0, wire::view::Ask::default()).await.bills_full
+        deployment.view(0, wire::view::ViewRequest::default()).await.bills_full
     })
     .await;
     let over = requests("over", 10);
-    assert_eq!(deployment.bill(0, &log, &over).await, Some(Held::Full));
+    assert_eq!(deployment.bill(0, &log, &over).await, Some(BillAnswer::Full));
     platform(&deployment, Faults::default());
     deployment.wait_billed_once(&all).await;
     wait_for("new work is taken", || async {
-        !deployment.view(0, wire::view::Ask::default()).await.bills_full
+        !deployment.view(0, wire::view::ViewRequest::default()).await.bills_full
     })
     .await;
-    assert_eq!(deployment.bill(0, &log, &over).await, Some(Held::Twice));
+    assert_eq!(deployment.bill(0, &log, &over).await, Some(BillAnswer::Twice));
     deployment.wait_billed_once(&[all, over].concat()).await;
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -20,7 +20,7 @@
 use tokio_util::sync::CancellationToken;
 use wire::peer::{Key, Link};
 use wire::settings::{Control, Peer, Secret};
-use wire::view::{Ask, View};
+use wire::view::{View, ViewRequest};
 
 pub const PEER_KEY: &str = "a shared key of tests";
 pub const TOKEN: &str = "operator's token of tests";
@@ -249,7 +249,7 @@
     }
 
     /// One view, at once.
-    pub async fn view(&self, number: usize, ask: Ask) -> View {
+    pub async fn view(&self, number: usize, ask: ViewRequest) -> View {
         let link = self.link(number);
         let answer = link.call(Duration::from_secs(8), |client, context| async move {
             client.view(context, ask).await
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -77,13 +77,13 @@
     deployment.platform.set_faults(Faults { down: Down::Cut, ..Faults::default() });
     deployment.cut_from_peers(2, Mode::Cut);
     deployment.restart(2).await;
-    let starting = deployment.view(2, wire::view::Ask::default()).await;
+    let starting = deployment.view(2, wire::view::ViewRequest::default()).await;
     assert_eq!((starting.generation, starting.document.as_str()), (0, ""));
     assert!(!deployment.ready(2).await);
     deployment.cut_from_peers(2, Mode::Pass);
     deployment.wait_generation(2, 1).await;
     wait_for("readiness", || deployment.ready(2)).await;
-    let view = deployment.view(2, wire::view::Ask::default()).await;
+    let view = deployment.view(2, wire::view::ViewRequest::default()).await;
     assert_eq!(view.generation, 1);
     assert_eq!(view.hosts.hosts.len(), 3, "the host list comes from peers as well");
 }
@@ -104,7 +104,7 @@
     deployment.cut_from_peers(0, Mode::Pass);
     deployment.restart(1).await;
     loop {
-        let view = deployment.view(1, wire::view::Ask::default()).await;
+        let view = deployment.view(1, wire::view::ViewRequest::default()).await;
         match view.generation {
             0 => tokio::task::yield_now().await,
             generation => break assert_eq!(generation, 2),
@@ -151,7 +151,7 @@
 }
 
 async fn age(deployment: &Deployment, number: usize) -> u64 {
-    deployment.view(number, wire::view::Ask::default()).await.unconfirmed_ms
+    deployment.view(number, wire::view::ViewRequest::default()).await.unconfirmed_ms
 }
 
 // Cut from all: the host goes on serving what it has, the operator is told that it waits, and it
--- a/crates/control/tests/exposure.rs
+++ b/crates/control/tests/exposure.rs
@@ -11,7 +11,7 @@
 use standin::platform::store::Record;
 use standin::proxy::Mode;
 use wire::evidence::{Evidence, Outcome, Report};
-use wire::view::Ask;
+use wire::view::ViewRequest;
 
 const WITHIN: Duration = Duration::from_secs(8);
 
@@ -33,19 +33,19 @@
 async fn hosts_with_quarantine(deployment: &Deployment, version: &str) -> usize {
     let mut count = 0;
     for number in 0..deployment.hosts.len() {
-        let view = deployment.view(number, Ask::default()).await;
+        let view = deployment.view(number, ViewRequest::default()).await;
         count += usize::from(view.quarantined.iter().any(|name| &**name == version));
     }
     count
 }
 
 async fn share(deployment: &Deployment, host: usize) -> f64 {
-    let view = deployment.view(host, Ask::default()).await;
+    let view = deployment.view(host, ViewRequest::default()).await;
     view.shares.iter().find(|(version, _)| &**version == "small-2").map_or(-1.0, |(_, s)| *s)
 }
 
 async fn rated_on(deployment: &Deployment, host: usize) -> f64 {
-    let view = deployment.view(host, Ask::default()).await;
+    let view = deployment.view(host, ViewRequest::default()).await;
     view.estimates.iter().map(|estimate| estimate.rated).sum()
 }
 
@@ -108,7 +108,7 @@
     deployment.restart(0).await;
     deployment.wait_generation(0, 1).await;
     wait_for("readiness", || deployment.ready(0)).await;
-    let view = deployment.view(0, Ask::default()).await;
+    let view = deployment.view(0, ViewRequest::default()).await;
     assert_eq!(view.quarantined, ["small-1".into()], "from its first view on");
 }
 
--- a/crates/control/tests/gossip.rs
+++ b/crates/control/tests/gossip.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use wire::gossip::{Digest, Mark};
 use wire::peer::{Error, Key, Link};
-use wire::view::{Ask, View};
+use wire::view::{View, ViewRequest};
 
 const WITHIN: Duration = Duration::from_secs(8);
 
@@ -69,7 +69,7 @@
 }
 
 impl wire::rpc::Control for Old {
-    async fn view(self, _: tarpc::context::Context, _: Ask) -> View {
+    async fn view(self, _: tarpc::context::Context, _: ViewRequest) -> View {
         View::default()
     }
     async fn claim(
@@ -86,8 +86,12 @@
     ) -> wire::claim::PinAnswer {
         wire::claim::PinAnswer::Pinned { version: pin.version }
     }
-    async fn bill(self, _: tarpc::context::Context, _: Vec<wire::bill::Bill>) -> wire::bill::Held {
-        wire::bill::Held::Full
+    async fn bill(
+        self,
+        _: tarpc::context::Context,
+        _: Vec<wire::bill::Bill>,
+    ) -> wire::bill::BillAnswer {
+        wire::bill::BillAnswer::Full
     }
     async fn report(self, _: tarpc::context::Context, _: wire::evidence::Report) {}
     async fn gossip(self, _: tarpc::context::Context, _: Digest) -> wire::gossip::Delta {
@@ -124,8 +128,8 @@
         wire::shard::Reply::Answer(false)
     }
     async fn changed(self, _: tarpc::context::Context, _: wire::shard::Home) {}
-    async fn shards(self, _: tarpc::context::Context) -> wire::shard::Known {
-        wire::shard::Known::default()
+    async fn shards(self, _: tarpc::context::Context) -> wire::shard::ShardTable {
+        wire::shard::ShardTable::default()
     }
     async fn append(
         self,
@@ -134,7 +138,7 @@
     ) -> wire::shard::Appended {
         wire::shard::Appended::Behind
     }
-    async fn hold(self, _: tarpc::context::Context, _: wire::bill::Hold) -> bool {
+    async fn hold(self, _: tarpc::context::Context, _: wire::bill::HoldRequest) -> bool {
         false
     }
     async fn release(
@@ -228,7 +232,7 @@
 async fn quarantined_on(deployment: &Deployment, hosts: usize) -> bool {
     let mut count = 0;
     for number in 0..deployment.hosts.len() {
-        let view = deployment.view(number, Ask::default()).await;
+        let view = deployment.view(number, ViewRequest::default()).await;
         count += usize::from(view.quarantined.iter().any(|version| &**version == "small-2"));
     }
     count == hosts
@@ -240,24 +244,29 @@
 async fn view_wakes_the_entry_and_tells_where_it_stands() {
     let deployment = Deployment::start(2).await;
     deployment.first_document().await;
-    let ask = Ask { entry: "host-0".into(), wait_ms: 5_000, ..Ask::default() };
+    let ask = ViewRequest { entry: "host-0".into(), wait_ms: 5_000, ..ViewRequest::default() };
     let first = deployment.view(0, ask.clone()).await;
     assert!(first.document.contains("small-1"));
-    let next = Ask { incarnation: first.incarnation.clone(), revision: first.revision, ..ask };
+    let next =
+        ViewRequest { incarnation: first.incarnation.clone(), revision: first.revision, ..ask };
     let waiting = view_of_generation(&deployment, next.clone(), 2);
     let change = document_with_slots(1, 9);
     let (second, answer) = futures::join!(waiting, deployment.put(1, &change, "second"));
     assert_eq!(answer.status, 200, "{}", answer.text());
     assert!(second.document.contains("small-1"));
     assert_eq!(entry_generation(&deployment).await, Some(1), "it has not said that it has 2");
-    let next = Ask { revision: second.revision, wait_ms: 0, ..next };
+    let next = ViewRequest { revision: second.revision, wait_ms: 0, ..next };
     let third = deployment.view(0, next).await;
     assert_eq!((third.generation, third.document.as_str()), (2, ""), "it has the document");
     assert_eq!(entry_generation(&deployment).await, Some(2));
 }
 
 /// Asks on as an entry does, until it is told that generation.
-async fn view_of_generation(deployment: &Deployment, mut ask: Ask, generation: u64) -> View {
+async fn view_of_generation(
+    deployment: &Deployment,
+    mut ask: ViewRequest,
+    generation: u64,
+) -> View {
     loop {
         let view = deployment.view(0, ask.clone()).await;
         if view.generation == generation {
--- a/crates/entry/src/bills.rs
+++ b/crates/entry/src/bills.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use tokio::sync::{Notify, oneshot};
-use wire::bill::{Bill, Held};
+use wire::bill::{Bill, BillAnswer};
 
 use crate::state::State;
 
@@ -113,15 +113,15 @@
         };
         let held = state.controls.ask(ROUND, call).await;
         // Without a control that holds bills no answer could end, so no more work is begun.
-        let safe = matches!(held, Ok(Held::Twice | Held::Once));
+        let safe = matches!(held, Ok(BillAnswer::Twice | BillAnswer::Once));
         state.bills.unsafe_now.store(!safe, Ordering::Relaxed);
         match held {
-            Ok(Held::Twice) => break,
-            Ok(Held::Once) => {
+            Ok(BillAnswer::Twice) => break,
+            Ok(BillAnswer::Once) => {
                 metrics::counter!("entry_bills_held_once_total").increment(bills.len() as u64);
                 break;
             }
-            Ok(Held::Full) => log::warn!("bills: controls are at their bound"),
+            Ok(BillAnswer::Full) => log::warn!("bills: controls are at their bound"),
             Err(error) => log::warn!("bills: no control holds {}: {error}", bills.len()),
         }
         tokio::time::sleep(PAUSE).await;
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -161,7 +161,7 @@
 fn is_stopped(snapshot: &Snapshot, job: &Job) -> bool {
     job.version.as_ref().is_some_and(|name| {
         snapshot.quarantined.contains(name)
-            || !snapshot.version(name).is_some_and(wire::configuration::Version::takes_work)
+            || !snapshot.version(name).is_some_and(wire::configuration::Version::accepts_work)
     })
 }
 
--- a/crates/entry/src/feed.rs
+++ b/crates/entry/src/feed.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use wire::configuration::check;
-use wire::view::{Ask, View};
+use wire::view::{View, ViewRequest};
 
 use crate::snapshot::Snapshot;
 use crate::state::State;
@@ -28,12 +28,12 @@
 
 struct Feed {
     index: usize,
-    ask: Ask,
+    ask: ViewRequest,
     since: Instant,
 }
 
-fn fresh_ask(state: &State) -> Ask {
-    Ask { entry: state.settings.name.clone(), ..Ask::default() }
+fn fresh_ask(state: &State) -> ViewRequest {
+    ViewRequest { entry: state.settings.name.clone(), ..ViewRequest::default() }
 }
 
 impl Feed {
@@ -42,7 +42,7 @@
         // one that is out of reach must not hold up the next.
         let wait = if self.ask.revision == 0 { Duration::ZERO } else { WAIT };
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or_default();
-        let ask = Ask { wait_ms, ..self.ask.clone() };
+        let ask = ViewRequest { wait_ms, ..self.ask.clone() };
         let call = |client: wire::rpc::ControlClient, context| async move {
             client.view(context, ask).await
         };
@@ -92,7 +92,7 @@
     let document = match view.document.as_str() {
         _ if view.generation == held.document.generation => None,
         "" => return None,
-        text => match check::accepted(text) {
+        text => match check::parse_accepted(text) {
             Ok(document) => Some(document),
             Err(fault) => {
                 log::error!("entry: document of generation {}: {fault}", view.generation);
--- a/crates/entry/src/rating.rs
+++ b/crates/entry/src/rating.rs
@@ -13,7 +13,7 @@
 use policy::exposure::rating::{Interest, Sampler};
 use policy::exposure::{Hypotheses, Test};
 use policy::name::Name;
-use wire::backend::{Rate, Rating};
+use wire::backend::{Rating, RatingRequest};
 use wire::configuration::VersionState;
 
 use crate::clock;
@@ -90,7 +90,7 @@
     text: String,
     deadline: Instant,
 ) -> Option<bool> {
-    let question = Rate {
+    let question = RatingRequest {
         request: request.to_string(),
         version: version.to_string(),
         task: task.to_string(),
--- a/crates/entry/tests/common/control.rs
+++ b/crates/entry/tests/common/control.rs
@@ -12,14 +12,14 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio_util::task::AbortOnDropHandle;
-use wire::bill::{Bill, Held, Hold};
+use wire::bill::{Bill, BillAnswer, HoldRequest};
 use wire::claim::{Claim, ClaimAnswer, Pin, PinAnswer};
 use wire::evidence::Report;
 use wire::gossip::{Delta, Digest};
 use wire::peer::Key;
 use wire::rpc::Control;
 use wire::shard::{Append, Appended, Holder, Home, Reply};
-use wire::view::{Ask, View};
+use wire::view::{View, ViewRequest};
 
 /// What it says of bills.
 #[derive(Clone, Copy, PartialEq)]
@@ -75,7 +75,7 @@
 struct Server(Arc<Fake>);
 
 impl Control for Server {
-    async fn view(self, _: Context, ask: Ask) -> View {
+    async fn view(self, _: Context, ask: ViewRequest) -> View {
         let mut view = self.0.view.subscribe();
         let changed = view
             .wait_for(|view| view.revision > ask.revision || view.incarnation != ask.incarnation);
@@ -120,14 +120,14 @@
         PinAnswer::Pinned { version }
     }
 
-    async fn bill(self, _: Context, bills: Vec<Bill>) -> Held {
+    async fn bill(self, _: Context, bills: Vec<Bill>) -> BillAnswer {
         let says = *self.0.says.lock().unwrap();
         match says {
             Bills::Silent => std::future::pending().await,
-            Bills::Full => Held::Full,
+            Bills::Full => BillAnswer::Full,
             Bills::Twice => {
                 self.0.bills.lock().unwrap().extend(bills);
-                Held::Twice
+                BillAnswer::Twice
             }
         }
     }
@@ -168,15 +168,15 @@
 
     async fn changed(self, _: Context, _: Home) {}
 
-    async fn shards(self, _: Context) -> wire::shard::Known {
-        wire::shard::Known::default()
+    async fn shards(self, _: Context) -> wire::shard::ShardTable {
+        wire::shard::ShardTable::default()
     }
 
     async fn append(self, _: Context, _: Append) -> Appended {
         Appended::Behind
     }
 
-    async fn hold(self, _: Context, _: Hold) -> bool {
+    async fn hold(self, _: Context, _: HoldRequest) -> bool {
         false
     }
 
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -195,9 +195,9 @@
     /// Every fault found, each with its path.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         let mut faults = Vec::new();
-        let value = read::value(text, &mut faults);
+        let value = read::parse_json(text, &mut faults);
         let value = value.map_err(|error| vec![Fault::at("", error.to_string())])?;
-        let (scenario, mended) = read::mended::<Self>(value, &mut faults);
+        let (scenario, mended) = read::deserialize_repaired::<Self>(value, &mut faults);
         if let Some(scenario) = &scenario {
             faults.extend(check::faults(scenario, &mended));
         }
--- a/crates/gateway/src/detour.rs
+++ b/crates/gateway/src/detour.rs
@@ -18,7 +18,8 @@
 use policy::name::Name;
 use policy::time::Millis;
 use wire::forward::{
-    AWAY, ENDED, LOAD, MODEL, NUMBER, SERVER, TRIED, TRIES, VERSION, WITH_REQUEST,
+    ATTEMPTS, FAILED_SERVERS, HOST_UNAVAILABLE, IN_FLIGHT, MODEL_INDEX, NUMBER, REQUEST_HEADERS,
+    SERVER, SERVER_ENDED, VERSION,
 };
 use wire::refusal::{Code, Ran, Refusal};
 
@@ -50,11 +51,11 @@
     fn take(headers: &mut HeaderMap) -> Self {
         let said = Self {
             server: text(headers, SERVER).map(Name::from),
-            sent: number(headers, TRIES),
-            load: number(headers, LOAD),
-            has_ended: headers.contains_key(ENDED),
+            sent: number(headers, ATTEMPTS),
+            load: number(headers, IN_FLIGHT),
+            has_ended: headers.contains_key(SERVER_ENDED),
         };
-        for name in [SERVER, TRIES, LOAD, ENDED] {
+        for name in [SERVER, ATTEMPTS, IN_FLIGHT, SERVER_ENDED] {
             headers.remove(name);
         }
         said
@@ -178,7 +179,7 @@
         }
         match () {
             () if is_misdirected => {
-                Err(Failure::NotRun { misdirected: head.headers.contains_key(AWAY) })
+                Err(Failure::NotRun { misdirected: head.headers.contains_key(HOST_UNAVAILABLE) })
             }
             () if said.id.as_ref().is_some_and(|id| *id != self.ask.id) => {
                 Err(Failure::Lost(Cause::Crossed))
@@ -243,18 +244,18 @@
         *request.uri_mut() = self.path.clone();
         let mut headers = self.state.codec.forward_to_host(&self.headers, left_ms, last_event);
         headers.insert(HOST, self.headers.get(HOST)?.clone());
-        for name in WITH_REQUEST {
+        for name in REQUEST_HEADERS {
             headers.remove(name);
         }
         let tried: Vec<&str> = self.tries.failed_at.iter().map(Name::as_str).collect();
         let mut tell = |name, value: HeaderValue| {
             headers.insert(HeaderName::from_static(name), value);
         };
-        tell(TRIES, HeaderValue::from(self.tries.sent));
-        tell(TRIED, HeaderValue::from_str(&tried.join(",")).ok()?);
+        tell(ATTEMPTS, HeaderValue::from(self.tries.sent));
+        tell(FAILED_SERVERS, HeaderValue::from_str(&tried.join(",")).ok()?);
         tell(NUMBER, HeaderValue::from(forwarding.number()));
         if !self.route().models.is_empty() {
-            tell(MODEL, HeaderValue::from(self.tries.model));
+            tell(MODEL_INDEX, HeaderValue::from(self.tries.model));
         }
         if let Some(version) = &self.tries.version {
             tell(VERSION, HeaderValue::from_str(version).ok()?);
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -16,7 +16,8 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use policy::name::Name;
 use wire::forward::{
-    AWAY, ENDED, LOAD, MODEL, NUMBER, SERVER, TRIED, TRIES, VERSION, WITH_REQUEST,
+    ATTEMPTS, FAILED_SERVERS, HOST_UNAVAILABLE, IN_FLIGHT, MODEL_INDEX, NUMBER, REQUEST_HEADERS,
+    SERVER, SERVER_ENDED, VERSION,
 };
 use wire::refusal::{Code, Refusal};
 
@@ -74,15 +75,15 @@
 impl Forwarded {
     /// Takes what its host says of it out of its headers.
     fn take(headers: &mut HeaderMap) -> Self {
-        let tried = text(headers, TRIED).unwrap_or_default();
+        let tried = text(headers, FAILED_SERVERS).unwrap_or_default();
         let forwarded = Self {
-            sent: number(headers, TRIES).unwrap_or_default(),
+            sent: number(headers, ATTEMPTS).unwrap_or_default(),
             tried: tried.split(',').filter(|id| !id.is_empty()).map(Name::from).collect(),
-            model: number(headers, MODEL),
+            model: number(headers, MODEL_INDEX),
             version: text(headers, VERSION).map(Name::from),
             registered: None,
         };
-        for name in WITH_REQUEST {
+        for name in REQUEST_HEADERS {
             headers.remove(name);
         }
         forwarded
@@ -92,8 +93,8 @@
 /// What another host learns of a request that it has passed on here.
 pub fn describe<C: Codec>(job: &Job<C>, headers: &mut HeaderMap) {
     let in_flight = job.state.in_flight.load(Ordering::Relaxed);
-    headers.insert(LOAD, HeaderValue::from(in_flight));
-    headers.insert(TRIES, HeaderValue::from(job.tries.sent));
+    headers.insert(IN_FLIGHT, HeaderValue::from(in_flight));
+    headers.insert(ATTEMPTS, HeaderValue::from(job.tries.sent));
     let server = job.tries.backend.as_ref();
     if let Some(server) = server.and_then(|server| HeaderValue::from_str(server).ok()) {
         headers.insert(SERVER, server);
@@ -108,7 +109,7 @@
     if let Some(server) = broke_at
         && job.state.look(&server).await == Found::Ended
     {
-        headers.insert(ENDED, HeaderValue::from_static("1"));
+        headers.insert(SERVER_ENDED, HeaderValue::from_static("1"));
     }
     headers
 }
@@ -131,7 +132,7 @@
 pub fn misdirected<C>(state: &State<C>, mut response: Response<Answer>) -> Response<Answer> {
     *response.status_mut() = StatusCode::MISDIRECTED_REQUEST;
     if state.reach.is_isolated() || !state.world.load().is_complete {
-        response.headers_mut().insert(AWAY, HeaderValue::from_static("1"));
+        response.headers_mut().insert(HOST_UNAVAILABLE, HeaderValue::from_static("1"));
     }
     response
 }
--- a/crates/gateway/src/recall.rs
+++ b/crates/gateway/src/recall.rs
@@ -17,7 +17,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use policy::name::Name;
 use tokio_util::sync::CancellationToken;
-use wire::forward::{ASK, LAST_EVENT, RECALL};
+use wire::forward::{LAST_EVENT, QUERY, RECALL};
 
 use crate::backend::Backend;
 use crate::forward;
@@ -143,13 +143,13 @@
     #[must_use]
     pub fn read(headers: &HeaderMap) -> Option<Self> {
         let number = |name| headers.get(name)?.to_str().ok()?.parse().ok();
-        number(RECALL).map(Self::Recall).or_else(|| number(ASK).map(Self::Ask))
+        number(RECALL).map(Self::Recall).or_else(|| number(QUERY).map(Self::Ask))
     }
 
     fn header(self) -> (&'static str, u64) {
         match self {
             Self::Recall(number) => (RECALL, number),
-            Self::Ask(number) => (ASK, number),
+            Self::Ask(number) => (QUERY, number),
         }
     }
 
--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -20,7 +20,7 @@
 use policy::roster::Roster;
 use policy::throttle::Limit;
 use policy::time::Millis;
-use wire::routing::{Order, Table};
+use wire::routing::{RolloutOrder, Table};
 
 pub use rollout::TrackedRollout;
 
@@ -162,12 +162,17 @@
     /// Accepts an order to change a version. Returns false if the order is already known.
     /// `is_rewritten` says whether operators may be writing again what the store lost, so that the
     /// same order under a newer revision is not a new one.
-    pub fn accept_order(&self, order: Order, revision: Revision, is_rewritten: bool) -> bool {
+    pub fn accept_order(
+        &self,
+        order: RolloutOrder,
+        revision: Revision,
+        is_rewritten: bool,
+    ) -> bool {
         let mut inner = self.lock();
         match inner.rollouts.get_mut(&order.service) {
             Some(tracked) if tracked.revision >= revision => return false,
             Some(tracked)
-                if tracked.order.is_same(&order)
+                if tracked.order.has_same_content(&order)
                     && (is_rewritten || tracked.revision.era < revision.era) =>
             {
                 // A revision with steps was given by this host to an entry that it overrides.
--- a/crates/node/src/catalog/rollout.rs
+++ b/crates/node/src/catalog/rollout.rs
@@ -5,7 +5,7 @@
 
 use policy::revision::Revision;
 use policy::time::Millis;
-use wire::routing::Order;
+use wire::routing::RolloutOrder;
 
 use crate::record::Record;
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct TrackedRollout {
     /// What operators ordered.
-    pub order: Order,
+    pub order: RolloutOrder,
     /// Revision of the order's entry in the list.
     pub revision: Revision,
     /// State that all hosts share; `None` until it was read from the store, written there or sent
@@ -37,7 +37,7 @@
 
     /// Takes over the order's entry as the store lists it after a restore from a copy, or as
     /// operators have written it again. It is the same order under another revision.
-    pub(super) fn reissue(&mut self, order: Order, revision: Revision) {
+    pub(super) fn reissue(&mut self, order: RolloutOrder, revision: Revision) {
         self.order = order;
         self.revision = revision;
         let order_id = self.order_id();
--- a/crates/node/src/history.rs
+++ b/crates/node/src/history.rs
@@ -79,7 +79,7 @@
 /// Whether two contents say the same, no matter when they were written.
 fn says_same(one: &Fact, other: &Fact) -> bool {
     match (one, other) {
-        (Fact::Order(one), Fact::Order(other)) => one.is_same(other),
+        (Fact::Order(one), Fact::Order(other)) => one.has_same_content(other),
         _ => one == other,
     }
 }
--- a/crates/node/src/store.rs
+++ b/crates/node/src/store.rs
@@ -7,7 +7,7 @@
 use policy::domain;
 use policy::name::Name;
 use policy::revision::Revision;
-use wire::routing::{Backend, Edit, Order, Progress, Table};
+use wire::routing::{Backend, Edit, Progress, RolloutOrder, Table};
 use wire::store::{Error, Outcome, Rows, Transaction};
 
 domain! {
@@ -29,7 +29,7 @@
         /// other; the store always sends the whole table.
         Edit(Arc<Edit>),
         /// An order to change a service's version.
-        Order(Order),
+        Order(RolloutOrder),
         /// An order to send no more requests to a failure domain's backend servers.
         Evacuation(Name),
         /// A backend server.
@@ -132,7 +132,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
     /// The order that is carried out.
-    pub order: Order,
+    pub order: RolloutOrder,
     /// How far the roll-out has come.
     pub progress: Progress,
 }
--- a/crates/node/tests/restored.rs
+++ b/crates/node/tests/restored.rs
@@ -9,7 +9,7 @@
 use policy::recovery::REWRITTEN_MS;
 use policy::revision::Revision;
 use policy::time::Millis;
-use wire::routing::{Backend, Order, Table};
+use wire::routing::{Backend, RolloutOrder, Table};
 
 const RESTORED_AT: Millis = Millis(1_000_000);
 const MISSING_MS: u64 = 2_000;
@@ -34,7 +34,7 @@
 
 fn order(target: &str, issue: u64) -> Fact {
     let (service, target) = (Name::from("desk"), Name::from(target));
-    Fact::Order(Order { service, target, within_ms: 10_000, issue })
+    Fact::Order(RolloutOrder { service, target, within_ms: 10_000, issue })
 }
 
 fn entry(key: &str, era: u64, number: u64, fact: Fact) -> Entry {
--- a/crates/replay/src/run/knowledge.rs
+++ b/crates/replay/src/run/knowledge.rs
@@ -84,7 +84,7 @@
         let known = |version: &Version| Known {
             model: version.model.clone(),
             cost: version.cost,
-            takes_work: version.takes_new_sessions(),
+            takes_work: version.accepts_new_sessions(),
             share: (version.state == VersionState::Candidate).then_some(0.0),
             test: Detector::new(variant.detection),
             expected: BTreeMap::new(),
--- a/crates/standin/src/platform/audit.rs
+++ b/crates/standin/src/platform/audit.rs
@@ -69,7 +69,7 @@
     let mut seen = BTreeSet::new();
     for (name, bytes) in objects {
         let batch = match serde_json::from_slice::<Batch>(bytes) {
-            Ok(batch) if wire::bill::object(&batch.incarnation, batch.number) == name => batch,
+            Ok(batch) if wire::bill::object_name(&batch.incarnation, batch.number) == name => batch,
             _ => {
                 audit.broken.push(name.into());
                 continue;
@@ -77,7 +77,8 @@
         };
         // Objects come sorted by name, so a log's batches come in the order of their numbers.
         let expected = next.entry(batch.incarnation.clone()).or_default();
-        let missing = (*expected..batch.number).map(|n| wire::bill::object(&batch.incarnation, n));
+        let missing =
+            (*expected..batch.number).map(|n| wire::bill::object_name(&batch.incarnation, n));
         audit.gaps.extend(missing);
         *expected = batch.number + 1;
         let ids = batch.bills.iter().map(|bill| bill.request.clone());
--- a/crates/standin/src/rater.rs
+++ b/crates/standin/src/rater.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use policy::domain;
 use policy::name::Name;
-use wire::backend::{Rate, Rating};
+use wire::backend::{Rating, RatingRequest};
 
 use crate::answer::Answer;
 use crate::fault::Down;
@@ -92,7 +92,7 @@
         if faults.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         }
-        let rate: Rate = match serde_json::from_slice(&body) {
+        let rate: RatingRequest = match serde_json::from_slice(&body) {
             Ok(rate) => rate,
             Err(error) => return Ok(reply::bytes(StatusCode::BAD_REQUEST, error.to_string())),
         };
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -65,7 +65,7 @@
     let incarnation = Name::from(incarnation);
     let batch = Batch { incarnation: incarnation.clone(), number, writer: incarnation, bills };
     let body = serde_json::to_string(&batch).unwrap();
-    put_absent(&wire::bill::object(&batch.incarnation, number), &body)
+    put_absent(&wire::bill::object_name(&batch.incarnation, number), &body)
 }
 
 #[tokio::test]
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -9,7 +9,7 @@
 use standin::client::Client;
 use standin::service::{Echo, Settings};
 use standin::{draw, engine, passthrough, rater, service};
-use wire::backend::{REQUEST_ID, Rate, Rating};
+use wire::backend::{REQUEST_ID, Rating, RatingRequest};
 
 fn order(id: &str, body: &'static str) -> Request<Bytes> {
     let mut order = request(Method::POST, "/orders?farm=7", body);
@@ -47,7 +47,7 @@
     let rater = rater::start(any_port(), rater::Faults::default()).unwrap();
     let client = Client::new(rater.address);
     let rate = |answer: &str| {
-        let rate = Rate {
+        let rate = RatingRequest {
             request: "r1".to_owned(),
             version: "v1".to_owned(),
             task: "tag".to_owned(),
--- a/crates/wire/src/backend.rs
+++ b/crates/wire/src/backend.rs
@@ -32,7 +32,7 @@
     }
 
     /// What the rating service is asked at `POST /rate`.
-    pub struct Rate {
+    pub struct RatingRequest {
         /// The request's id.
         pub request: String,
         /// The version that answered.
--- a/crates/wire/src/bill.rs
+++ b/crates/wire/src/bill.rs
@@ -41,7 +41,7 @@
     }
 
     /// Bills on their way to a second holder.
-    pub struct Hold {
+    pub struct HoldRequest {
         /// The log they belong to.
         pub log: Name,
         /// The control incarnation that puts them into the log, and then releases them. The holder
@@ -69,7 +69,7 @@
     }
 
     /// Whether bills are safe.
-    pub enum Held {
+    pub enum BillAnswer {
         /// Two controls hold them.
         Twice,
         /// Only one does, because no other control of any failure domain was in reach.
@@ -87,6 +87,6 @@
 
 /// The object name of a batch.
 #[must_use]
-pub fn object(incarnation: &str, number: u64) -> String {
+pub fn object_name(incarnation: &str, number: u64) -> String {
     format!("bills/{incarnation}/{number:010}")
 }
--- a/crates/wire/src/configuration.rs
+++ b/crates/wire/src/configuration.rs
@@ -190,13 +190,13 @@
 
     /// Whether a session that is not on it yet may be put on it.
     #[must_use]
-    pub fn takes_new_sessions(&self) -> bool {
+    pub fn accepts_new_sessions(&self) -> bool {
         matches!(self.state, VersionState::Live | VersionState::Candidate)
     }
 
     /// Whether any request may run on it.
     #[must_use]
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.state != VersionState::Withdrawn
     }
 }
--- a/crates/wire/src/configuration/check.rs
+++ b/crates/wire/src/configuration/check.rs
@@ -14,11 +14,11 @@
 /// Every fault found, in the order of their paths.
 pub fn parse(text: &str) -> Result<Document, Vec<Fault>> {
     let mut faults = Vec::new();
-    let value = match read::value(text, &mut faults) {
+    let value = match read::parse_json(text, &mut faults) {
         Ok(value) => value,
         Err(error) => return Err(vec![Fault::at("", error.to_string())]),
     };
-    let (document, repaired) = read::mended::<Document>(value, &mut faults);
+    let (document, repaired) = read::deserialize_repaired::<Document>(value, &mut faults);
     if let Some(document) = &document {
         let mut broken = Vec::new();
         rules::check(document, &mut broken);
@@ -41,6 +41,6 @@
 ///
 /// # Errors
 /// What is not the form of a document.
-pub fn accepted(text: &str) -> Result<Document, Fault> {
+pub fn parse_accepted(text: &str) -> Result<Document, Fault> {
     serde_json::from_str(text).map_err(|error| Fault::at("", error.to_string()))
 }
--- a/crates/wire/src/configuration/check/rules.rs
+++ b/crates/wire/src/configuration/check/rules.rs
@@ -8,7 +8,7 @@
     Account, Document, Rollout, Service, ServiceLevel, SessionKey, Task, Version, VersionState,
 };
 use crate::fault::Fault;
-use crate::settings::{is_name, is_sha256};
+use crate::settings::{is_sha256, is_valid_name};
 
 /// Shortest key that signs session tokens, in bytes.
 pub const SESSION_KEY_BYTES_MIN: usize = 32;
@@ -24,12 +24,12 @@
 impl Place<'_> {
     fn refuse_if(&mut self, faulty: bool, member: &str, message: &str) {
         if faulty {
-            self.faults.push(Fault::at(crate::fault::join(&self.path, member), message));
+            self.faults.push(Fault::at(crate::fault::join_path(&self.path, member), message));
         }
     }
 
     fn name(&mut self, text: &str) {
-        let faulty = !is_name(text);
+        let faulty = !is_valid_name(text);
         self.refuse_if(faulty, "", "the name must be 1 to 64 letters, digits, '-', '_' or '.'");
     }
 
@@ -100,7 +100,7 @@
 }
 
 fn check_version(version: &Version, document: &Document, place: &mut Place<'_>) {
-    place.refuse_if(!is_name(&version.model), "model", "must be a name");
+    place.refuse_if(!is_valid_name(&version.model), "model", "must be a name");
     let other = document.versions.get(&version.model);
     let ambiguous = other.is_some_and(|other| other.model != version.model);
     place.refuse_if(ambiguous, "model", "is also the name of a version of another model");
@@ -140,7 +140,7 @@
     place.distinct("versions", &account.versions);
     place.distinct("services", &account.services);
     for (name, task) in &account.tasks {
-        place.refuse_if(!is_name(name), &format!("tasks.{name}"), "must be a name");
+        place.refuse_if(!is_valid_name(name), &format!("tasks.{name}"), "must be a name");
         check_task(name, task, place);
     }
     let rate = account.limit.requests_per_second;
--- a/crates/wire/src/fault.rs
+++ b/crates/wire/src/fault.rs
@@ -42,7 +42,7 @@
 
 /// Joins two paths, either of which may be empty.
 #[must_use]
-pub fn join(path: &str, member: &str) -> String {
+pub fn join_path(path: &str, member: &str) -> String {
     match (path, member) {
         (path, "" | ".") => path.to_owned(),
         ("", member) => member.to_owned(),
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -41,7 +41,7 @@
         /// control asks.
         pub wants_levels: bool,
         /// What the asker's entries saw, for the reporter of its failure domain to publish.
-        pub forwarded: Option<Forwarded>,
+        pub forwarded: Option<ForwardedCounts>,
     }
 
     /// What the asked has and the asker lacks.
@@ -83,7 +83,7 @@
     }
 
     /// Counts on their way to a reporter.
-    pub struct Forwarded {
+    pub struct ForwardedCounts {
         /// Rises with each piece of this incarnation, so a repeated one counts once.
         pub number: u64,
         /// The counts.
@@ -119,11 +119,11 @@
         /// Of each version and task.
         pub evidence: Vec<Evidence>,
         /// Of each service level.
-        pub levels: Vec<Level>,
+        pub levels: Vec<LevelCounts>,
     }
 
     /// Requests of one service level.
-    pub struct Level {
+    pub struct LevelCounts {
         /// The service level's name in the document.
         pub name: Name,
         /// Answered in time.
--- a/crates/wire/src/read.rs
+++ b/crates/wire/src/read.rs
@@ -13,7 +13,7 @@
 use serde_json::{Map, Value, json};
 use serde_path_to_error::Segment;
 
-use crate::fault::{Fault, is_within, join};
+use crate::fault::{Fault, is_within, join_path};
 
 /// Faults of kind that are mended; a document with more is not worth going on with.
 const MENDED_MAX: usize = 100;
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// When it is no JSON.
-pub fn value(text: &str, faults: &mut Vec<Fault>) -> Result<Value, serde_json::Error> {
+pub fn parse_json(text: &str, faults: &mut Vec<Fault>) -> Result<Value, serde_json::Error> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let seed = Seed { path: String::new(), faults };
     let value = seed.deserialize(&mut reader)?;
@@ -89,7 +89,7 @@
     fn visit_map<A: MapAccess<'de>>(self, mut members: A) -> Result<Value, A::Error> {
         let mut values = Map::new();
         while let Some(key) = members.next_key::<String>()? {
-            let path = join(&self.path, &key);
+            let path = join_path(&self.path, &key);
             if values.contains_key(&key) {
                 self.faults.push(Fault::at(&path, "given twice"));
             }
@@ -113,7 +113,10 @@
 }
 
 /// What was written, and the paths of what had to be mended; none if it was past mending.
-pub fn mended<T>(mut value: Value, faults: &mut Vec<Fault>) -> (Option<T>, Vec<String>)
+pub fn deserialize_repaired<T>(
+    mut value: Value,
+    faults: &mut Vec<Fault>,
+) -> (Option<T>, Vec<String>)
 where
     T: DeserializeOwned + Serialize,
 {
@@ -153,7 +156,7 @@
         (Value::Object(given), Value::Object(read)) => {
             for (key, value) in given {
                 if let Some(read) = read.get(key) {
-                    refuse_lists(value, read, &join(path, key), faults);
+                    refuse_lists(value, read, &join_path(path, key), faults);
                 }
             }
         }
@@ -171,7 +174,7 @@
         Err(error) => {
             let path = track.path();
             let segments = path.iter().filter_map(step).collect();
-            let text = join("", &path.to_string());
+            let text = join_path("", &path.to_string());
             Outcome::Fault { segments, path: text, message: plain(&error) }
         }
     }
@@ -195,7 +198,7 @@
     match member {
         Some(member) => {
             segments.push(Step::Member(member.to_owned()));
-            (segments, join(&path, member), "missing".to_owned())
+            (segments, join_path(&path, member), "missing".to_owned())
         }
         None => (segments, path, message),
     }
--- a/crates/wire/src/routing.rs
+++ b/crates/wire/src/routing.rs
@@ -159,7 +159,7 @@
     }
 
     /// An operator's wish to move a service to another version.
-    pub struct Order {
+    pub struct RolloutOrder {
         /// What is to move.
         pub service: Name,
         /// The version wanted.
@@ -184,10 +184,10 @@
     }
 }
 
-impl Order {
+impl RolloutOrder {
     /// Whether it asks for the same, whenever it was written.
     #[must_use]
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn has_same_content(&self, other: &Self) -> bool {
         let wish = |order: &Self| (order.service.clone(), order.target.clone(), order.within_ms);
         wish(self) == wish(other)
     }
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -5,18 +5,18 @@
 
 use policy::name::Name;
 
-use crate::bill::{Bill, Held, Hold};
+use crate::bill::{Bill, BillAnswer, HoldRequest};
 use crate::claim::{Claim, ClaimAnswer, Pin, PinAnswer};
 use crate::evidence::Report;
 use crate::gossip::{Delta, Digest};
-use crate::shard::{Append, Appended, Home, Known, Reply};
-use crate::view::{Ask, View};
+use crate::shard::{Append, Appended, Home, Reply, ShardTable};
+use crate::view::{View, ViewRequest};
 
 /// Served by each control.
 #[tarpc::service]
 pub trait Control {
     /// The view, when it differs from the one held or the wait is over.
-    async fn view(ask: Ask) -> View;
+    async fn view(ask: ViewRequest) -> View;
     /// Claims an idempotency key, wherever its home is.
     async fn claim(claim: Claim) -> ClaimAnswer;
     /// Gives a claim back: the request has not run, and its entry host sends it nowhere any more.
@@ -26,7 +26,7 @@
     /// Pins a session, wherever its home is.
     async fn pin(pin: Pin) -> PinAnswer;
     /// Holds bills, here and at one peer, before it answers.
-    async fn bill(bills: Vec<Bill>) -> Held;
+    async fn bill(bills: Vec<Bill>) -> BillAnswer;
     /// Takes in what an entry host saw.
     async fn report(report: Report);
     /// One exchange of news.
@@ -42,11 +42,11 @@
     /// Records for a shard that the asked one is deputy of.
     async fn append(append: Append) -> Appended;
     /// What the asked one knows of the table of shards, for who can't read it.
-    async fn shards() -> Known;
+    async fn shards() -> ShardTable;
     /// The row of a shard may name the asked one as owner now; also a sign of life.
     async fn changed(home: Home);
     /// Bills to be held for another control; false at the memory bound.
-    async fn hold(hold: Hold) -> bool;
+    async fn hold(hold: HoldRequest) -> bool;
     /// Bills of a log that are in the object store now.
     async fn release(log: Name, requests: Vec<Name>);
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -293,19 +293,19 @@
 pub fn parse(text: &str) -> Result<Settings, Vec<Fault>> {
     let mut faults = Vec::new();
     let mut value =
-        read::value(text, &mut faults).map_err(|e| vec![Fault::at("", e.to_string())])?;
+        read::parse_json(text, &mut faults).map_err(|e| vec![Fault::at("", e.to_string())])?;
     let role = value.as_object_mut().and_then(|members| members.remove("role"));
     let (settings, mended) = match role.as_ref().and_then(|role| role.as_str()) {
         Some("entry") => {
-            let (entry, mended) = read::mended(value, &mut faults);
+            let (entry, mended) = read::deserialize_repaired(value, &mut faults);
             (entry.map(Settings::Entry), mended)
         }
         Some("control") => {
-            let (control, mended) = read::mended(value, &mut faults);
+            let (control, mended) = read::deserialize_repaired(value, &mut faults);
             (control.map(Settings::Control), mended)
         }
         Some("node") => {
-            let (node, mended) = read::mended(value, &mut faults);
+            let (node, mended) = read::deserialize_repaired(value, &mut faults);
             (node.map(Settings::Node), mended)
         }
         _ => {
@@ -335,7 +335,7 @@
 
 /// Whether a text may name a host, account, version or the like.
 #[must_use]
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     (1..=64).contains(&text.len())
         && text.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
 }
--- a/crates/wire/src/settings/check.rs
+++ b/crates/wire/src/settings/check.rs
@@ -4,7 +4,7 @@
 
 use policy::name::Name;
 
-use super::{Control, Entry, Node, Resources, Secret, is_name, is_sha256};
+use super::{Control, Entry, Node, Resources, Secret, is_sha256, is_valid_name};
 use crate::fault::Fault;
 
 /// Failure domains of one deployment.
@@ -124,7 +124,7 @@
 
 fn common(name: &Name, failure_domain: &Name, log: &Name, faults: &mut Vec<Fault>) {
     for (member, text) in [("name", name), ("failure_domain", failure_domain)] {
-        if !is_name(text) {
+        if !is_valid_name(text) {
             faults.push(Fault::at(member, "must be 1 to 64 letters, digits, '-', '_' or '.'"));
         }
     }
--- a/crates/wire/src/shard.rs
+++ b/crates/wire/src/shard.rs
@@ -18,7 +18,7 @@
 
     /// The table of shards, as one control last read it.
     #[derive(Default)]
-    pub struct Known {
+    pub struct ShardTable {
         /// The layout, once known.
         pub layout: Option<Layout>,
         /// Who holds which shard.
--- a/crates/wire/src/view.rs
+++ b/crates/wire/src/view.rs
@@ -8,7 +8,7 @@
 domain! {
     /// How entry asks for the view: answered when it differs from what entry has, or after a while.
     #[derive(Default)]
-    pub struct Ask {
+    pub struct ViewRequest {
         /// The entry host.
         pub entry: Name,
         /// The control incarnation that gave the view held now.
