--- a/crates/wire/src/configuration.rs
+++ b/crates/wire/src/configuration.rs
@@ -1,6 +1,6 @@
-//! The one configuration document of a deployment, as operators write it.
+//! The configuration document of a deployment, as operators write it.
 //!
-//! Validation lives in [`check`]; it reports every fault with its path, not only the first.
+//! [`check`] validates it and reports every fault with its path, not only the first one.
 
 pub mod check;
 
@@ -10,14 +10,16 @@
 use policy::name::Name;
 
 domain! {
-    /// Everything operators decide, with the generation it became in force as.
+    /// Everything that operators decide, with the generation under which it is in force.
     #[derive(Default)]
     pub struct Document {
-        /// Rises by one with every accepted change.
+        /// Number of the document in force; each accepted change increases it by one. In a document
+        /// that an operator submits, the generation from which the change was made.
         pub generation: u64,
-        /// Versions by name; a request's `model` may name a version's model or a version.
+        /// Versions by name. A request's `model` may name a version, or a model with versions.
         pub versions: BTreeMap<Name, Version>,
-        /// Groups of backend servers; the platform's host list says who is in them.
+        /// Pools of backend servers by name; the platform's host list says which servers belong to
+        /// each.
         pub pools: BTreeMap<Name, Pool>,
         /// Plain services by name, reached under `/services/NAME/`.
         #[serde(default)]
@@ -27,150 +29,154 @@
         /// Roll-outs under way, by name.
         #[serde(default)]
         pub rollouts: BTreeMap<Name, Rollout>,
-        /// Keys that sign session tokens: the highest id signs, all of them verify.
+        /// Keys for session tokens by id: the key with the highest id signs, all keys verify.
         pub session_keys: BTreeMap<u32, SessionKey>,
-        /// Service levels reported on, by name.
+        /// Service levels that are measured and reported, by name.
         #[serde(default)]
         pub service_levels: BTreeMap<Name, ServiceLevel>,
     }
 
     /// One version of a model.
     pub struct Version {
-        /// The model it is a version of.
+        /// The model that this is a version of.
         pub model: Name,
-        /// Where it stands between coming and going.
+        /// Stage of the version's life cycle.
         pub state: VersionState,
-        /// Cost of one call, in the deployment's own unit.
+        /// Cost of one call, in a unit that the deployment chooses.
         pub cost: f64,
-        /// The pool that serves it.
+        /// The pool that serves this version.
         pub pool: Name,
-        /// Expected share of good answers by task, 0 to 1, until ratings say otherwise.
+        /// Expected share of good answers by task, 0 to 1, used until there are ratings.
         #[serde(default)]
         pub quality: BTreeMap<Name, f64>,
-        /// A connection that has not brought the first byte of an answer by then is closed.
+        /// Longest wait for the first byte of an answer, in milliseconds; then the connection is
+        /// closed.
         #[serde(default = "Version::default_first_byte_ms")]
         pub first_byte_ms: u64,
-        /// The same between two pieces of a stream.
+        /// Longest wait between two pieces of a stream, in milliseconds; then the connection is
+        /// closed.
         #[serde(default = "Version::default_between_bytes_ms")]
         pub between_bytes_ms: u64,
-        /// How long a cut-off host goes on opening sessions on it without a confirmed generation.
+        /// How long a host that is cut off, and can't confirm its generation, goes on opening
+        /// sessions on this version while it is a candidate, in milliseconds.
         #[serde(default = "Version::default_stale_limit_ms")]
         pub stale_limit_ms: u64,
-        /// Quarantines judged in generations up to this one are void. So a change to anything
-        /// else never lifts a quarantine, and lifting one is a change that operators see.
+        /// Quarantines that were imposed in generations up to this one are void. So a change of
+        /// another member never lifts a quarantine, and lifting one is a change that operators see.
         #[serde(default)]
         pub cleared: u64,
     }
 
-    /// Where a version stands between coming and going.
+    /// Stage of a version's life cycle.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum VersionState {
-        /// Taken on by steps; gets the share that its roll-out gives it.
+        /// New: receives the share of sessions that its roll-out sets.
         Candidate,
-        /// In full use.
+        /// In full use, for new sessions as well.
         Live,
-        /// Old sessions go on, no new ones.
+        /// Existing sessions continue, but new ones are not put on it.
         Draining,
-        /// No new work at all.
+        /// Receives no work at all.
         Withdrawn,
     }
 
-    /// A group of like backend servers.
+    /// A group of interchangeable backend servers.
     pub struct Pool {
-        /// Requests that one of its backend servers works on at a time.
+        /// Requests that each backend server of the pool processes at a time.
         pub slots: u32,
-        /// Requests that one entry host holds back for the pool at most.
+        /// Most requests that one entry host queues for the pool.
         #[serde(default = "Pool::default_queue")]
         pub queue: u32,
     }
 
-    /// A plain service, passed through.
+    /// A plain service, whose requests are passed through without choosing a model version.
     pub struct Service {
-        /// The pool that serves it.
+        /// The pool that serves the service.
         pub pool: Name,
-        /// HTTP methods whose calls may be repeated.
+        /// HTTP methods whose calls may run more than once.
         #[serde(default = "Service::default_repeatable")]
         pub repeatable: Vec<Name>,
         /// Longest time one call may take, in milliseconds.
         #[serde(default = "Service::default_deadline_ms")]
         pub deadline_ms: u64,
-        /// Cost of one call.
+        /// Cost of one call, in the same unit as that of versions.
         #[serde(default)]
         pub cost: f64,
     }
 
     /// One client account.
     pub struct Account {
-        /// SHA-256 of each accepted key, in hexadecimal.
+        /// SHA-256 of each accepted API key, in hexadecimal digits.
         pub key_hashes: Vec<Name>,
-        /// The versions its requests may run on.
+        /// The versions that the account's requests may run on.
         pub versions: Vec<Name>,
-        /// The plain services it may call.
+        /// The plain services that the account may call.
         #[serde(default)]
         pub services: Vec<Name>,
-        /// Its tasks; a request names one in `Chestnutspur-Task`.
+        /// Tasks of the account by name; a request names its task in the header
+        /// `Chestnutspur-Task`.
         pub tasks: BTreeMap<Name, Task>,
-        /// The task of a request that names none.
+        /// The task of requests that name no task.
         pub default_task: Name,
-        /// What it may use at most.
+        /// Upper bounds on the account's use.
         #[serde(default)]
         pub limit: Limit,
     }
 
     /// One kind of request of a client account.
     pub struct Task {
-        /// Share of good answers that its owner was promised, 0 to 1.
+        /// Share of good answers that the account's owner was promised, 0 to 1.
         pub quality_target: f64,
-        /// Whether a request may run more than once.
+        /// Whether a request of this task may run more than once.
         pub may_repeat: bool,
-        /// Longest time a request may take, in milliseconds.
+        /// Longest time that a request of this task may take, in milliseconds.
         pub deadline_ms: u64,
-        /// 0 is served first.
+        /// Priority of the task's requests; 0 is the most urgent.
         #[serde(default)]
         pub priority: u8,
     }
 
-    /// What a client account may use at most, on all entry hosts together.
+    /// Upper bounds on what a client account may use, over all entry hosts together.
     #[derive(Default)]
     #[serde(default)]
     pub struct Limit {
-        /// Requests a second; 0 is no limit.
+        /// Requests per second; 0 means no limit.
         pub requests_per_second: f64,
-        /// Requests at once; 0 is no limit.
+        /// Requests in flight; 0 means no limit.
         pub in_flight: u32,
     }
 
-    /// The raising of a candidate's share by steps.
+    /// A roll-out: raises a candidate's share of new sessions in steps.
     pub struct Rollout {
-        /// The candidate.
+        /// The candidate version.
         pub version: Name,
-        /// The shares of new sessions it gets one after another, 0 to 1.
+        /// Shares of new sessions that the candidate receives, 0 to 1, in the order of the steps.
         pub steps: Vec<f64>,
-        /// Shortest stay on a step, in milliseconds.
+        /// Shortest duration of each step, in milliseconds.
         pub step_ms: u64,
-        /// Rated answers that a step needs before the next.
+        /// Rated answers that are needed on a step before the next step begins.
         pub min_rated: u64,
-        /// The share of good answers below which it stops.
+        /// Share of good answers, 0 to 1, below which the roll-out stops.
         pub guard: f64,
     }
 
     /// A key that signs session tokens.
     pub struct SessionKey {
-        /// At least 32 bytes, in hexadecimal.
+        /// At least 32 bytes, in hexadecimal digits.
         pub secret: Name,
     }
 
-    /// A service level reported on.
+    /// A service level that is measured and reported.
     pub struct ServiceLevel {
-        /// Whose requests.
+        /// The client account whose requests count.
         pub account: Name,
-        /// Which task; all if absent.
+        /// The task whose requests count; absent for all tasks of the account.
         #[serde(default)]
         pub task: Option<Name>,
         /// Share of requests that must be answered in time, 0 to 1.
         pub objective: f64,
-        /// In time means within this many milliseconds.
+        /// Longest time for an answer to count as in time, in milliseconds.
         pub within_ms: u64,
     }
 }
@@ -188,13 +194,13 @@
         300_000
     }
 
-    /// Whether a session that is not on it yet may be put on it.
+    /// Whether new sessions may be put on this version.
     #[must_use]
     pub fn accepts_new_sessions(&self) -> bool {
         matches!(self.state, VersionState::Live | VersionState::Candidate)
     }
 
-    /// Whether any request may run on it.
+    /// Whether any request may run on this version.
     #[must_use]
     pub fn accepts_work(&self) -> bool {
         self.state != VersionState::Withdrawn
--- a/crates/wire/src/configuration/check.rs
+++ b/crates/wire/src/configuration/check.rs
@@ -1,4 +1,4 @@
-//! Reading and checking the document: every fault found, each with its path.
+//! Reads and validates the configuration document.
 
 mod rules;
 
@@ -6,12 +6,12 @@
 use crate::fault::{Fault, is_within};
 use crate::read;
 
-/// Reads a document and checks all of it.
+/// Reads a document and validates all of it.
 ///
-/// A `generation` of 0 is right for the first document of a deployment: it was made from none.
+/// A `generation` of 0 is valid: the first document of a deployment was made from no other.
 ///
 /// # Errors
-/// Every fault found, in the order of their paths.
+/// All faults found, in the order of their paths.
 pub fn parse(text: &str) -> Result<Document, Vec<Fault>> {
     let mut faults = Vec::new();
     let value = match read::parse_json(text, &mut faults) {
@@ -20,27 +20,27 @@
     };
     let (document, repaired) = read::deserialize_repaired::<Document>(value, &mut faults);
     if let Some(document) = &document {
-        let mut broken = Vec::new();
-        rules::check(document, &mut broken);
-        // What stands where a fault was mended is ours, not the operator's.
-        broken.retain(|fault| !repaired.iter().any(|path| is_within(&fault.path, path)));
-        faults.extend(broken);
+        let mut rule_faults = Vec::new();
+        rules::check(document, &mut rule_faults);
+        // A repaired place holds a placeholder of this reader, not the operator's value.
+        rule_faults.retain(|fault| !repaired.iter().any(|path| is_within(&fault.path, path)));
+        faults.extend(rule_faults);
     }
-    faults.sort_by(|one, other| one.path.cmp(&other.path));
+    faults.sort_by(|a, b| a.path.cmp(&b.path));
     match document {
         Some(document) if faults.is_empty() => Ok(document),
         _ => Err(faults),
     }
 }
 
-/// Reads a document that was accepted, without checking it again.
+/// Reads a document that was accepted before, without validating it again.
 ///
-/// While hosts are replaced one by one by those of a newer release, its stricter rules must not
-/// keep out what an older one accepted: the host would stay on a lower generation for good, and
-/// nobody who could mend the document would learn of it.
+/// While hosts are upgraded one by one, the stricter rules of a newer release must not reject a
+/// document that an older release accepted: the upgraded host would stay on a lower generation for
+/// good, and nobody who could correct the document would learn of it.
 ///
 /// # Errors
-/// What is not the form of a document.
+/// When the text does not have the form of a document.
 pub fn parse_accepted(text: &str) -> Result<Document, Fault> {
     serde_json::from_str(text).map_err(|error| Fault::at("", error.to_string()))
 }
--- a/crates/wire/src/fault.rs
+++ b/crates/wire/src/fault.rs
@@ -1,13 +1,14 @@
-//! Faults of a document an operator wrote, each with its path.
+//! Faults of a document that an operator wrote, each with its path.
 
 use std::fmt;
 
 use policy::domain;
 
 domain! {
-    /// One fault.
+    /// One fault of a document.
     pub struct Fault {
-        /// Where, as `accounts.dwu-claims.versions[2]`; empty for the whole document.
+        /// Path of the faulty member, such as `accounts.dwu-claims.versions[2]`; empty for the
+        /// whole document.
         pub path: String,
         /// What is wrong, and what is expected.
         pub message: String,
@@ -15,7 +16,7 @@
 }
 
 impl Fault {
-    /// A fault at a path.
+    /// Creates a fault of the member at a path.
     #[must_use]
     pub fn at(path: impl Into<String>, message: impl Into<String>) -> Self {
         Self { path: path.into(), message: message.into() }
@@ -31,7 +32,7 @@
     }
 }
 
-/// Whether a path is another one, or inside it.
+/// Whether a path equals `outer` or leads to a member inside it.
 #[must_use]
 pub fn is_within(path: &str, outer: &str) -> bool {
     match path.strip_prefix(outer) {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Joins two paths, either of which may be empty.
+/// Joins a path and a member's path relative to it; either may be empty.
 #[must_use]
 pub fn join_path(path: &str, member: &str) -> String {
     match (path, member) {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! What our processes say to each other, and the documents that operators write.
+//! Messages between the processes of this product, and the documents that operators write.
 //!
-//! Messages are plain types; the only behaviour here is validation, the peers' handshake and
-//! small helpers that several processes would otherwise write again.
+//! Messages are plain types. The only behaviour here is validation, the handshake between peers,
+//! and small helpers that several processes share.
 
 pub mod backend;
 pub mod bill;
--- a/crates/wire/src/read.rs
+++ b/crates/wire/src/read.rs
@@ -1,8 +1,9 @@
-//! From text to what operators write, past members given twice, unknown ones and wrong kinds.
+//! Reads documents that operators write, and reports all faults of form: repeated members, unknown
+//! members and values of a wrong type.
 //!
-//! The derived reader stops at its first fault. So each fault it finds is noted and mended with a
-//! placeholder, and the reading starts over, until it comes through: the operator sees all faults
-//! at once, and the rules can be checked on the rest.
+//! A derived deserializer stops at its first fault. So each fault is recorded, the faulty value is
+//! replaced by a placeholder, and deserialization starts again until it succeeds. The operator sees
+//! all faults at once, and further rules can be checked on the rest of the document.
 
 use std::fmt;
 
@@ -15,28 +16,30 @@
 
 use crate::fault::{Fault, is_within, join_path};
 
-/// Faults of kind that are mended; a document with more is not worth going on with.
-const MENDED_MAX: usize = 100;
+/// Most faulty values that are replaced by placeholders. A document with more faults is not read
+/// any further.
+const REPAIRS_MAX: usize = 100;
 
-/// Reads JSON; a member given twice is a fault, because readers differ on which one counts.
+/// Parses JSON. A member that is given twice is a fault, because JSON readers differ on which of
+/// the two values counts.
 ///
 /// # Errors
-/// When it is no JSON.
+/// When the text is not JSON.
 pub fn parse_json(text: &str, faults: &mut Vec<Fault>) -> Result<Value, serde_json::Error> {
     let mut reader = serde_json::Deserializer::from_str(text);
-    let seed = Seed { path: String::new(), faults };
+    let seed = ValueSeed { path: String::new(), faults };
     let value = seed.deserialize(&mut reader)?;
     reader.end()?;
     Ok(value)
 }
 
-/// One value under a path.
-struct Seed<'a> {
+/// Deserializes one JSON value and reports repeated members inside it.
+struct ValueSeed<'a> {
     path: String,
     faults: &'a mut Vec<Fault>,
 }
 
-impl<'de> DeserializeSeed<'de> for Seed<'_> {
+impl<'de> DeserializeSeed<'de> for ValueSeed<'_> {
     type Value = Value;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
@@ -44,7 +47,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Seed<'_> {
+impl<'de> Visitor<'de> for ValueSeed<'_> {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -79,7 +82,7 @@
         let mut values = Vec::new();
         loop {
             let path = format!("{}[{}]", self.path, values.len());
-            match items.next_element_seed(Seed { path, faults: self.faults })? {
+            match items.next_element_seed(ValueSeed { path, faults: self.faults })? {
                 Some(value) => values.push(value),
                 None => return Ok(Value::Array(values)),
             }
@@ -93,26 +96,29 @@
             if values.contains_key(&key) {
                 self.faults.push(Fault::at(&path, "given twice"));
             }
-            let value = members.next_value_seed(Seed { path, faults: self.faults })?;
+            let value = members.next_value_seed(ValueSeed { path, faults: self.faults })?;
             values.insert(key, value);
         }
         Ok(Value::Object(values))
     }
 }
 
-/// What the derived reader made of a value.
+/// Result of deserializing a value.
 enum Outcome<T> {
-    Read(T, Vec<String>),
-    Fault { segments: Vec<Step>, path: String, message: String },
+    /// The value, and the paths of unknown members.
+    Success(T, Vec<String>),
+    /// The first fault.
+    Fault { segments: Vec<PathSegment>, path: String, message: String },
 }
 
 #[derive(Clone)]
-enum Step {
+enum PathSegment {
     Index(usize),
     Member(String),
 }
 
-/// What was written, and the paths of what had to be mended; none if it was past mending.
+/// Deserializes a value, with a placeholder in place of each faulty value. Returns the result and
+/// the paths of the placeholders; the result is none if a fault can't be repaired in this way.
 pub fn deserialize_repaired<T>(
     mut value: Value,
     faults: &mut Vec<Fault>,
@@ -120,43 +126,43 @@
 where
     T: DeserializeOwned + Serialize,
 {
-    let mut mended = Vec::new();
-    for _ in 0..MENDED_MAX {
-        match attempt::<T>(&value) {
-            Outcome::Read(document, unknown) => {
+    let mut repaired = Vec::new();
+    for _ in 0..REPAIRS_MAX {
+        match deserialize::<T>(&value) {
+            Outcome::Success(document, unknown) => {
                 faults.extend(unknown.into_iter().map(|path| Fault::at(path, "unknown member")));
-                if let Ok(read) = serde_json::to_value(&document) {
-                    refuse_lists(&value, &read, "", faults);
+                if let Ok(parsed) = serde_json::to_value(&document) {
+                    reject_arrays(&value, &parsed, "", faults);
                 }
-                return (Some(document), mended);
+                return (Some(document), repaired);
             }
             Outcome::Fault { segments, path, message } => {
-                let (segments, path, message) = missing(segments, path, message);
-                // What a placeholder lacks is ours, not the operator's.
-                if !mended.iter().any(|outer| is_within(&path, outer)) {
+                let (segments, path, message) = locate_missing(segments, path, message);
+                // A member that a placeholder lacks is not the operator's fault.
+                if !repaired.iter().any(|outer| is_within(&path, outer)) {
                     faults.push(Fault::at(&path, message));
                 }
-                let repaired = mend::<T>(&value, &segments);
-                mended.push(path);
-                match repaired {
-                    Some(repaired) => value = repaired,
-                    None => return (None, mended),
+                let next = insert_placeholder::<T>(&value, &segments);
+                repaired.push(path);
+                match next {
+                    Some(next) => value = next,
+                    None => return (None, repaired),
                 }
             }
         }
     }
-    (None, mended)
+    (None, repaired)
 }
 
-/// The derived reader takes a list for an object, member by position. Nobody can check that by
-/// eye, so it is refused.
-fn refuse_lists(given: &Value, read: &Value, path: &str, faults: &mut Vec<Fault>) {
-    match (given, read) {
+/// Reports arrays in place of objects. A derived deserializer accepts them and assigns members by
+/// position, which operators can't verify by eye.
+fn reject_arrays(input: &Value, parsed: &Value, path: &str, faults: &mut Vec<Fault>) {
+    match (input, parsed) {
         (Value::Array(_), Value::Object(_)) => faults.push(Fault::at(path, "must be an object")),
-        (Value::Object(given), Value::Object(read)) => {
-            for (key, value) in given {
-                if let Some(read) = read.get(key) {
-                    refuse_lists(value, read, &join_path(path, key), faults);
+        (Value::Object(input), Value::Object(parsed)) => {
+            for (key, value) in input {
+                if let Some(parsed) = parsed.get(key) {
+                    reject_arrays(value, parsed, &join_path(path, key), faults);
                 }
             }
         }
@@ -164,61 +170,68 @@
     }
 }
 
-fn attempt<T: DeserializeOwned>(value: &Value) -> Outcome<T> {
+fn deserialize<T: DeserializeOwned>(value: &Value) -> Outcome<T> {
     let mut unknown = Vec::new();
     let mut track = serde_path_to_error::Track::new();
     let tracked = serde_path_to_error::Deserializer::new(value, &mut track);
     let result = serde_ignored::deserialize(tracked, |path| unknown.push(path.to_string()));
     match result {
-        Ok(document) => Outcome::Read(document, unknown),
+        Ok(document) => Outcome::Success(document, unknown),
         Err(error) => {
             let path = track.path();
-            let segments = path.iter().filter_map(step).collect();
+            let segments = path.iter().filter_map(path_segment).collect();
             let text = join_path("", &path.to_string());
-            Outcome::Fault { segments, path: text, message: plain(&error) }
+            Outcome::Fault { segments, path: text, message: describe(&error) }
         }
     }
 }
 
-fn plain(error: &serde_json::Error) -> String {
+fn describe(error: &serde_json::Error) -> String {
     error.to_string()
 }
 
-fn step(segment: &Segment) -> Option<Step> {
+fn path_segment(segment: &Segment) -> Option<PathSegment> {
     match segment {
-        Segment::Seq { index } => Some(Step::Index(*index)),
-        Segment::Map { key } => Some(Step::Member(key.clone())),
+        Segment::Seq { index } => Some(PathSegment::Index(*index)),
+        Segment::Map { key } => Some(PathSegment::Member(key.clone())),
         Segment::Enum { .. } | Segment::Unknown => None,
     }
 }
 
-/// A missing member is reported at its own path, not at that of the object it is missing from.
-fn missing(mut segments: Vec<Step>, path: String, message: String) -> (Vec<Step>, String, String) {
+/// Turns the fault of an object that lacks a member into a fault at the path of that member.
+fn locate_missing(
+    mut segments: Vec<PathSegment>,
+    path: String,
+    message: String,
+) -> (Vec<PathSegment>, String, String) {
     let member = message.strip_prefix("missing field `").and_then(|rest| rest.strip_suffix('`'));
     match member {
         Some(member) => {
-            segments.push(Step::Member(member.to_owned()));
+            segments.push(PathSegment::Member(member.to_owned()));
             (segments, join_path(&path, member), "missing".to_owned())
         }
         None => (segments, path, message),
     }
 }
 
-/// Puts the first placeholder in place after which the reader comes past it.
-fn mend<T: DeserializeOwned>(value: &Value, segments: &[Step]) -> Option<Value> {
-    let plain = [json!(0), json!("live"), json!(false), json!([]), json!({}), json!("0")];
-    let of_settings = [json!("127.0.0.1:0"), json!({"text": "mended by the check"})];
-    plain.into_iter().chain(of_settings).find_map(|placeholder| {
-        let mut mended = value.clone();
-        put(&mut mended, segments, placeholder)?;
-        passes::<T>(&mended, segments).then_some(mended)
+/// Replaces the faulty value by the first placeholder that deserialization accepts at its place.
+fn insert_placeholder<T: DeserializeOwned>(
+    value: &Value,
+    segments: &[PathSegment],
+) -> Option<Value> {
+    let any_document = [json!(0), json!("live"), json!(false), json!([]), json!({}), json!("0")];
+    let settings_only = [json!("127.0.0.1:0"), json!({"text": "mended by the check"})];
+    any_document.into_iter().chain(settings_only).find_map(|placeholder| {
+        let mut repaired = value.clone();
+        replace(&mut repaired, segments, placeholder)?;
+        is_fault_resolved::<T>(&repaired, segments).then_some(repaired)
     })
 }
 
-fn put(value: &mut Value, segments: &[Step], placeholder: Value) -> Option<()> {
+fn replace(value: &mut Value, segments: &[PathSegment], placeholder: Value) -> Option<()> {
     let place = segments.iter().try_fold(value, |value, segment| match (segment, value) {
-        (Step::Index(index), Value::Array(items)) => items.get_mut(*index),
-        (Step::Member(key), Value::Object(members)) => {
+        (PathSegment::Index(index), Value::Array(items)) => items.get_mut(*index),
+        (PathSegment::Member(key), Value::Object(members)) => {
             Some(members.entry(key.clone()).or_insert(Value::Null))
         }
         _ => None,
@@ -227,22 +240,23 @@
     Some(())
 }
 
-/// Whether the next fault, if any, is another one: inside the placeholder counts as another.
-fn passes<T: DeserializeOwned>(value: &Value, segments: &[Step]) -> bool {
-    match attempt::<T>(value) {
-        Outcome::Read(..) => true,
+/// Whether deserialization succeeds or stops at a different fault. A member that the placeholder
+/// lacks counts as a different fault.
+fn is_fault_resolved<T: DeserializeOwned>(value: &Value, segments: &[PathSegment]) -> bool {
+    match deserialize::<T>(value) {
+        Outcome::Success(..) => true,
         Outcome::Fault { segments: next, message, .. } => {
             next.len() != segments.len()
                 || message.starts_with("missing field")
-                || !next.iter().zip(segments).all(|(one, other)| same(one, other))
+                || !next.iter().zip(segments).all(|(a, b)| is_same_segment(a, b))
         }
     }
 }
 
-fn same(one: &Step, other: &Step) -> bool {
-    match (one, other) {
-        (Step::Index(one), Step::Index(other)) => one == other,
-        (Step::Member(one), Step::Member(other)) => one == other,
+fn is_same_segment(a: &PathSegment, b: &PathSegment) -> bool {
+    match (a, b) {
+        (PathSegment::Index(a), PathSegment::Index(b)) => a == b,
+        (PathSegment::Member(a), PathSegment::Member(b)) => a == b,
         _ => false,
     }
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process: a JSON file, checked whole before anything starts.
+//! Settings of one process: a JSON file, which is validated as a whole before anything starts.
 
 mod check;
 mod secret;
@@ -13,209 +13,213 @@
 pub use secret::KEY_BYTES_MIN;
 
 domain! {
-    /// Settings of either process.
+    /// Settings of one process, for any role.
     #[serde(tag = "role", rename_all = "snake_case")]
     pub enum Settings {
-        /// Of the data plane.
+        /// Settings of the data plane, `entry`.
         Entry(Entry),
-        /// Of the controllers.
+        /// Settings of a controller, `control`.
         Control(Control),
-        /// Of both in one process, for routed requests.
+        /// Settings of `node`: data plane and controller in one process, for routed requests.
         Node(Node),
     }
 
     /// Settings of `entry`.
     pub struct Entry {
-        /// The host's name.
+        /// Name of this host.
         pub name: Name,
-        /// Where the host stands.
+        /// Failure domain of this host.
         pub failure_domain: Name,
-        /// Where callers come in; port 0 lets the system choose.
+        /// Address that callers connect to; with port 0 the system chooses a port.
         pub listen: SocketAddr,
-        /// Health and metrics.
+        /// Address that serves health and metrics.
         pub operators: SocketAddr,
-        /// Controls to ask, own failure domain first.
+        /// Controls that this host asks, those of its own failure domain first.
         pub controls: Vec<Peer>,
-        /// Shared with all controls.
+        /// Key that this host shares with all controls.
         pub peer_key: Secret,
-        /// `off`, `error`, `warn`, `info`, `debug` or `trace`.
+        /// Log level: `off`, `error`, `warn`, `info`, `debug` or `trace`.
         #[serde(default = "default_log")]
         pub log: Name,
-        /// Bounds on what callers send.
+        /// Limits on what callers may send.
         #[serde(default)]
         pub bounds: Bounds,
-        /// Share of answers sent to the rating service, 0 to 1.
+        /// Share of all answers that is sent to the rating service, 0 to 1.
         #[serde(default = "default_rated_share")]
         pub rated_share: f64,
-        /// How long a graceful shutdown waits for requests under way, in milliseconds.
+        /// Longest time a graceful shutdown waits for requests in flight, in milliseconds.
         #[serde(default = "default_drain_ms")]
         pub drain_ms: u64,
     }
 
     /// Settings of `control`.
     pub struct Control {
-        /// The host's name.
+        /// Name of this host.
         pub name: Name,
-        /// Where the host stands.
+        /// Failure domain of this host.
         pub failure_domain: Name,
-        /// Where entries and peers come in.
+        /// Address that entries and other controls connect to.
         pub listen: SocketAddr,
-        /// Console, API, health and metrics.
+        /// Address that serves console, API, health and metrics.
         pub operators: SocketAddr,
-        /// `IP:PORT` of the platform's service.
+        /// IP address and port of the platform's service.
         pub platform: SocketAddr,
-        /// Where other hosts reach `listen`, if that is another address.
+        /// Address at which other hosts reach `listen`; absent if it is `listen` itself.
         #[serde(default)]
         pub advertise: Option<SocketAddr>,
-        /// Other controls known from the start; more come with the host list.
+        /// Controls known at start; others are learned from the platform's host list.
         #[serde(default)]
         pub peers: Vec<Peer>,
-        /// Shared with all entries and controls.
+        /// Key that all entries and controls share.
         pub peer_key: Secret,
-        /// SHA-256 of each operator's token, in hexadecimal.
+        /// SHA-256 of each operator's token, in hexadecimal digits.
         #[serde(default)]
         pub operator_token_hashes: Vec<Name>,
-        /// `off`, `error`, `warn`, `info`, `debug` or `trace`.
+        /// Log level: `off`, `error`, `warn`, `info`, `debug` or `trace`.
         #[serde(default = "default_log")]
         pub log: Name,
-        /// Bills held in memory at most; at it, new work is refused.
+        /// Most bills that are held in memory. When nearly as many are held, new work is refused.
         #[serde(default = "default_bills_max")]
         pub bills_max: u64,
-        /// How often the platform's generation and host list are read, in milliseconds.
+        /// Interval at which the platform's generation and host list are read, in milliseconds.
         #[serde(default = "default_poll_ms")]
         pub poll_ms: u64,
-        /// How often one peer is asked for news, in milliseconds.
+        /// Interval of gossip exchanges, in milliseconds; each asks one peer for its news.
         #[serde(default = "default_gossip_ms")]
         pub gossip_ms: u64,
-        /// Shards of each failure domain's keys.
+        /// Number of shards that the keys of each failure domain are divided into.
         #[serde(default = "default_shards")]
         pub shards: u32,
     }
 
     /// Settings of `node`.
     pub struct Node {
-        /// The host's name.
+        /// Name of this host.
         pub name: Name,
-        /// Where the host stands.
+        /// Failure domain of this host.
         pub failure_domain: Name,
-        /// Where callers come in.
+        /// Address that callers connect to.
         pub listen: SocketAddr,
-        /// Readiness for the balancer.
+        /// Address that serves readiness, for the load balancer.
         pub operators: SocketAddr,
-        /// Metrics; on `operators` as well.
+        /// Further address that serves metrics; `operators` serves them in any case.
         #[serde(default)]
         pub metrics: Option<SocketAddr>,
-        /// `IP:PORT` of the platform's store.
+        /// IP address and port of the platform's store.
         pub platform: SocketAddr,
-        /// Where the other hosts of the failure domain tell of long prompts and of the store's
-        /// lists; a port of UDP and of TCP. Without it the host reads all lists for itself.
+        /// UDP and TCP port at which the other hosts of the failure domain announce long prompts
+        /// and exchange the store's lists. If absent, this host reads all lists from the store
+        /// itself.
         #[serde(default)]
         pub peers: Option<SocketAddr>,
-        /// Where other hosts pass on requests that reach no backend server from there. Without it this
-        /// host takes none, and can pass on its own all the same.
+        /// Address at which other hosts forward requests when they can't reach a backend server.
+        /// If absent, this host accepts no forwarded requests, but can still forward its own.
         #[serde(default)]
         pub forward: Option<SocketAddr>,
-        /// The deployment starts for the first time: no host of it is listed yet.
+        /// Whether the deployment starts for the first time, so that no host is listed yet.
         #[serde(default)]
         pub first_start: bool,
-        /// Within which a change of the table of routes must be in force on all hosts, in
+        /// Longest time until a change of the routing table is in force on all hosts, in
         /// milliseconds.
         #[serde(default = "default_change_ms")]
         pub change_ms: u64,
-        /// Within which all hosts must have stopped sending to a leaving backend server, in
-        /// milliseconds.
+        /// Longest time until all hosts have stopped sending requests to a leaving backend server,
+        /// in milliseconds.
         #[serde(default = "default_change_ms")]
         pub leaving_ms: u64,
-        /// Within which the host must know all that has changed once its connections work again, in
-        /// milliseconds.
+        /// Longest time until this host has learned all changes after its connections work again,
+        /// in milliseconds.
         #[serde(default = "default_contact_ms")]
         pub contact_ms: u64,
-        /// `off`, `error`, `warn`, `info`, `debug` or `trace`.
+        /// Log level: `off`, `error`, `warn`, `info`, `debug` or `trace`.
         #[serde(default = "default_log")]
         pub log: Name,
-        /// Worker threads; as many as the host has cores.
+        /// Number of worker threads; should equal the number of the host's cores.
         #[serde(default = "default_threads")]
         pub threads: u32,
-        /// From the signal to stop until the process must have ended, in milliseconds.
+        /// Longest time from the stop signal until the process has ended, in milliseconds.
         #[serde(default = "default_drain_ms")]
         pub drain_ms: u64,
-        /// All failure domains of the deployment, this host's among them; how many there are decides which
-        /// part of the repeats of all hosts is this one's. Without them they are taken for many.
+        /// All failure domains of the deployment, this host's among them. Their number decides
+        /// this host's share of the extra attempts that all hosts may send; if the list is empty,
+        /// the host assumes that there are many.
         #[serde(default)]
         pub failure_domains: Vec<Name>,
-        /// How often requests may be sent to another backend server, on all hosts together.
+        /// Limits on extra attempts at other backend servers, for all hosts together.
         #[serde(default)]
         pub repeats: Repeats,
-        /// Part of a service's requests that a bad version may get in the time of a roll-out.
+        /// Share of a service's requests during a roll-out that a bad version may receive, 0 to 1.
         #[serde(default = "default_exposure_share")]
         pub exposure_share: f64,
-        /// Delay in milliseconds from which the host closes a part of new connections unread, if it is never
-        /// less late with what is due for a while; none if it takes them all. For a process that has its
-        /// processor to itself, or a fixed share of it.
+        /// Scheduling delay in milliseconds that counts as overload. While the host is at least
+        /// this late with all work that falls due, it closes a share of new connections unread. If
+        /// absent, it accepts all of them. Meant for a process that has its processor, or a fixed
+        /// share of one, to itself.
         #[serde(default)]
         pub standing_delay_ms: Option<f64>,
-        /// What the host may use: of the hosts of a failure domain a stronger one reads the store's
-        /// lists for the others.
+        /// Resources that the host may use. Within a failure domain a stronger host reads the
+        /// store's lists for the others.
         #[serde(default)]
         pub resources: Resources,
     }
 
-    /// What a host may use.
+    /// Resources that a host may use.
     #[derive(Copy)]
     #[serde(default)]
     pub struct Resources {
-        /// Of a core.
+        /// Processor time, as a share of one core.
         pub core_share: f64,
-        /// Its link, in megabits a second.
+        /// Bandwidth of the host's network link, in megabits per second.
         pub link_mbps: f64,
-        /// Descriptors of files and sockets; none if any number.
+        /// Number of file and socket descriptors; absent if unlimited.
         pub descriptors: Option<u32>,
-        /// Memory, in megabytes; none if any amount.
+        /// Memory in megabytes; absent if unlimited.
         pub memory_mb: Option<u64>,
     }
 
-    /// Bounds on requests sent again.
+    /// Limits on extra attempts: those that follow the first attempt of a request.
     #[serde(default)]
     pub struct Repeats {
-        /// For each request.
+        /// Extra attempts allowed for each request.
         pub share: f64,
-        /// Beyond that, in each window, on all hosts together.
+        /// Extra attempts beyond `share` in each window, for all hosts together.
         pub slack: f64,
-        /// Length of the window, in milliseconds.
+        /// Length of the window over which attempts are counted, in milliseconds.
         pub window_ms: u64,
     }
 
-    /// A control's address.
+    /// A control that other hosts connect to.
     pub struct Peer {
-        /// The host's name.
+        /// Name of the control's host.
         pub name: Name,
-        /// Where the host stands.
+        /// Failure domain of the control's host.
         pub failure_domain: Name,
-        /// IP number and port.
+        /// Address at which the control is reached.
         pub address: SocketAddr,
     }
 
-    /// A secret, named rather than written down.
+    /// Where to load a secret from, so that the settings need not hold the secret itself.
     #[serde(rename_all = "snake_case")]
     pub enum Secret {
-        /// Path of a file that holds it.
+        /// Path of a file that holds the secret.
         File(String),
-        /// Name of an environment variable that holds it.
+        /// Name of an environment variable that holds the secret.
         Env(String),
-        /// The secret itself, for the demo and for tests only: `check` warns of it.
+        /// The secret itself; only for the demo and for tests. `check` warns about it.
         Text(String),
     }
 
-    /// Bounds on what callers send.
+    /// Limits on what callers may send.
     #[serde(default)]
     pub struct Bounds {
-        /// Bytes of all headers together.
+        /// Largest total size of a request's headers, in bytes.
         pub header_bytes: usize,
-        /// Bytes of a body.
+        /// Largest body of a request, in bytes.
         pub body_bytes: usize,
-        /// Longest time a caller may take to send headers, and between two pieces of a body.
+        /// Longest time a caller may take to send headers, or between two pieces of a body, in
+        /// milliseconds.
         pub slow_ms: u64,
-        /// Requests at once; over it new ones are refused.
+        /// Most requests in flight; beyond this number new requests are refused.
         pub in_flight: usize,
     }
 }
@@ -250,12 +254,12 @@
     0.1
 }
 
-/// What the smallest deployments ask for.
+/// Limit that the smallest deployments require.
 fn default_change_ms() -> u64 {
     2_000
 }
 
-/// What the smallest deployments ask for.
+/// Limit that the smallest deployments require.
 fn default_contact_ms() -> u64 {
     3_000
 }
@@ -284,64 +288,64 @@
     16
 }
 
-const SECRET_FORM: &str = "must be {\"file\": PATH}, {\"env\": NAME} or {\"text\": SECRET}";
+const SECRET_FORM_MESSAGE: &str = "must be {\"file\": PATH}, {\"env\": NAME} or {\"text\": SECRET}";
 
-/// Reads and checks settings.
+/// Reads and validates settings.
 ///
 /// # Errors
-/// Every fault found.
+/// All faults found, each with its path.
 pub fn parse(text: &str) -> Result<Settings, Vec<Fault>> {
     let mut faults = Vec::new();
     let mut value =
         read::parse_json(text, &mut faults).map_err(|e| vec![Fault::at("", e.to_string())])?;
     let role = value.as_object_mut().and_then(|members| members.remove("role"));
-    let (settings, mended) = match role.as_ref().and_then(|role| role.as_str()) {
+    let (settings, repaired) = match role.as_ref().and_then(|role| role.as_str()) {
         Some("entry") => {
-            let (entry, mended) = read::deserialize_repaired(value, &mut faults);
-            (entry.map(Settings::Entry), mended)
+            let (entry, repaired) = read::deserialize_repaired(value, &mut faults);
+            (entry.map(Settings::Entry), repaired)
         }
         Some("control") => {
-            let (control, mended) = read::deserialize_repaired(value, &mut faults);
-            (control.map(Settings::Control), mended)
+            let (control, repaired) = read::deserialize_repaired(value, &mut faults);
+            (control.map(Settings::Control), repaired)
         }
         Some("node") => {
-            let (node, mended) = read::deserialize_repaired(value, &mut faults);
-            (node.map(Settings::Node), mended)
+            let (node, repaired) = read::deserialize_repaired(value, &mut faults);
+            (node.map(Settings::Node), repaired)
         }
         _ => {
             faults.push(Fault::at("role", "must be \"entry\", \"control\" or \"node\""));
             (None, Vec::new())
         }
     };
-    // The derived reader quotes what it can't read, and that may be the secret itself.
+    // The derived deserializer quotes values that it can't read, which may be the secret itself.
     for fault in faults.iter_mut().filter(|fault| is_within(&fault.path, "peer_key")) {
-        fault.message = SECRET_FORM.to_owned();
+        fault.message = SECRET_FORM_MESSAGE.to_owned();
     }
-    let mut broken = Vec::new();
+    let mut rule_faults = Vec::new();
     match &settings {
-        Some(Settings::Entry(entry)) => check::entry(entry, &mut broken),
-        Some(Settings::Control(control)) => check::control(control, &mut broken),
-        Some(Settings::Node(node)) => check::node(node, &mut broken),
+        Some(Settings::Entry(entry)) => check::check_entry(entry, &mut rule_faults),
+        Some(Settings::Control(control)) => check::check_control(control, &mut rule_faults),
+        Some(Settings::Node(node)) => check::check_node(node, &mut rule_faults),
         None => {}
     }
-    // What stands where a fault was mended is ours, not the operator's.
-    broken.retain(|fault| !mended.iter().any(|path| is_within(&fault.path, path)));
-    faults.extend(broken);
+    // A repaired place holds a placeholder of this reader, not the operator's value.
+    rule_faults.retain(|fault| !repaired.iter().any(|path| is_within(&fault.path, path)));
+    faults.extend(rule_faults);
     match settings {
         Some(settings) if faults.is_empty() => Ok(settings),
         _ => Err(faults),
     }
 }
 
-/// Whether a text may name a host, account, version or the like.
+/// Whether a text is a valid name of a host, account, version or the like.
 #[must_use]
 pub fn is_valid_name(text: &str) -> bool {
     (1..=64).contains(&text.len())
         && text.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
 }
 
-/// Whether a text is a SHA-256 in hexadecimal.
+/// Whether a text is a SHA-256 digest in hexadecimal digits.
 #[must_use]
-pub fn is_sha256(text: &str) -> bool {
+pub fn is_sha256_hex(text: &str) -> bool {
     text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
--- a/crates/wire/src/settings/check.rs
+++ b/crates/wire/src/settings/check.rs
@@ -1,102 +1,103 @@
-//! Checks settings that could be read.
+//! Validates settings that could be deserialized.
 
 use std::collections::BTreeSet;
 
 use policy::name::Name;
 
-use super::{Control, Entry, Node, Resources, Secret, is_sha256, is_valid_name};
+use super::{Control, Entry, Node, Resources, Secret, is_sha256_hex, is_valid_name};
 use crate::fault::Fault;
 
-/// Failure domains of one deployment.
-const DOMAINS_MAX: usize = 1_000;
-/// With fewer descriptors a host has none left for callers beside its own files and connections.
+/// Most failure domains that a deployment may have.
+const FAILURE_DOMAINS_MAX: usize = 1_000;
+/// With fewer descriptors a host has none left for callers, after those for its own files and
+/// connections.
 const DESCRIPTORS_MIN: u32 = 512;
-/// Worker threads of one process.
+/// Most worker threads that a process may have.
 const THREADS_MAX: u32 = 256;
 
-/// Checks settings of `entry`.
-pub fn entry(entry: &Entry, faults: &mut Vec<Fault>) {
-    common(&entry.name, &entry.failure_domain, &entry.log, faults);
-    secret(&entry.peer_key, faults);
+/// Adds the faults of settings of `entry`.
+pub fn check_entry(entry: &Entry, faults: &mut Vec<Fault>) {
+    check_common(&entry.name, &entry.failure_domain, &entry.log, faults);
+    check_secret(&entry.peer_key, faults);
     if entry.controls.is_empty() {
         faults.push(Fault::at("controls", "at least one is needed"));
     }
     if !(0.0..=1.0).contains(&entry.rated_share) {
         faults.push(Fault::at("rated_share", "must be from 0 to 1"));
     }
-    for (member, zero) in [
+    for (member, is_too_small) in [
         ("bounds.header_bytes", entry.bounds.header_bytes < 1024),
         ("bounds.body_bytes", entry.bounds.body_bytes < 1024),
         ("bounds.slow_ms", entry.bounds.slow_ms == 0),
         ("bounds.in_flight", entry.bounds.in_flight == 0),
     ] {
-        if zero {
+        if is_too_small {
             faults.push(Fault::at(member, "too small to serve anything"));
         }
     }
 }
 
-/// Checks settings of `control`.
-pub fn control(control: &Control, faults: &mut Vec<Fault>) {
-    common(&control.name, &control.failure_domain, &control.log, faults);
-    secret(&control.peer_key, faults);
+/// Adds the faults of settings of `control`.
+pub fn check_control(control: &Control, faults: &mut Vec<Fault>) {
+    check_common(&control.name, &control.failure_domain, &control.log, faults);
+    check_secret(&control.peer_key, faults);
     for (index, hash) in control.operator_token_hashes.iter().enumerate() {
-        if !is_sha256(hash) {
+        if !is_sha256_hex(hash) {
             let path = format!("operator_token_hashes[{index}]");
             faults.push(Fault::at(path, "must be 64 hexadecimal digits"));
         }
     }
-    for (member, zero) in [
+    for (member, is_too_small) in [
         ("bills_max", control.bills_max == 0),
         ("poll_ms", control.poll_ms == 0),
         ("gossip_ms", control.gossip_ms == 0),
         ("shards", control.shards == 0),
     ] {
-        if zero {
+        if is_too_small {
             faults.push(Fault::at(member, "must not be 0"));
         }
     }
 }
 
-fn domains(node: &Node, faults: &mut Vec<Fault>) {
+fn check_failure_domains(node: &Node, faults: &mut Vec<Fault>) {
     let domains = &node.failure_domains;
     let names: BTreeSet<&Name> = domains.iter().collect();
-    let fault = match () {
+    let message = match () {
         () if domains.is_empty() => return,
-        () if domains.len() > DOMAINS_MAX => "must name no more than 1000",
+        () if domains.len() > FAILURE_DOMAINS_MAX => "must name no more than 1000",
         () if names.len() < domains.len() => "names a failure domain twice",
         () if !names.contains(&node.failure_domain) => "must name the host's own",
         () => return,
     };
-    faults.push(Fault::at("failure_domains", fault));
+    faults.push(Fault::at("failure_domains", message));
 }
 
-/// Checks settings of `node`.
-pub fn node(node: &Node, faults: &mut Vec<Fault>) {
-    common(&node.name, &node.failure_domain, &node.log, faults);
-    domains(node, faults);
-    resources(&node.resources, faults);
-    for (member, value, most) in [
+/// Adds the faults of settings of `node`.
+pub fn check_node(node: &Node, faults: &mut Vec<Fault>) {
+    check_common(&node.name, &node.failure_domain, &node.log, faults);
+    check_failure_domains(node, faults);
+    check_resources(&node.resources, faults);
+    for (member, value, max) in [
         ("repeats.share", node.repeats.share, 10.0),
         ("repeats.slack", node.repeats.slack, 1e6),
         ("exposure_share", node.exposure_share, 1.0),
     ] {
-        if !(0.0..=most).contains(&value) {
-            faults.push(Fault::at(member, format!("must be from 0 to {most}")));
+        if !(0.0..=max).contains(&value) {
+            faults.push(Fault::at(member, format!("must be from 0 to {max}")));
         }
     }
     if node.standing_delay_ms.is_some_and(|ms| !(ms.is_finite() && ms > 0.0)) {
         faults.push(Fault::at("standing_delay_ms", "must be more than 0"));
     }
-    for (member, value, least) in [
+    for (member, value, min) in [
         ("repeats.window_ms", node.repeats.window_ms, 100),
         ("change_ms", node.change_ms, 500),
         ("leaving_ms", node.leaving_ms, 500),
         ("contact_ms", node.contact_ms, 2_000),
         ("drain_ms", node.drain_ms, 1_000),
     ] {
-        if value < least {
-            faults.push(Fault::at(member, format!("must be at least {least}")));
+        if value < min {
+            faults.push(Fault::at(member, format!("must be at least {min}")));
         }
     }
     if !(1..=THREADS_MAX).contains(&node.threads) {
@@ -104,7 +105,7 @@
     }
 }
 
-fn resources(resources: &Resources, faults: &mut Vec<Fault>) {
+fn check_resources(resources: &Resources, faults: &mut Vec<Fault>) {
     for (member, value) in [
         ("resources.core_share", resources.core_share),
         ("resources.link_mbps", resources.link_mbps),
@@ -122,7 +123,7 @@
     }
 }
 
-fn common(name: &Name, failure_domain: &Name, log: &Name, faults: &mut Vec<Fault>) {
+fn check_common(name: &Name, failure_domain: &Name, log: &Name, faults: &mut Vec<Fault>) {
     for (member, text) in [("name", name), ("failure_domain", failure_domain)] {
         if !is_valid_name(text) {
             faults.push(Fault::at(member, "must be 1 to 64 letters, digits, '-', '_' or '.'"));
@@ -133,7 +134,7 @@
     }
 }
 
-fn secret(secret: &Secret, faults: &mut Vec<Fault>) {
+fn check_secret(secret: &Secret, faults: &mut Vec<Fault>) {
     if let Err(message) = secret.load() {
         faults.push(Fault::at("peer_key", message));
     }
--- a/crates/wire/src/settings/secret.rs
+++ b/crates/wire/src/settings/secret.rs
@@ -1,4 +1,4 @@
-//! Secrets that settings name.
+//! Loads the secrets that settings refer to.
 
 use super::Secret;
 
@@ -6,10 +6,10 @@
 pub const KEY_BYTES_MIN: usize = 16;
 
 impl Secret {
-    /// The secret's bytes.
+    /// Reads the secret's bytes, without surrounding white space.
     ///
     /// # Errors
-    /// A message that never holds the secret.
+    /// When the secret can't be read or is too short. The message never holds the secret.
     pub fn load(&self) -> Result<Vec<u8>, String> {
         let text = match self {
             Self::File(path) => {
@@ -19,7 +19,7 @@
             Self::Text(text) => text.clone(),
         };
         match text.trim() {
-            short if short.len() < KEY_BYTES_MIN => {
+            key if key.len() < KEY_BYTES_MIN => {
                 Err(format!("must hold at least {KEY_BYTES_MIN} bytes"))
             }
             key => Ok(key.as_bytes().to_vec()),
