--- a/crates/wire/src/routing.rs
+++ b/crates/wire/src/routing.rs
@@ -1,7 +1,7 @@
-//! What a fleet routes: routes, services, client accounts, backend servers, roll-outs.
+//! The routing table (routes, services, client accounts), backend servers and roll-outs.
 //!
-//! These documents are our own. Whoever keeps them elsewhere, in other words and another form,
-//! turns them into these types once, at the edge; nothing behind that edge knows the other form.
+//! These types are independent of the form in which a platform stores the same facts. The adapter
+//! to a platform converts them once, at the boundary; no code behind it knows the other form.
 
 mod check;
 mod edit;
@@ -15,181 +15,186 @@
 pub use edit::Edit;
 
 domain! {
-    /// Everything operators decide, as one version of it.
+    /// Routing table: one version of everything that operators decide.
     #[derive(Default)]
     pub struct Table {
-        /// Grows with each change; only a higher one replaces a lower one.
+        /// Increases with each change; a table replaces only one with a lower version.
         pub version: u64,
-        /// Where requests go.
+        /// Routes, which map requests to services.
         pub routes: Vec<Route>,
-        /// What answers them.
+        /// Services, which answer requests.
         pub services: Vec<Service>,
-        /// Who may ask; empty if keys are not used.
+        /// Client accounts that may send requests; empty if keys are not used.
         pub accounts: Vec<Account>,
-        /// Bounds on what callers send.
+        /// Limits on what callers may send.
         pub limits: Limits,
     }
 
-    /// What a request may be done with.
+    /// Kind of a route's requests: how often one may run, and the form of its answer.
     #[derive(Copy, Eq)]
     pub enum Kind {
-        /// It may run any number of times.
+        /// The request may run any number of times.
         Idempotent,
-        /// It may run once at most.
+        /// The request may run at most once.
         Once,
-        /// Its answer is a stream of events.
+        /// The answer is a stream of events.
         Stream {
-            /// A broken stream may go on at another backend server, and the request so run again.
+            /// Whether a broken stream may continue at another backend server, where the request
+            /// runs again.
             resumable: bool,
         },
     }
 
-    /// Requests of one host and path prefix.
+    /// Rules for the requests of one host and path prefix.
     pub struct Route {
-        /// Its name, for logs and metrics.
+        /// Name of the route, for logs and metrics.
         pub name: Name,
-        /// The host that callers ask, in lower case.
+        /// Host name in the requests of callers, in lower case.
         pub host: Name,
-        /// Begins and ends with a slash.
+        /// Path prefix; begins and ends with a slash.
         pub prefix: Name,
-        /// What may be done with its requests.
+        /// Kind of the route's requests.
         pub kind: Kind,
-        /// Backend servers that one request may be sent to, at most.
+        /// Most attempts per request.
         pub attempts_max: u32,
-        /// Longest time a request may be kept waiting, in milliseconds.
+        /// Longest time a caller may wait for the answer, in milliseconds.
         pub timeout_ms: u64,
-        /// Time within which an answer is of full use, in milliseconds; of a stream, its first
-        /// event.
+        /// Time within which an answer, or the first event of a stream, is of full use to the
+        /// caller, in milliseconds.
         pub objective_ms: u64,
-        /// Longest pause between two events that leaves a stream of full use, in milliseconds.
+        /// Longest pause between two events with which a stream is of full use, in milliseconds; if
+        /// absent, `objective_ms` applies.
         pub gap_ms: Option<u64>,
-        /// 0 is the most urgent.
+        /// Priority of the route's requests; 0 is the most urgent.
         pub priority: u8,
-        /// Whether a request needs no key.
+        /// Whether requests without a key are accepted.
         pub anonymous: bool,
-        /// Services that serve it, by weight.
+        /// Services that answer the route's requests, with their weights.
         pub targets: Vec<Target>,
-        /// Models that may answer, smallest first, if the choice is ours.
+        /// Models that may answer, smallest first; empty if the router does not choose the model.
         pub models: Vec<Name>,
     }
 
-    /// One of a route's services.
+    /// One of the services of a route.
     pub struct Target {
-        /// Its name.
+        /// Name of the service.
         pub service: Name,
-        /// Its part of the route's requests, against the others' weights.
+        /// The service's weight: its share of the route's requests is this divided by the sum of
+        /// all weights.
         pub weight: u32,
     }
 
-    /// A set of backend servers that do the same.
+    /// A set of interchangeable backend servers.
     pub struct Service {
-        /// Its name.
+        /// Name of the service.
         pub name: Name,
-        /// Its models, if it is served by model engines.
+        /// Models that the service offers; empty unless model engines serve it.
         pub models: Vec<Model>,
-        /// Connections that one backend server takes from all callers together.
+        /// Connections that one backend server accepts from all callers together.
         pub connections_max: u32,
-        /// How its backend servers warm up, if they do.
+        /// How the service's backend servers warm up; absent if they need no warm-up.
         #[serde(default)]
         pub warmup: Option<Warmup>,
     }
 
-    /// What a backend server stands before it is warm; at more it ends.
+    /// Load that a backend server can bear while it warms up. With more load it crashes.
     #[derive(Copy)]
     pub struct Warmup {
-        /// From its start until it is warm, in milliseconds.
+        /// Duration of the warm-up from the start of the server, in milliseconds.
         pub ms: u64,
-        /// Requests a second that it takes until then, from all hosts together.
+        /// Requests per second that a server bears during its warm-up, from all hosts together.
         pub per_second: f64,
     }
 
     /// A model that engines serve.
     pub struct Model {
-        /// Its name.
+        /// Name of the model.
         pub name: Name,
-        /// Price of 1,000 generated tokens; a token read costs a quarter of one.
+        /// Price of 1,000 generated tokens; a prompt token costs a quarter of a generated one.
         pub price: f64,
     }
 
     /// A client account.
     pub struct Account {
-        /// Its name.
+        /// Name of the account.
         pub name: Name,
-        /// Keys that callers prove it by.
+        /// Keys with which callers authenticate as this account.
         pub keys: Vec<Name>,
-        /// Goes before the route's priority if there is one.
+        /// Priority of the account's requests, in place of the route's; absent if the route's
+        /// applies.
         pub priority: Option<u8>,
     }
 
-    /// Bounds on what callers send.
+    /// Limits on what callers may send.
     #[serde(default)]
     pub struct Limits {
-        /// Bytes of all headers together.
+        /// Largest total size of a request's headers, in bytes.
         pub header_bytes: usize,
-        /// Bytes of a body.
+        /// Largest body of a request, in bytes.
         pub body_bytes: usize,
-        /// How long a connection may be idle between requests, in milliseconds.
+        /// Longest time a connection may be idle between requests, in milliseconds.
         pub idle_ms: u64,
     }
 
-    /// One start of a backend server.
+    /// One run of a backend server, from its start to its end.
     ///
-    /// The id and the time of its start name it and no other. An address does not: it may belong
-    /// to another server, of another service, soon after this one has ended.
+    /// The server's id and its start time identify the run. The address does not: soon after this
+    /// run has ended, another server of another service may have the same address.
     pub struct Backend {
-        /// The server's; it may start again under the same one.
+        /// Id of the server; a restarted server may keep its id.
         pub id: Name,
-        /// When it started, in milliseconds since the epoch; 0 if it does not say.
+        /// Start time, in milliseconds since the epoch; 0 if the server does not report one.
         pub born: u64,
-        /// What it serves.
+        /// Service to which the server belongs.
         pub service: Name,
-        /// Where it is reached.
+        /// Address at which the server accepts requests.
         pub address: SocketAddr,
-        /// Where it stands.
+        /// Failure domain of the server.
         pub failure_domain: Name,
-        /// Of its software or weights.
+        /// Version of the server's software or model weights.
         pub version: Name,
-        /// Requests that it works on at once.
+        /// Requests that the server processes at the same time.
         pub slots: u32,
-        /// It is leaving: no new work.
+        /// Whether the server is leaving and must receive no new requests.
         pub draining: bool,
-        /// Until it is warm, in milliseconds; none if it does not say.
+        /// Time until the server is warm, in milliseconds; absent if the server does not report it.
         #[serde(default)]
         pub warmup_ms: Option<u64>,
     }
 
-    /// An operator's wish to move a service to another version.
+    /// An operator's order to roll out a version of a service.
     pub struct RolloutOrder {
-        /// What is to move.
+        /// Service to which the version is rolled out.
         pub service: Name,
-        /// The version wanted.
+        /// Version to which the service moves.
         pub target: Name,
-        /// How long it may take, in milliseconds.
+        /// Longest duration of the roll-out, in milliseconds.
         pub within_ms: u64,
-        /// The store's counter when it was written, which tells it from the same wish at another time.
+        /// Revision of the store at which the order was written. It distinguishes orders with the
+        /// same content that were given at different times.
         #[serde(default)]
         pub issue: u64,
     }
 
-    /// How a roll-out stands.
+    /// State of a roll-out.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum Progress {
-        /// Not decided.
+        /// The roll-out is still under way.
         Running,
         /// All requests go to the new version.
         Succeeded,
-        /// All requests go to the version before.
+        /// All requests go to the previous version.
         RolledBack,
     }
 }
 
 impl RolloutOrder {
-    /// Whether it asks for the same, whenever it was written.
+    /// Whether both orders have the same content, even if they were written at different times.
     #[must_use]
     pub fn has_same_content(&self, other: &Self) -> bool {
-        let wish = |order: &Self| (order.service.clone(), order.target.clone(), order.within_ms);
-        wish(self) == wish(other)
+        let content = |order: &Self| (order.service.clone(), order.target.clone(), order.within_ms);
+        content(self) == content(other)
     }
 }
 
@@ -206,7 +211,7 @@
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether its answer is a stream of events.
+    /// Whether the answer is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
--- a/crates/wire/src/routing/check.rs
+++ b/crates/wire/src/routing/check.rs
@@ -1,4 +1,4 @@
-//! Faults of a table of routes.
+//! Validates a routing table.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,7 +7,7 @@
 use super::{Route, Table};
 use crate::fault::Fault;
 
-/// Everything that is wrong with a table, each with its place.
+/// Returns all faults of a routing table, each with its path.
 #[must_use]
 pub fn check(table: &Table) -> Vec<Fault> {
     let mut faults = Vec::new();
@@ -15,11 +15,11 @@
         faults.push(Fault::at("version", "must be 1 or more"));
     }
     let services: HashSet<&Name> = table.services.iter().map(|service| &service.name).collect();
-    let mut places = HashMap::new();
+    let mut routes_by_place = HashMap::new();
     for (index, route) in table.routes.iter().enumerate() {
         let path = format!("routes[{index}]");
         check_route(&path, route, &services, &mut faults);
-        if let Some(first) = places.insert((&route.host, &route.prefix), index) {
+        if let Some(first) = routes_by_place.insert((&route.host, &route.prefix), index) {
             let message = format!("has the same host and prefix as routes[{first}]");
             faults.push(Fault::at(path, message));
         }
@@ -35,34 +35,34 @@
 }
 
 fn check_route(path: &str, route: &Route, services: &HashSet<&Name>, faults: &mut Vec<Fault>) {
-    let mut fault = |member: &str, wrong: bool, message: &str| {
-        if wrong {
+    let mut report = |member: &str, is_faulty: bool, message: &str| {
+        if is_faulty {
             faults.push(Fault::at(format!("{path}.{member}"), message.to_owned()));
         }
     };
     let prefix = route.prefix.as_str();
-    fault("host", route.host.is_empty(), "must not be empty");
-    fault(
+    report("host", route.host.is_empty(), "must not be empty");
+    report(
         "prefix",
         !prefix.starts_with('/') || !prefix.ends_with('/'),
         "must begin and end with a slash",
     );
-    fault("timeout_ms", route.timeout_ms == 0, "must not be 0");
-    fault("attempts_max", route.attempts_max == 0, "must not be 0");
+    report("timeout_ms", route.timeout_ms == 0, "must not be 0");
+    report("attempts_max", route.attempts_max == 0, "must not be 0");
     let weight: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
-    fault("targets", weight == 0, "must name a service with a weight");
-    let unknown = route.targets.iter().any(|target| !services.contains(&target.service));
-    fault("targets", unknown, "must name services of this table only");
+    report("targets", weight == 0, "must name a service with a weight");
+    let has_unknown = route.targets.iter().any(|target| !services.contains(&target.service));
+    report("targets", has_unknown, "must name services of this table only");
 }
 
-/// A key of two accounts would give one of them the other's requests.
+/// Reports keys of more than one account: requests of one account would count as the other's.
 fn check_keys(table: &Table, faults: &mut Vec<Fault>) {
-    let mut held: HashMap<&Name, usize> = HashMap::new();
+    let mut owners: HashMap<&Name, usize> = HashMap::new();
     for (index, account) in table.accounts.iter().enumerate() {
-        for (key, name) in account.keys.iter().enumerate() {
-            match held.insert(name, index) {
+        for (key_index, key) in account.keys.iter().enumerate() {
+            match owners.insert(key, index) {
                 Some(other) if other != index => faults.push(Fault::at(
-                    format!("accounts[{index}].keys[{key}]"),
+                    format!("accounts[{index}].keys[{key_index}]"),
                     format!("is also a key of accounts[{other}]"),
                 )),
                 _ => {}
--- a/crates/wire/src/routing/edit.rs
+++ b/crates/wire/src/routing/edit.rs
@@ -1,7 +1,7 @@
-//! What changed between two versions of a table of routes.
+//! Differences between two versions of a routing table.
 //!
-//! Operators change a route or an account at a time, and a large fleet's table is long. Hosts that
-//! know one version are sent the edit that makes the next one of it.
+//! Operators change one route or account at a time, and the table of a large fleet is long. So a
+//! host that has one version is sent only the edit that turns it into the next version.
 
 use std::collections::{HashMap, HashSet};
 
@@ -11,31 +11,31 @@
 use super::{Account, Limits, Route, Service, Table};
 
 domain! {
-    /// What makes one version of a table of another one.
+    /// The changes that turn one version of a routing table into another.
     #[derive(Default)]
     pub struct Edit {
-        /// The version that it is made of.
+        /// Version of the table to which the edit applies.
         pub from: u64,
-        /// The version that it makes.
+        /// Version of the table after the edit.
         pub to: u64,
         /// Routes that are new or changed.
         pub routes: Vec<Route>,
-        /// Names of routes that are dropped.
+        /// Names of routes that are removed.
         pub dropped_routes: Vec<Name>,
         /// Services that are new or changed.
         pub services: Vec<Service>,
-        /// Names of services that are dropped.
+        /// Names of services that are removed.
         pub dropped_services: Vec<Name>,
         /// Accounts that are new or changed.
         pub accounts: Vec<Account>,
-        /// Names of accounts that are dropped.
+        /// Names of accounts that are removed.
         pub dropped_accounts: Vec<Name>,
-        /// New bounds on what callers send, if they are changed.
+        /// Limits on what callers may send; absent if they are unchanged.
         pub limits: Option<Limits>,
     }
 }
 
-/// What a table holds several of, each under a name.
+/// Entry of a table that is identified by its name.
 trait Named: Clone + PartialEq {
     fn name(&self) -> &Name;
 }
@@ -59,20 +59,21 @@
 }
 
 impl Edit {
-    /// What makes the one of the other; none if names stand for several things each, or if what an edit
-    /// makes would be in another order that means something.
+    /// Returns the edit that turns `old` into `new`. Returns none if a name is not unique in a
+    /// table, or if several routes share a place: then their order matters, and an edit does not
+    /// preserve it.
     #[must_use]
     pub fn between(old: &Table, new: &Table) -> Option<Self> {
-        let (routes, dropped_routes) = changed(&old.routes, &new.routes)?;
-        let (services, dropped_services) = changed(&old.services, &new.services)?;
-        let (accounts, dropped_accounts) = changed(&old.accounts, &new.accounts)?;
+        let (routes, dropped_routes) = diff(&old.routes, &new.routes)?;
+        let (services, dropped_services) = diff(&old.services, &new.services)?;
+        let (accounts, dropped_accounts) = diff(&old.accounts, &new.accounts)?;
         let limits = (old.limits != new.limits).then(|| new.limits.clone());
         let places: HashSet<_> =
             new.routes.iter().map(|route| (&route.host, &route.prefix)).collect();
-        // Of two routes with the same place the first one holds.
-        let is_ordered = places.len() < new.routes.len();
+        // Of several routes with the same host and prefix the first one applies.
+        let is_order_relevant = places.len() < new.routes.len();
         let (from, to) = (old.version, new.version);
-        (!is_ordered).then_some(Self {
+        (!is_order_relevant).then_some(Self {
             from,
             to,
             routes,
@@ -85,19 +86,19 @@
         })
     }
 
-    /// The table that it makes of one; none if it is an edit of another version.
+    /// Applies the edit to a table; returns none if the table has another version than `from`.
     #[must_use]
     pub fn apply(&self, table: &Table) -> Option<Table> {
         (table.version == self.from).then(|| Table {
             version: self.to,
-            routes: applied(&table.routes, &self.routes, &self.dropped_routes),
-            services: applied(&table.services, &self.services, &self.dropped_services),
-            accounts: applied(&table.accounts, &self.accounts, &self.dropped_accounts),
+            routes: merge(&table.routes, &self.routes, &self.dropped_routes),
+            services: merge(&table.services, &self.services, &self.dropped_services),
+            accounts: merge(&table.accounts, &self.accounts, &self.dropped_accounts),
             limits: self.limits.clone().unwrap_or_else(|| table.limits.clone()),
         })
     }
 
-    /// Routes, services and accounts that it names.
+    /// Number of routes, services and accounts that the edit changes or removes.
     #[must_use]
     pub fn len(&self) -> usize {
         let changed = self.routes.len() + self.services.len() + self.accounts.len();
@@ -105,32 +106,37 @@
         changed + dropped.iter().map(|names| names.len()).sum::<usize>()
     }
 
-    /// Whether it names none.
+    /// Whether the edit changes no route, service or account.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// What is new or changed, and the names of what is dropped; none if a name stands twice.
-fn changed<T: Named>(old: &[T], new: &[T]) -> Option<(Vec<T>, Vec<Name>)> {
-    let before = by_name(old)?;
-    let after = by_name(new)?;
-    let is_changed = |one: &&T| before.get(one.name()) != Some(one);
+/// Returns entries that are new or changed, and the names of removed entries; none if a name is not
+/// unique.
+fn diff<T: Named>(old: &[T], new: &[T]) -> Option<(Vec<T>, Vec<Name>)> {
+    let before = index_by_name(old)?;
+    let after = index_by_name(new)?;
+    let is_changed = |entry: &&T| before.get(entry.name()) != Some(entry);
     let dropped = old.iter().map(T::name).filter(|name| !after.contains_key(*name));
     Some((new.iter().filter(is_changed).cloned().collect(), dropped.cloned().collect()))
 }
 
-fn by_name<T: Named>(all: &[T]) -> Option<HashMap<&Name, &T>> {
-    let named: HashMap<_, _> = all.iter().map(|one| (one.name(), one)).collect();
-    (named.len() == all.len()).then_some(named)
+fn index_by_name<T: Named>(entries: &[T]) -> Option<HashMap<&Name, &T>> {
+    let named: HashMap<_, _> = entries.iter().map(|entry| (entry.name(), entry)).collect();
+    (named.len() == entries.len()).then_some(named)
 }
 
-fn applied<T: Named>(old: &[T], changed: &[T], dropped: &[Name]) -> Vec<T> {
-    let mut new: HashMap<&Name, &T> = changed.iter().map(|one| (one.name(), one)).collect();
+/// Returns the old entries without the removed ones, with changed entries replaced in place and new
+/// ones at the end.
+fn merge<T: Named>(old: &[T], changed: &[T], dropped: &[Name]) -> Vec<T> {
+    let mut pending: HashMap<&Name, &T> =
+        changed.iter().map(|entry| (entry.name(), entry)).collect();
     let dropped: HashSet<&Name> = dropped.iter().collect();
-    let kept = old.iter().filter(|one| !dropped.contains(one.name()));
-    let mut all: Vec<T> = kept.map(|one| new.remove(one.name()).unwrap_or(one).clone()).collect();
-    all.extend(changed.iter().filter(|one| new.contains_key(one.name())).cloned());
-    all
+    let kept = old.iter().filter(|entry| !dropped.contains(entry.name()));
+    let mut merged: Vec<T> =
+        kept.map(|entry| pending.remove(entry.name()).unwrap_or(entry).clone()).collect();
+    merged.extend(changed.iter().filter(|entry| pending.contains_key(entry.name())).cloned());
+    merged
 }
