--- a/crates/wire/src/backend.rs
+++ b/crates/wire/src/backend.rs
@@ -1,51 +1,51 @@
-//! Headers and small bodies shared with callers and backend servers.
+//! Headers and small bodies of messages with callers, backend servers and the rating service.
 
 use policy::domain;
 
-/// Names the request on the way to a backend server; must come back unchanged.
+/// Id of a request that is sent to a backend server; the answer must repeat it.
 pub const REQUEST_ID: &str = "x-request-id";
-/// The version a backend server is asked to run.
+/// Version that the backend server is asked to run the request on.
 pub const VERSION: &str = "chestnutspur-version";
-/// The caller's session: a token of ours, or a name of its own.
+/// The caller's session: a token that this deployment issued, or a name that the caller chose.
 pub const SESSION: &str = "chestnutspur-session";
-/// The caller's task.
+/// Task of the caller's request.
 pub const TASK: &str = "chestnutspur-task";
-/// Milliseconds that the caller still waits.
+/// Time that the caller still waits for the answer, in milliseconds.
 pub const DEADLINE: &str = "chestnutspur-deadline";
-/// The caller's idempotency key.
+/// Idempotency key that the caller chose.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The backend server leaves; it says so in all its answers.
+/// Set in all answers of a backend server that is leaving.
 pub const LEAVING: &str = "chestnutspur-leaving";
-/// 0 is served first; sent to model engines.
+/// Priority of a request, which is sent to model engines; 0 is the most urgent.
 pub const PRIORITY: &str = "chestnutspur-priority";
 
 domain! {
-    /// What `GET /load` of a backend server says.
+    /// Answer of a backend server to `GET /load`.
     #[derive(Default)]
     pub struct Load {
-        /// Requests it works on.
+        /// Number of requests that the server processes now.
         pub in_flight: u32,
-        /// Requests it can work on.
+        /// Number of requests that the server can process at the same time.
         pub slots: u32,
-        /// It is leaving: no new work.
+        /// Whether the server is leaving and must receive no new requests.
         pub draining: bool,
     }
 
-    /// What the rating service is asked at `POST /rate`.
+    /// Body of `POST /rate`, which asks the rating service about an answer.
     pub struct RatingRequest {
-        /// The request's id.
+        /// Id of the answered request.
         pub request: String,
-        /// The version that answered.
+        /// Version that gave the answer.
         pub version: String,
-        /// The task.
+        /// Task of the request.
         pub task: String,
-        /// The answer's text.
+        /// Text of the answer.
         pub answer: String,
     }
 
-    /// What it says.
+    /// Answer of the rating service.
     pub struct Rating {
-        /// Whether the answer is good.
+        /// Whether the rated answer is good.
         pub good: bool,
     }
 }
--- a/crates/wire/src/bill.rs
+++ b/crates/wire/src/bill.rs
@@ -1,4 +1,4 @@
-//! What a request is billed with.
+//! Bills of requests, and how controls hold and store them.
 
 use coordination::batch::Entry;
 use policy::domain;
@@ -6,75 +6,79 @@
 use policy::time::Millis;
 
 domain! {
-    /// The one record of a request that was answered; a cascade is one request and one bill.
+    /// The only record of an answered request. A request that was answered by a cascade of several
+    /// calls has one bill.
     pub struct Bill {
-        /// The request's id, unique for all time; what doubles are found by.
+        /// Id of the request, which is never used again; duplicates are found by it.
         pub request: Name,
-        /// The control incarnation whose log it goes into. Entry chooses it before it first sends
-        /// the bill (the one that gave its view) and keeps it through every retry, at whichever
-        /// control: two logs could otherwise hold the same request.
+        /// Control incarnation whose log receives the bill. The entry host chooses it before it
+        /// first sends the bill (the incarnation that sent its view) and keeps it in every retry,
+        /// at any control; otherwise two logs could hold the same request.
         pub log: Name,
-        /// Who pays.
+        /// Client account that pays.
         pub account: Name,
-        /// The task, or the service's name.
+        /// Task of the request, or the name of a plain service.
         pub task: Name,
-        /// The version that gave the answer; empty for a plain service.
+        /// Version that gave the answer; empty for a plain service.
         pub version: Name,
-        /// Cost of all calls made for the request.
+        /// Total cost of all calls that the request caused.
         pub cost: f64,
-        /// When the answer ended.
+        /// Time at which the answer ended.
         pub at: Millis,
-        /// Whether the answer reached its end; a broken one is still billed once.
+        /// Whether the answer was complete; an incomplete one is still billed once.
         pub whole: bool,
     }
 
-    /// One numbered piece of one control incarnation's log in the object store.
+    /// One numbered object of a control incarnation's log in the object store.
     pub struct Batch {
-        /// The control incarnation whose log it is in.
+        /// Control incarnation to whose log the batch belongs.
         pub incarnation: Name,
-        /// 0, 1, 2 …, without gaps.
+        /// Number within the log: 0, 1, 2 …, without gaps.
         pub number: u64,
-        /// Who wrote it: the incarnation itself, or the peer that recovered its tail.
+        /// Control incarnation that wrote the batch: the log's own, or the peer that recovered the
+        /// end of the log.
         pub writer: Name,
-        /// No request id stands twice in one log.
+        /// Bills of the batch; a log holds at most one bill per request id.
         pub bills: Vec<Bill>,
     }
 
-    /// Bills on their way to a second holder.
+    /// Asks another control to hold bills as well.
     pub struct HoldRequest {
-        /// The log they belong to.
+        /// Log to which the bills belong.
         pub log: Name,
-        /// The control incarnation that puts them into the log, and then releases them. The holder
-        /// does it when that one is gone.
+        /// Control incarnation that writes the bills to the log and then releases them. The holder
+        /// writes them itself if that incarnation is gone.
         pub keeper: Name,
-        /// No batch before this number has any of them.
+        /// Number of the first batch that can contain any of the bills.
         pub from: u64,
-        /// The bills.
+        /// Bills to hold.
         pub bills: Vec<Bill>,
     }
 
-    /// What reading every log gave.
+    /// Result of an audit, which reads all logs.
     #[derive(Default)]
     pub struct Audit {
-        /// Distinct request ids.
+        /// Number of distinct request ids.
         pub bills: u64,
-        /// Request ids that stand more than once.
+        /// Number of request ids that occur more than once.
         pub doubled: u64,
-        /// Missing numbers in any log.
+        /// Number of batches that are missing from the logs.
         pub gaps: u64,
-        /// Sum of costs, doubles counted once.
+        /// Sum of costs; duplicates count once.
         pub cost: f64,
-        /// Bills held by this control that no batch has yet.
+        /// Number of bills held by this control that are in no batch yet.
         pub pending: u64,
     }
 
-    /// Whether bills are safe.
+    /// Answer to bills that an entry host sends: how safely they are held.
     pub enum BillAnswer {
-        /// Two controls hold them.
+        /// Two controls hold the bills.
         Twice,
-        /// Only one does, because no other control of any failure domain was in reach.
+        /// Only one control holds the bills, because no other control of any failure domain could
+        /// be reached.
         Once,
-        /// The memory bound is reached; nothing was taken, and new work must be refused.
+        /// The limit on held bills is reached. The bills were not accepted, and new requests must
+        /// be refused.
         Full,
     }
 }
@@ -85,7 +89,7 @@
     }
 }
 
-/// The object name of a batch.
+/// Name of the object that holds a batch.
 #[must_use]
 pub fn object_name(incarnation: &str, number: u64) -> String {
     format!("bills/{incarnation}/{number:010}")
--- a/crates/wire/src/claim.rs
+++ b/crates/wire/src/claim.rs
@@ -1,68 +1,72 @@
-//! Claims of idempotency keys and pins of caller-chosen sessions, at their home.
+//! Claims of idempotency keys, and pins of caller-chosen sessions to versions.
+//!
+//! The home of a key or session is the failure domain that records its claim or pin.
 
 use policy::domain;
 use policy::name::Name;
 
 domain! {
-    /// A request's wish to be the only run of its key.
+    /// Claims an idempotency key for a request, so that no other request with the key runs.
     ///
-    /// The home follows from account and key alone. A session token could name a nearer one, but
-    /// a retry without the token would then find another home, and run again.
+    /// Account and key alone determine the home. A session token could name a nearer home, but a
+    /// retry without the token would then find another home and run again.
     pub struct Claim {
-        /// The client account; keys of different accounts never meet.
+        /// The client account. The same key of another account is a different key.
         pub account: Name,
         /// The caller's `Idempotency-Key`.
         pub key: Name,
-        /// The request that claims it. The same request may ask again (a lost answer).
+        /// Id of the request that claims the key. The request may repeat its claim if the answer is
+        /// lost.
         pub request: Name,
-        /// How long the key is remembered at least, in milliseconds.
+        /// Shortest time for which the claim is remembered, in milliseconds.
         pub keep_ms: u64,
     }
 
-    /// What the home says to a claim.
+    /// Answer to a [`Claim`].
     pub enum ClaimAnswer {
-        /// This request, and no other, may be dispatched.
+        /// The claiming request may be dispatched, and no other request with the key.
         Granted,
-        /// Another request holds the key: it ran, is running or may have run.
+        /// Another request holds the key; that request is running, or it ran or may have run.
         Taken {
-            /// The request that holds it.
+            /// Id of the request that holds the key.
             request: Name,
         },
-        /// The home could not be asked; nothing was granted.
+        /// The home could not be reached, so nothing was granted.
         Unavailable {
-            /// The failure domain that the key belongs to.
+            /// Failure domain that is the key's home.
             home: Name,
-            /// Whether an earlier run of the key is possible, as after a cold takeover.
+            /// Whether an earlier request with the key may have run, as is possible after a cold
+            /// takeover of its shard.
             may_have_run: bool,
-            /// When a later try can succeed.
+            /// Time after which a retry can succeed, in milliseconds.
             retry_after_ms: u64,
         },
     }
 
-    /// A caller-chosen session's wish to stay on a version.
+    /// Pins a caller-chosen session to a version.
     pub struct Pin {
         /// The client account.
         pub account: Name,
-        /// The caller's session id.
+        /// Session id that the caller chose.
         pub session: Name,
-        /// The version drawn for it, used only if it has none yet.
+        /// Version that was drawn for the session; ignored if the session is pinned already.
         pub version: Name,
         /// How long the pin is remembered after its last use, in milliseconds.
         pub keep_ms: u64,
     }
 
-    /// What the home says to a pin.
+    /// Answer to a [`Pin`].
     pub enum PinAnswer {
-        /// The version the session is on, from now or from before.
+        /// The session is pinned, by this request or an earlier one.
         Pinned {
-            /// The version.
+            /// Version that the session stays on.
             version: Name,
         },
-        /// The home could not be asked.
+        /// The home could not be reached.
         Unavailable {
-            /// The failure domain that the session belongs to.
+            /// Failure domain that is the session's home.
             home: Name,
-            /// When a later try can succeed.
+            /// Time after which a retry can succeed, in milliseconds.
             retry_after_ms: u64,
         },
     }
--- a/crates/wire/src/evidence.rs
+++ b/crates/wire/src/evidence.rs
@@ -1,47 +1,48 @@
-//! What entry hosts saw of each version, on its way to the shared verdict.
+//! Observations of entry hosts about each version, on which controls base their verdicts.
 
 use policy::domain;
 use policy::name::Name;
 
 domain! {
-    /// Counts of one interval on one entry host, of one version and task.
+    /// Counts of one version and task, from one entry host and interval.
     pub struct Evidence {
-        /// The version.
+        /// Version that the calls went to.
         pub version: Name,
-        /// The client account's task.
+        /// Task of the client account.
         pub task: Name,
-        /// Calls that ended, well or not.
+        /// Calls that ended, whether they succeeded or failed.
         pub calls: u64,
         /// Calls that failed at the backend server.
         pub failed: u64,
-        /// Answers rated, in the order rated: true is good.
+        /// Ratings of answers in the order in which they arrived; true means good.
         pub rated: Vec<bool>,
     }
 
-    /// One request's outcome for the service levels.
+    /// Outcome of one request, as counted for service levels.
     pub struct Outcome {
-        /// The client account.
+        /// Client account of the request.
         pub account: Name,
-        /// The task.
+        /// Task of the request.
         pub task: Name,
-        /// Answered whole.
+        /// Whether the request was answered completely.
         pub answered: bool,
-        /// From the request's first byte to the answer's first byte, in milliseconds.
+        /// Time from the request's first byte to the answer's first byte, in milliseconds.
         pub first_byte_ms: u64,
-        /// To the answer's last byte.
+        /// Time from the request's first byte to the answer's last byte, in milliseconds.
         pub total_ms: u64,
     }
 
-    /// What an entry host reports at each interval.
+    /// Report that an entry host sends to a control once per interval.
     #[derive(Default)]
     pub struct Report {
-        /// The entry host.
+        /// Name of the entry host.
         pub entry: Name,
-        /// Rises with each report of this incarnation, so a repeated one counts once.
+        /// Sequence number within the entry host's incarnation; a report that is sent again is
+        /// counted once.
         pub number: u64,
-        /// Per version and task.
+        /// Counts by version and task.
         pub evidence: Vec<Evidence>,
-        /// Per request.
+        /// Outcomes of single requests.
         pub outcomes: Vec<Outcome>,
     }
 }
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -1,35 +1,38 @@
-//! Headers of a request that one of our hosts passes on to another, and of its answer.
+//! Headers of a request that a host forwards to another host, and of the answer.
 //!
-//! They are read at the port that hosts pass requests on to, and nowhere else.
+//! They are read only at the port for forwarded requests.
 
-/// Backend servers that the request was sent to: before it came there, and in the answer with what was
-/// done there.
+/// Number of attempts. In the request: those made before it was forwarded. In the answer: also
+/// those of the host to which it was forwarded.
 pub const ATTEMPTS: &str = "forward-tries";
-/// Starts of backend servers that had the request and failed it, separated by commas: it is not sent there
-/// again.
+/// Runs of backend servers that received the request and failed, separated by commas. The request
+/// is not sent to them again.
 pub const FAILED_SERVERS: &str = "forward-tried";
-/// Index of the model that is asked, among those of the route.
+/// Index of the chosen model in the route's list of models.
 pub const MODEL_INDEX: &str = "forward-model";
-/// The version that the request stays on.
+/// Version of the service on which the request stays.
 pub const VERSION: &str = "forward-version";
-/// A number that the host draws for this one passing on; see `RECALL`.
+/// Random number that the forwarding host draws for each forwarding, so that [`RECALL`] and
+/// [`QUERY`] can refer to it.
 pub const NUMBER: &str = "forward-number";
-/// Without a request: the one that was passed on with this number is to end. The answer says whether it
-/// was under way.
+/// Sent in place of a request: cancels the request that was forwarded with this number. The answer
+/// says whether that request was in flight.
 pub const RECALL: &str = "forward-recall";
-/// Without a request: whether the one that was passed on with this number is under way.
+/// Sent in place of a request: asks whether the request that was forwarded with this number is in
+/// flight.
 pub const QUERY: &str = "forward-ask";
-/// The start of the backend server that the request was last sent to.
+/// Run of the backend server to which the last attempt was sent.
 pub const SERVER: &str = "forward-server";
-/// That server ended under it.
+/// Present if the server of [`SERVER`] ended while it processed the request.
 pub const SERVER_ENDED: &str = "forward-ended";
-/// The host that it was passed on to takes no requests now, whatever they ask for.
+/// Present if the host to which the request was forwarded accepts no requests at all now.
 pub const HOST_UNAVAILABLE: &str = "forward-away";
-/// The last event of the stream that the host has passed on, in the answer to `QUERY`.
+/// In the answer to [`QUERY`] or [`RECALL`]: number of the last event of the stream that the
+/// answering host has sent.
 pub const LAST_EVENT: &str = "forward-last-event";
-/// Requests under way at the host that it was passed on to.
+/// Number of requests in flight at the host to which the request was forwarded.
 pub const IN_FLIGHT: &str = "forward-load";
 
-/// What goes with a request; a caller's own are dropped.
+/// Headers that a forwarding host adds to a request. The same headers from a caller are removed.
 pub const REQUEST_HEADERS: [&str; 7] =
     [ATTEMPTS, FAILED_SERVERS, MODEL_INDEX, VERSION, NUMBER, RECALL, QUERY];
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -1,7 +1,7 @@
-//! What controls tell each other about the world: newest generation, counts, quarantines.
+//! Gossip between controls: the newest generation, counts of requests, and quarantines.
 //!
 //! Only one control of each failure domain, its reporter, is an origin of counts. So a digest
-//! names as many origins as there are failure domains, however many hosts each of them has.
+//! names as many origins as there are failure domains, no matter how many hosts each of them has.
 
 use policy::burn::Series;
 use policy::domain;
@@ -11,134 +11,141 @@
 use crate::evidence::Evidence;
 
 domain! {
-    /// What the asker has; the answer holds what it lacks.
+    /// Summary of the state that the sender has. The answer to it, a [`Delta`], holds what the
+    /// sender lacks.
     #[derive(Default)]
     #[serde(default)]
     pub struct Digest {
-        /// The asker's incarnation: `HOST.random`, unique for all time.
+        /// Incarnation of the sender: `HOST.random`, which is never used again.
         pub from: Name,
-        /// Its failure domain.
+        /// Failure domain of the sender.
         pub failure_domain: Name,
-        /// Where it is reached.
+        /// Address at which the sender is reached.
         pub address: Name,
-        /// The generation in force there.
+        /// Generation in force at the sender.
         pub generation: u64,
-        /// Milliseconds since it was confirmed, by the platform or by a chain of peers.
+        /// Milliseconds since that generation was confirmed as the newest, by the platform or by a
+        /// chain of peers.
         pub unconfirmed_ms: u64,
-        /// Hash of the host list held.
+        /// Hash of the sender's host list.
         pub hosts: u64,
-        /// When the platform made that list, in milliseconds since the epoch.
+        /// Revision of the platform's store at which that host list was read.
         pub hosts_revision: Revision,
-        /// Hash of the quarantine marks held.
+        /// Hash of the sender's quarantine marks.
         pub marks: u64,
-        /// Hash of where the roll-outs stand.
+        /// Hash of the sender's state of all roll-outs.
         pub rollouts: u64,
-        /// For each origin, the number of its newest piece of news held.
+        /// For each origin, the number of its newest [`News`] that the sender has.
         pub news: Vec<(Name, u64)>,
-        /// Whether the answer shall say where the entries asking there stand.
+        /// Whether the answer shall list the entries that ask the answering control, with their
+        /// generations.
         pub wants_entries: bool,
-        /// Whether the answer shall hold the counts of service levels so far, as a starting
-        /// control asks.
+        /// Whether the answer shall hold the counts of service levels so far; set by a control that
+        /// starts.
         pub wants_levels: bool,
-        /// What the asker's entries saw, for the reporter of its failure domain to publish.
+        /// Counts from the sender's entries, which the reporter of its failure domain publishes.
         pub forwarded: Option<ForwardedCounts>,
     }
 
-    /// What the asked has and the asker lacks.
+    /// Answer to a [`Digest`]: what the answering control has and the sender of the digest lacks.
     #[derive(Default)]
     #[serde(default)]
     pub struct Delta {
-        /// The asked one's own digest, so one exchange informs both.
+        /// Digest of the answering control, so that one exchange informs both sides.
         pub digest: Digest,
-        /// Pieces that the asker lacks, a bounded number of them, in order for each origin.
+        /// News that the other side lacks: a bounded number, in order for each origin.
         pub news: Vec<News>,
-        /// All marks held, if the asker's hash differs.
+        /// All quarantine marks, if the hash in the digest differs.
         pub marks: Vec<Mark>,
-        /// Where all roll-outs stand, if the asker's hash differs.
+        /// State of all roll-outs, if the hash in the digest differs.
         pub rollouts: Vec<Rollout>,
-        /// The entries asking there and the generation in force in each, if the asker wants them.
+        /// Entries that ask the answering control, with the generation in force at each, if the
+        /// digest asks for them.
         pub entries: Vec<(Name, u64)>,
-        /// Counts of service levels so far, if the asker wants them.
+        /// Counts of service levels so far, if the digest asks for them.
         pub levels: Vec<(Name, Series)>,
-        /// The change to the generation in force, if the asker is just one behind.
+        /// Change to the generation in force, if the other side is exactly one generation behind.
         pub change: Option<Change>,
     }
 
-    /// A generation as the difference from the one before.
+    /// The difference between a generation of the document and the one before.
     pub struct Change {
-        /// The one before.
+        /// The generation before the change.
         pub from: u64,
-        /// Hash of the new document's text.
+        /// Hash of the text of the new document.
         pub hash: u64,
-        /// What differs.
+        /// Members that differ.
         pub edits: Vec<Edit>,
     }
 
-    /// One member that differs.
+    /// A member that differs between two documents.
     pub struct Edit {
-        /// Where it is, from the document's root.
+        /// Path of the member from the root of the document.
         pub path: Vec<String>,
-        /// Its new value as JSON text; none if it is gone.
+        /// New value of the member as JSON text; none if the member was removed.
         pub value: Option<String>,
     }
 
-    /// Counts on their way to a reporter.
+    /// Counts on their way from a control to the reporter of its failure domain.
     pub struct ForwardedCounts {
-        /// Rises with each piece of this incarnation, so a repeated one counts once.
+        /// Sequence number within the sender's incarnation; counts that are sent again are counted
+        /// once.
         pub number: u64,
         /// The counts.
         pub counts: Counts,
     }
 
-    /// A roll-out's row of the platform's table.
+    /// A row of the platform's table of roll-outs.
     pub struct Rollout {
-        /// The roll-out.
+        /// Name of the roll-out.
         pub rollout: Name,
-        /// The row's version; the higher is the newer.
+        /// Version of the row; a higher one is newer.
         pub version: Revision,
-        /// The row's value.
+        /// Value of the row.
         pub value: String,
     }
 
-    /// One numbered piece of news of one control incarnation.
+    /// Counts that one origin publishes, with a sequence number.
     pub struct News {
-        /// Whose.
+        /// Control incarnation that publishes the counts.
         pub origin: Name,
-        /// 1, 2, 3 …
+        /// Sequence number within the origin: 1, 2, 3 …
         pub number: u64,
-        /// What.
+        /// The published counts.
         pub counts: Counts,
     }
 
-    /// What the entries of one failure domain saw in one interval.
+    /// Counts of what the entries of one failure domain observed in one interval.
     #[derive(Default)]
     #[serde(default)]
     pub struct Counts {
-        /// The generation in force at the origin.
+        /// Generation in force at the origin.
         pub generation: u64,
-        /// Of each version and task.
+        /// Counts by version and task.
         pub evidence: Vec<Evidence>,
-        /// Of each service level.
+        /// Counts by service level.
         pub levels: Vec<LevelCounts>,
     }
 
-    /// Requests of one service level.
+    /// Counts of the requests of one service level.
     pub struct LevelCounts {
-        /// The service level's name in the document.
+        /// Name of the service level in the document.
         pub name: Name,
-        /// Answered in time.
+        /// Number of requests that were answered in time.
         pub good: u64,
-        /// All.
+        /// Number of all requests.
         pub total: u64,
     }
 
-    /// A version's quarantine: local at once, spread by gossip, never taken back by it.
+    /// Quarantine of a version. It applies at once where it is imposed and spreads by gossip;
+    /// gossip never lifts it.
     pub struct Mark {
-        /// The version.
+        /// Version in quarantine.
         pub version: Name,
-        /// The generation it was judged in; void once the document's `cleared` reaches it.
+        /// Generation in which the quarantine was imposed. The mark is void as soon as the
+        /// version's `cleared` in the document reaches this generation.
         pub generation: u64,
-        /// Why, for people.
+        /// Reason for the quarantine, as a text for operators.
         pub reason: String,
     }
 }
--- a/crates/wire/src/host.rs
+++ b/crates/wire/src/host.rs
@@ -1,62 +1,62 @@
-//! The platform's lagging list of hosts.
+//! The platform's list of hosts, which lags behind the actual state.
 
 use policy::domain;
 use policy::name::Name;
 use policy::revision::Revision;
 
 domain! {
-    /// What a host does.
+    /// Role of a host.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum Role {
-        /// One of ours, running entry.
+        /// A host of this product that runs `entry`.
         Entry,
-        /// One of ours, running control.
+        /// A host of this product that runs `control`.
         Control,
-        /// A model engine's worker, or a worker of a plain service.
+        /// A backend server: a worker of a model engine or of a plain service.
         Backend,
         /// The service that rates answers.
         Rater,
     }
 
-    /// Whether a host is staying.
+    /// Stage of a host's life cycle.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum HostState {
-        /// In use.
+        /// The host is in use.
         Live,
-        /// Going: no new work.
+        /// The host is leaving and receives no new work.
         Leaving,
-        /// Gone for good; its name never comes back.
+        /// The host has left for good; its name is never used again.
         Gone,
     }
 
-    /// One line of the list.
+    /// One entry of the host list.
     pub struct Host {
-        /// Its name, unique for all time.
+        /// Name of the host, which is never used for another host.
         pub name: Name,
-        /// Its role.
+        /// Role of the host.
         pub role: Role,
-        /// IP number and port.
+        /// IP address and port.
         pub address: Name,
-        /// Its failure domain.
+        /// Failure domain of the host.
         pub failure_domain: Name,
-        /// The pool of a backend server; empty otherwise.
+        /// Pool of a backend server; empty for other roles.
         #[serde(default)]
         pub pool: Name,
-        /// The versions it serves; empty for a plain service.
+        /// Versions that a backend server serves; empty for a plain service.
         #[serde(default)]
         pub versions: Vec<Name>,
-        /// Whether it stays.
+        /// Stage of the host's life cycle.
         pub state: HostState,
     }
 
-    /// The list, with its age.
+    /// The host list as of one revision of the store.
     #[derive(Default)]
     pub struct List {
-        /// The store's revision that it is as of; 0 for no list yet.
+        /// Revision of the store at which the list was read; 0 if there is no list yet.
         pub revision: Revision,
-        /// All hosts that are not long gone.
+        /// All hosts, including those that left a short time ago.
         pub hosts: Vec<Host>,
     }
 }
--- a/crates/wire/src/refusal.rs
+++ b/crates/wire/src/refusal.rs
@@ -1,93 +1,96 @@
-//! The body of every refusal, to callers and operators alike.
+//! The body of refusals: answers that reject a request of a caller or of an operator.
 
 use policy::domain;
 use policy::name::Name;
 
 domain! {
-    /// Whether the request can have reached a backend server.
+    /// Whether a refused request can have reached a backend server.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum Ran {
-        /// Not one byte of it has.
+        /// No byte of the request has reached a backend server.
         No,
-        /// It may have.
+        /// The request may have reached a backend server.
         Unknown,
     }
 
-    /// Why a request was refused; each has one HTTP status.
+    /// Reason for a refusal. Each reason has one HTTP status.
     #[derive(Copy, Eq, Hash, PartialOrd, Ord)]
     #[serde(rename_all = "snake_case")]
     pub enum Code {
-        /// Not an HTTP request or body we take.
+        /// The request or its body is malformed.
         BadRequest,
-        /// No or unknown key.
+        /// The request has no key or an unknown one.
         UnknownAccount,
-        /// The account may not use what it asked for.
+        /// The account may not use the requested model, version, service or task.
         NotAllowed,
-        /// No such model, version, service or task.
+        /// The requested model, version, service or task does not exist.
         NotFound,
-        /// Wrong HTTP method.
+        /// The HTTP method is not allowed here.
         WrongMethod,
-        /// Header or body over its bound.
+        /// The headers or the body exceed their size limit.
         TooLarge,
         /// The caller sent its request too slowly.
         TooSlow,
         /// The session's version was withdrawn.
         SessionEnded,
-        /// The session token is not one of ours.
+        /// The session token was not issued by this deployment.
         BadSession,
         /// Another request holds the idempotency key.
         KeyTaken,
-        /// The home of the key or session is out of reach.
+        /// The failure domain that records the idempotency key or session can't be reached.
         HomeUnavailable,
         /// The account's limit is reached.
         AccountLimit,
-        /// The pool can't answer before the deadline.
+        /// The pool of backend servers can't answer before the deadline.
         Overloaded,
-        /// Servers ended when they ran the request, so it is not sent to more of them for now.
+        /// Backend servers crashed when they processed the request, so it is not sent to others for
+        /// now.
         Held,
-        /// No version that may be used has a backend server.
+        /// No version that the request may use has a backend server.
         NoBackend,
-        /// The backend server failed or broke off.
+        /// The backend server failed or broke off its answer.
         BackendFailed,
         /// The deadline passed.
         DeadlinePassed,
-        /// Bills can't be kept safe.
+        /// Bills can't be held safely, so new requests are refused.
         BillsFull,
-        /// No configuration yet.
+        /// The host has no configuration yet.
         NotReady,
         /// The process is shutting down.
         ShuttingDown,
     }
 
-    /// The body: `{"error":{…}}`.
+    /// Body of a refusal: `{"error":{…}}`.
     pub struct Body {
-        /// The one member.
+        /// The refusal itself.
         pub error: Refusal,
     }
 
-    /// What the caller learns.
+    /// What a refusal tells the caller.
     pub struct Refusal {
-        /// For programs.
+        /// Reason, for programs.
         pub code: Code,
-        /// For people.
+        /// Explanation, for people.
         pub message: String,
-        /// Whether it can have run.
+        /// Whether the request can have run.
         pub ran: Ran,
-        /// When a later try can succeed, in milliseconds; also sent as `Retry-After`, in seconds.
+        /// Time after which a retry can succeed, in milliseconds; also sent as the header
+        /// `Retry-After`, in seconds.
         #[serde(default)]
         pub retry_after_ms: Option<u64>,
-        /// The request's id.
+        /// Id of the request.
         #[serde(default)]
         pub request: Option<Name>,
-        /// The request's idempotency key was granted to it, so "not run" holds of the key too.
+        /// Whether the request's idempotency key was granted to it. Then [`Ran::No`] also means
+        /// that no other request with this key has run.
         #[serde(skip)]
         pub key_granted: bool,
     }
 }
 
 impl Code {
-    /// The HTTP status.
+    /// HTTP status of a refusal for this reason.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -115,7 +118,7 @@
 }
 
 impl Refusal {
-    /// A refusal of a request that did not run.
+    /// Refuses a request that did not run.
     #[must_use]
     pub fn not_run(code: Code, message: impl Into<String>) -> Self {
         Self {
@@ -128,13 +131,13 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Refuses a request that may have run.
     #[must_use]
     pub fn may_have_run(code: Code, message: impl Into<String>) -> Self {
         Self { ran: Ran::Unknown, ..Self::not_run(code, message) }
     }
 
-    /// Says when a later try can succeed.
+    /// Adds the time after which a retry can succeed, in milliseconds.
     #[must_use]
     pub fn retry_after(mut self, ms: u64) -> Self {
         self.retry_after_ms = Some(ms);
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -1,7 +1,7 @@
-//! The one tarpc service between our processes; controls serve it.
+//! The tarpc service that controls offer to entries and to other controls.
 //!
-//! Which process asks what: entries ask `view`, `claim`, `pin`, `bill` and `report`; controls ask
-//! each other the rest. Both are authenticated by [`crate::peer`]'s handshake.
+//! Entries call `view`, `claim`, `abandon`, `pin`, `bill` and `report`; controls call the other
+//! functions. The handshake of [`crate::peer`] authenticates both.
 
 use policy::name::Name;
 
@@ -12,41 +12,44 @@
 use crate::shard::{Append, Appended, Home, Reply, ShardTable};
 use crate::view::{View, ViewRequest};
 
-/// Served by each control.
+/// The service that each control offers.
 #[tarpc::service]
 pub trait Control {
-    /// The view, when it differs from the one held or the wait is over.
+    /// Returns the view as soon as it differs from the one held, or when the wait is over.
     async fn view(ask: ViewRequest) -> View;
-    /// Claims an idempotency key, wherever its home is.
+    /// Claims an idempotency key at its home, whichever failure domain that is.
     async fn claim(claim: Claim) -> ClaimAnswer;
-    /// Gives a claim back: the request has not run, and its entry host sends it nowhere any more.
-    /// Sent when a claimed request is refused as not run, or a claim had no answer; a retry of
-    /// the key would otherwise be answered that it may have run. False if it could not be recorded.
+    /// Releases a claim: the request has not run, and its entry host will not send it any more.
+    /// Called when a request with a claim is refused as not run, or when a claim was not answered;
+    /// otherwise a retry with the key would be told that the request may have run. False if the
+    /// release could not be recorded.
     async fn abandon(claim: Claim) -> bool;
-    /// Pins a session, wherever its home is.
+    /// Pins a session at its home, whichever failure domain that is.
     async fn pin(pin: Pin) -> PinAnswer;
-    /// Holds bills, here and at one peer, before it answers.
+    /// Holds bills here and at one peer, and answers after that.
     async fn bill(bills: Vec<Bill>) -> BillAnswer;
-    /// Takes in what an entry host saw.
+    /// Records the report of an entry host.
     async fn report(report: Report);
-    /// One exchange of news.
+    /// Exchanges news with another control.
     async fn gossip(digest: Digest) -> Delta;
-    /// The document of the generation in force here, if it is at least that one.
+    /// Returns the document in force here, if its generation is at least the given one.
     async fn document(generation: u64) -> Option<String>;
-    /// A claim for a shard that the asked one owns.
+    /// Claims a key of a shard that the called control owns.
     async fn owner_claim(home: Home, claim: Claim) -> Reply<ClaimAnswer>;
-    /// A pin for a shard that the asked one owns.
+    /// Pins a session of a shard that the called control owns.
     async fn owner_pin(home: Home, pin: Pin) -> Reply<PinAnswer>;
-    /// An abandoned claim for a shard that the asked one owns; true once recorded.
+    /// Releases a claim of a shard that the called control owns; true once that is recorded.
     async fn owner_abandon(home: Home, claim: Claim) -> Reply<bool>;
-    /// Records for a shard that the asked one is deputy of.
+    /// Adds records to a shard of which the called control is the deputy.
     async fn append(append: Append) -> Appended;
-    /// What the asked one knows of the table of shards, for who can't read it.
+    /// Returns the table of shards as the called control last read it, for controls that can't read
+    /// it from the platform.
     async fn shards() -> ShardTable;
-    /// The row of a shard may name the asked one as owner now; also a sign of life.
+    /// Notifies the called control that the row of a shard may name it as owner now. The call also
+    /// shows that the caller is alive.
     async fn changed(home: Home);
-    /// Bills to be held for another control; false at the memory bound.
+    /// Holds bills for another control; false if the limit on held bills is reached.
     async fn hold(hold: HoldRequest) -> bool;
-    /// Bills of a log that are in the object store now.
+    /// Drops held bills of a log, given by request id, because the object store has them now.
     async fn release(log: Name, requests: Vec<Name>);
 }
--- a/crates/wire/src/shard.rs
+++ b/crates/wire/src/shard.rs
@@ -1,27 +1,27 @@
-//! What controls say to each other about shards.
+//! Messages between controls about shards.
 
 pub use coordination::home::{Home, Layout};
 pub use coordination::message::{Append, Appended, Holder, Record};
 use policy::domain;
 
 domain! {
-    /// An owner's answer, or where else to ask.
+    /// Answer to a call that only the owner of a shard can answer.
     pub enum Reply<T> {
-        /// It is the owner.
+        /// The called control owns the shard; holds its answer.
         Answer(T),
-        /// It is not.
+        /// The called control does not own the shard.
         Elsewhere {
-            /// Who is, as far as the asked one knows; epoch 0 if it knows nothing.
+            /// Holder of the shard as far as the called control knows; epoch 0 if it knows none.
             holder: Holder,
         },
     }
 
-    /// The table of shards, as one control last read it.
+    /// The platform's table of shards, as one control last read it.
     #[derive(Default)]
     pub struct ShardTable {
-        /// The layout, once known.
+        /// Layout of the shards; absent until it is known.
         pub layout: Option<Layout>,
-        /// Who holds which shard.
+        /// Holder of each shard.
         pub holders: Vec<(Home, Holder)>,
     }
 }
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -1,7 +1,7 @@
-//! The store that what must last lies in: rows changed by conditional transactions, and objects.
+//! Types of the durable store, which holds rows, changed by conditional transactions, and objects.
 //!
-//! How it is reached is the business of whoever implements it; these are the terms in which
-//! controllers read and change it.
+//! Controllers read and change the store in these terms. How the store is reached is left to the
+//! implementation.
 
 use std::fmt;
 
@@ -10,93 +10,95 @@
 use policy::revision::Revision;
 
 domain! {
-    /// One row.
+    /// One row of the store.
     pub struct Row {
-        /// Its table.
+        /// Table that holds the row.
         pub table: Name,
-        /// Its key.
+        /// Key of the row within its table.
         pub key: Name,
-        /// The revision of the store that its last change made.
+        /// Revision of the store that the last change of the row created.
         pub version: Revision,
-        /// Any JSON, as text.
+        /// Value of the row: JSON text.
         pub value: String,
     }
 
-    /// Rows of one table, as of one moment.
+    /// Rows of one table, all read at the same revision.
     #[derive(Default)]
     pub struct Rows {
-        /// In the order of their keys.
+        /// Rows in the order of their keys.
         pub rows: Vec<Row>,
-        /// Keys of rows that were removed; only when changes were asked for.
+        /// Keys of removed rows; empty unless the call asked for changes since a revision.
         pub removed: Vec<Name>,
-        /// The store's newest revision at that moment.
+        /// Revision of the store at which the rows were read.
         pub revision: Revision,
-        /// The store's clock, in milliseconds; it only goes forward.
+        /// Time by the store's clock, in milliseconds; this clock never goes backward.
         pub now_ms: u64,
     }
 
-    /// Writes that all take effect, or none, if every condition holds.
+    /// Writes that take effect together if every condition holds; otherwise none of them does.
     #[derive(Default)]
     #[serde(deny_unknown_fields)]
     pub struct Transaction {
-        /// The group that all its rows lie in; each takes only so many changes a second. Nearly all rows
-        /// lie in the one without a name.
+        /// Group that all rows of the transaction belong to. The store limits changes per second
+        /// for each group. Nearly all rows belong to the group with the empty name.
         #[serde(default)]
         pub group: Name,
-        /// What must hold.
+        /// Conditions that must all hold.
         pub conditions: Vec<Condition>,
-        /// What to write then.
+        /// Rows to write if all conditions hold.
         pub writes: Vec<Write>,
     }
 
-    /// A row must be at a version.
+    /// Requires that a row has a certain version.
     pub struct Condition {
-        /// Its table.
+        /// Table of the row.
         pub table: Name,
-        /// Its key.
+        /// Key of the row.
         pub key: Name,
-        /// Its version; 0 of any era if it must not exist.
+        /// Version that the row must have. The number 0, in any era, requires that the row does not
+        /// exist.
         pub version: Revision,
     }
 
-    /// A row to write.
+    /// A row to write or delete.
     pub struct Write {
-        /// Its table.
+        /// Table of the row.
         pub table: Name,
-        /// Its key.
+        /// Key of the row.
         pub key: Name,
-        /// The new value; none deletes.
+        /// New value of the row; none deletes the row.
         pub value: Option<String>,
     }
 
-    /// What became of a transaction that the store answered.
+    /// Outcome of a transaction that the store answered.
     pub enum Outcome {
-        /// It took effect; the version that all its rows have now.
+        /// The transaction took effect. All its rows now have this version.
         Committed(Revision),
-        /// It did not; the rows whose conditions failed, as they are. Absent ones are left out.
+        /// The transaction did not take effect. Holds the current state of the rows whose
+        /// conditions failed, except those that don't exist.
         Conflict(Vec<Row>),
     }
 }
 
-/// Why a call brought nothing.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// Nothing took effect: no connection was made, or the store says so.
+    /// The call had no effect: no connection was made, or the store refused the call.
     Refused(String),
-    /// No answer came: a change may have been made, or may be made later.
+    /// No answer arrived. A change may have taken effect, or may still take effect.
     Lost(String),
-    /// An answer began and did not end; of a change the same holds as after [`Self::Lost`].
+    /// The answer was incomplete. A change may have taken effect, as after [`Self::Lost`].
     Partial(String),
-    /// The history asked for is no longer kept; the rows must be read afresh.
+    /// The store no longer has the requested history, so all rows must be read again.
     Forgotten,
-    /// The answer was not read on behind its head: it is longer than the rows read afresh.
+    /// The answer was abandoned after its head, because it is longer than an answer with all rows.
     Declined,
-    /// The answer makes no sense.
+    /// The answer can't be parsed or contradicts the protocol.
     Malformed(String),
 }
 
 impl Error {
-    /// For metrics.
+    /// Label of the error in metrics.
     #[must_use]
     pub fn label(&self) -> &'static str {
         match self {
@@ -113,12 +115,12 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused(why) => write!(f, "refused: {why}"),
-            Self::Lost(why) => write!(f, "no answer: {why}"),
-            Self::Partial(why) => write!(f, "half an answer: {why}"),
-            Self::Forgotten => f.write_str("the history asked for is gone"),
-            Self::Declined => f.write_str("the answer is longer than the rows themselves"),
-            Self::Malformed(why) => write!(f, "malformed answer: {why}"),
+            Self::Refused(reason) => write!(f, "refused: {reason}"),
+            Self::Lost(reason) => write!(f, "no answer: {reason}"),
+            Self::Partial(reason) => write!(f, "incomplete answer: {reason}"),
+            Self::Forgotten => f.write_str("the store no longer has the requested history"),
+            Self::Declined => f.write_str("the answer is longer than an answer with all rows"),
+            Self::Malformed(reason) => write!(f, "malformed answer: {reason}"),
         }
     }
 }
--- a/crates/wire/src/view.rs
+++ b/crates/wire/src/view.rs
@@ -1,4 +1,4 @@
-//! What control tells entry: all that a request's decisions need.
+//! The state that a control sends to entry hosts: everything they need to decide on requests.
 
 use policy::domain;
 use policy::name::Name;
@@ -6,56 +6,58 @@
 use crate::host;
 
 domain! {
-    /// How entry asks for the view: answered when it differs from what entry has, or after a while.
+    /// Request of an entry host for the view. The control answers as soon as the view differs from
+    /// the one held, or after `wait_ms`.
     #[derive(Default)]
     pub struct ViewRequest {
-        /// The entry host.
+        /// Name of the entry host.
         pub entry: Name,
-        /// The control incarnation that gave the view held now.
+        /// Control incarnation that sent the view which the entry host holds.
         pub incarnation: Name,
-        /// The revision held now; 0 for none.
+        /// Revision of the view which the entry host holds; 0 if it holds none.
         pub revision: u64,
-        /// How long to wait for a change, in milliseconds.
+        /// Longest time to wait for a change, in milliseconds.
         pub wait_ms: u64,
     }
 
-    /// One state of the world, as one control sees it.
+    /// The cluster state, as known to one control.
     #[derive(Default)]
     pub struct View {
-        /// Which control incarnation numbers the revisions.
+        /// Control incarnation that numbers the revisions.
         pub incarnation: Name,
-        /// Rises with each change.
+        /// Revision of this view; increases with each change.
         pub revision: u64,
-        /// The generation in force here; 0 for none yet.
+        /// Generation of the document in force at the control; 0 if there is none yet.
         pub generation: u64,
-        /// The document's JSON text; empty if `generation` is what the asker has already.
+        /// JSON text of the document; empty if the entry host has this generation already.
         pub document: String,
-        /// Milliseconds since a generation was last confirmed, by the platform or by a peer that
-        /// had it confirmed.
+        /// Milliseconds since the generation was last confirmed as the newest, by the platform or
+        /// by a peer to which it was confirmed.
         pub unconfirmed_ms: u64,
-        /// Versions under quarantine: no new work.
+        /// Versions in quarantine, which receive no new requests.
         pub quarantined: Vec<Name>,
-        /// Roll-out shares in force, by candidate version.
+        /// Candidate versions of roll-outs, with the shares of new sessions that they receive, 0 to
+        /// 1.
         pub shares: Vec<(Name, f64)>,
-        /// Shared estimates of quality.
+        /// Estimates of quality from the ratings of all hosts.
         pub estimates: Vec<Estimate>,
-        /// Backend servers and raters.
+        /// Hosts of backend servers and of the rating service.
         pub hosts: host::List,
-        /// Entry hosts believed alive, for dividing account limits.
+        /// Number of entry hosts believed alive, among which account limits are divided.
         pub entries: u32,
-        /// Whether new work must be refused because bills can't be kept safe.
+        /// Whether new requests must be rejected because bills can't be held safely.
         pub bills_full: bool,
     }
 
-    /// What all hosts together know of a version's quality on a task.
+    /// Ratings that all hosts have collected of a version on a task.
     pub struct Estimate {
-        /// The version.
+        /// The rated version.
         pub version: Name,
-        /// The task.
+        /// Task of the rated requests.
         pub task: Name,
-        /// Rated good, decayed.
+        /// Number of answers rated good; older ratings count less.
         pub good: f64,
-        /// Rated, decayed.
+        /// Number of rated answers; older ratings count less.
         pub rated: f64,
     }
 }
