--- a/crates/wire/tests/check.rs
+++ b/crates/wire/tests/check.rs
@@ -1,4 +1,4 @@
-//! The configuration document's check: every fault, each with its path.
+//! Validation of the configuration document: all faults are reported, each with its path.
 
 use serde_json::{Value, json};
 use wire::configuration::check::parse;
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn parse_whole() {
+fn parse_valid_document() {
     let parsed = parse(&document().to_string()).expect("no faults");
     assert_eq!(parsed.generation, 7);
-    let again = serde_json::to_string(&parsed).expect("a document is JSON");
-    assert_eq!(parse(&again), Ok(parsed));
+    let text = serde_json::to_string(&parsed).expect("a document is JSON");
+    assert_eq!(parse(&text), Ok(parsed));
 }
 
 #[test]
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn parse_wrong_kinds_in_several_places() {
+fn parse_wrong_types_in_several_places() {
     let faults = paths_after(|value| {
         value["versions"]["small-1"]["cost"] = json!("cheap");
         value["versions"]["small-1"]["state"] = json!("alive");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn parse_missing_members_told_at_their_own_paths() {
+fn parse_missing_members_reported_at_their_own_paths() {
     let faults = paths_after(|value| {
         let account = value["accounts"]["dwu-claims"].as_object_mut().expect("an object");
         account.remove("default_task");
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn parse_dangling_names() {
+fn parse_names_of_missing_entries() {
     let faults = paths_after(|value| {
         value["versions"]["small-1"]["pool"] = json!("engine");
         value["services"]["orders"]["pool"] = json!("desks");
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn parse_session_keys_short_odd_or_none() {
+fn parse_session_keys_too_short_odd_or_absent() {
     for secret in ["0f".repeat(31), "0".repeat(65), "zz".repeat(32)] {
         let faults = paths_after(|value| value["session_keys"]["1"]["secret"] = json!(secret));
         assert_eq!(faults, ["session_keys.1.secret"], "{secret}");
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn parse_list_in_place_of_an_object() {
+fn parse_array_in_place_of_an_object() {
     let faults = paths_after(|value| value["pools"]["desk"] = json!([4, 64]));
     assert_eq!(faults, ["pools.desk"]);
 }
@@ -193,11 +193,11 @@
     });
 }
 
-/// Any one value of a sound document replaced by any other either stays sound or is refused at a
-/// path; what is accepted reads back as the same document.
+/// Replaces one value of a valid document by an arbitrary value. The document is either rejected
+/// with faults, or accepted and the same after it was serialized and parsed again.
 #[test]
 fn parse_any_value_replaced() {
-    let places: Vec<String> = pointers(&document(), "");
+    let pointers: Vec<String> = pointers(&document(), "");
     let values = [
         json!(null),
         json!(-1),
@@ -208,11 +208,11 @@
         json!({"": {}}),
         json!(true),
     ];
-    fuzz::check(2_000, |(place, value): &(usize, u8)| {
+    fuzz::check(2_000, |(pointer, value): &(usize, u8)| {
         let mut document = document();
-        let place = &places[place % places.len()];
+        let pointer = &pointers[pointer % pointers.len()];
         let value = &values[usize::from(*value) % values.len()];
-        *document.pointer_mut(place).expect("it was listed") = value.clone();
+        *document.pointer_mut(pointer).expect("the pointer leads to a value") = value.clone();
         match parse(&document.to_string()) {
             Ok(parsed) => {
                 let text = serde_json::to_string(&parsed).expect("a document is JSON");
--- a/crates/wire/tests/edit.rs
+++ b/crates/wire/tests/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of a table of routes.
+//! Edits between versions of a routing table.
 
 use policy::name::Name;
 use wire::routing::{Account, Edit, Kind, Limits, Route, Service, Table, Target};
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn apply_makes_the_new_table_of_the_old_one() {
+fn apply_turns_the_old_table_into_the_new_one() {
     let old = table(7, 50);
     let mut new = table(9, 50);
     new.routes[3].timeout_ms = 900;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn apply_only_to_the_version_that_it_is_of() {
+fn apply_to_another_version_is_none() {
     let edit = Edit::between(&table(7, 3), &table(9, 4)).unwrap();
     assert!(edit.apply(&table(8, 3)).is_none());
     assert!(edit.apply(&table(9, 4)).is_none());
@@ -73,21 +73,22 @@
     assert_eq!(edit.apply(&table(7, 3)), Some(table(8, 3)));
 }
 
-/// Guards against an edit that stands for another table than the one that operators wrote.
+/// Guards against an edit whose result differs from the table that operators wrote: which of two
+/// entries it means, or in which order they stand, would be undefined.
 #[test]
 fn between_ambiguous_names_or_places_is_none() {
-    let mut twice = table(8, 3);
-    twice.routes[1].name = twice.routes[0].name.clone();
-    assert!(Edit::between(&table(7, 3), &twice).is_none());
+    let mut same_name = table(8, 3);
+    same_name.routes[1].name = same_name.routes[0].name.clone();
+    assert!(Edit::between(&table(7, 3), &same_name).is_none());
     let mut same_place = table(8, 3);
     same_place.routes[1].prefix = same_place.routes[0].prefix.clone();
     assert!(Edit::between(&table(7, 3), &same_place).is_none());
-    let mut accounts = table(8, 3);
-    accounts.accounts[1].name = accounts.accounts[0].name.clone();
-    assert!(Edit::between(&table(7, 3), &accounts).is_none());
+    let mut same_account = table(8, 3);
+    same_account.accounts[1].name = same_account.accounts[0].name.clone();
+    assert!(Edit::between(&table(7, 3), &same_account).is_none());
 }
 
-/// A change of one route is told in as many bytes, however long the table is.
+/// The edit for a change of one route has the same size for any length of the table.
 #[test]
 fn between_length_does_not_grow_with_the_table() {
     let bytes = [10, 100, 1_000, 5_000].map(|routes| {
@@ -100,17 +101,17 @@
     assert!(bytes.iter().all(|bytes| *bytes < 700), "{bytes:?}");
 }
 
-/// Tables changed in any way: what the edit makes is what operators wrote.
+/// For random changes of a table, the result of the edit equals the table that operators wrote.
 #[test]
 fn apply_generated_changes() {
     fuzz::check::<Vec<(u8, u8)>>(500, |changes| {
         let old = table(1, 12);
         let mut new = Table { version: 2, ..old.clone() };
-        for (what, which) in changes {
-            let at = |length: usize| usize::from(*which) % length.max(1);
-            match what % 5 {
+        for (kind, entry) in changes {
+            let at = |length: usize| usize::from(*entry) % length.max(1);
+            match kind % 5 {
                 0 if !new.routes.is_empty() => drop(new.routes.remove(at(new.routes.len()))),
-                1 => new.routes.push(route(100 + u64::from(*which), 7)),
+                1 => new.routes.push(route(100 + u64::from(*entry), 7)),
                 2 if !new.accounts.is_empty() => {
                     let at = at(new.accounts.len());
                     new.accounts[at].keys.clear();
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between our processes, as they come off a connection.
+//! Deserialization of the messages that processes receive on a connection.
 
 use std::pin::Pin;
 
@@ -9,7 +9,7 @@
 use wire::claim::Claim;
 use wire::rpc::{ControlRequest, ControlResponse};
 
-fn read<In>(bytes: &[u8]) -> Result<In, std::io::Error>
+fn deserialize<In>(bytes: &[u8]) -> Result<In, std::io::Error>
 where
     In: serde::de::DeserializeOwned + Unpin,
 {
@@ -17,7 +17,7 @@
     Pin::new(&mut codec).deserialize(&BytesMut::from(bytes))
 }
 
-fn written(request: &ControlRequest) -> Bytes {
+fn serialize(request: &ControlRequest) -> Bytes {
     let mut codec: MessagePack<(), ControlRequest> = MessagePack::default();
     Pin::new(&mut codec).serialize(request).expect("bytes")
 }
@@ -33,32 +33,32 @@
 }
 
 #[test]
-fn read_what_was_written() {
+fn deserialize_serialized_claim() {
     assert!(matches!(
-        read::<ControlRequest>(&written(&claim())),
+        deserialize::<ControlRequest>(&serialize(&claim())),
         Ok(ControlRequest::Claim { claim }) if &*claim.key == "order-7"
     ));
 }
 
-/// A peer of another release, or a stranger who got past nothing: any bytes are read or refused,
-/// never a panic that would take the process down.
+/// Peers of another release, or processes without the shared key, may send any bytes. They are
+/// accepted or rejected without a panic, which would end the process.
 #[test]
-fn read_any_bytes() {
+fn deserialize_any_bytes_without_panic() {
     fuzz::check(5_000, |bytes: &Vec<u8>| {
-        let _ = read::<ClientMessage<ControlRequest>>(bytes);
-        let _ = read::<Response<ControlResponse>>(bytes);
+        let _ = deserialize::<ClientMessage<ControlRequest>>(bytes);
+        let _ = deserialize::<Response<ControlResponse>>(bytes);
     });
 }
 
 #[test]
-fn read_changed_bytes() {
-    let whole = written(&claim());
+fn deserialize_changed_bytes_without_panic() {
+    let original = serialize(&claim());
     fuzz::check(5_000, |edits: &Vec<(u16, u8)>| {
-        let mut bytes = whole.to_vec();
-        for (at, byte) in edits.iter().take(4) {
-            let at = usize::from(*at) % bytes.len();
-            bytes[at] = *byte;
+        let mut bytes = original.to_vec();
+        for (index, byte) in edits.iter().take(4) {
+            let index = usize::from(*index) % bytes.len();
+            bytes[index] = *byte;
         }
-        let _ = read::<ControlRequest>(&bytes);
+        let _ = deserialize::<ControlRequest>(&bytes);
     });
 }
--- a/crates/wire/tests/routing.rs
+++ b/crates/wire/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Tables of routes are checked whole, and no fault quotes a key.
+//! Validation of routing tables: all faults are reported, and none quotes a key.
 
 use policy::name::Name;
 use wire::routing::{Account, Kind, Limits, Route, Service, Table, Target, check};
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn check_sound_table() {
+fn check_valid_table_has_no_faults() {
     assert!(check(&table()).is_empty());
 }
 
 #[test]
-fn check_finds_every_fault() {
+fn check_reports_every_fault() {
     let mut broken = table();
     broken.version = 0;
     broken.routes.push(broken.routes[0].clone());
@@ -46,20 +46,20 @@
     broken.routes[1].timeout_ms = 0;
     broken.accounts.push(Account { name: Name::from("b"), ..broken.accounts[0].clone() });
     let faults: Vec<String> = check(&broken).iter().map(ToString::to_string).collect();
-    for place in [
+    for path in [
         "version",
         "routes[0].prefix",
         "routes[1].targets",
         "routes[1].timeout_ms",
         "accounts[1].keys[0]",
     ] {
-        assert!(faults.iter().any(|fault| fault.contains(place)), "{place}: {faults:?}");
+        assert!(faults.iter().any(|fault| fault.contains(path)), "{path}: {faults:?}");
     }
     assert!(!faults.iter().any(|fault| fault.contains("secret")), "{faults:?}");
 }
 
 #[test]
-fn check_same_place_twice() {
+fn check_routes_with_the_same_host_and_prefix() {
     let mut doubled = table();
     doubled.routes.push(doubled.routes[0].clone());
     assert_eq!(check(&doubled).len(), 1);
--- a/crates/wire/tests/settings.rs
+++ b/crates/wire/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every fault at once, each with its path.
+//! Validation of settings: all faults are reported at once, each with its path.
 
 use wire::settings::{self, Settings};
 
@@ -11,7 +11,7 @@
     "listen": "127.0.0.1:0", "operators": "127.0.0.1:0", "peer_key": {"text": "0123456789abcdef"},
     "controls": [{"name": "c1", "failure_domain": "north", "address": "127.0.0.1:1"}]}"#;
 
-/// Settings of a node with more members.
+/// Settings of a node with the given further members.
 fn node(members: &str) -> String {
     format!(
         r#"{{"role": "node", "name": "n", "failure_domain": "d", "listen": "127.0.0.1:1",
@@ -20,12 +20,12 @@
 }
 
 #[test]
-fn parse_whole_settings() {
+fn parse_valid_settings() {
     assert!(matches!(settings::parse(ENTRY), Ok(Settings::Entry(_))));
 }
 
 #[test]
-fn parse_tells_every_missing_member() {
+fn parse_reports_every_missing_member() {
     let missing = ["name", "failure_domain", "listen", "operators", "controls", "peer_key"];
     let found = paths(r#"{"role": "entry"}"#);
     for member in missing {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn parse_tells_faults_of_several_kinds() {
+fn parse_reports_faults_of_several_kinds() {
     let text = ENTRY
         .replace("\"e1\"", "\"no name\"")
         .replace(
@@ -49,13 +49,13 @@
 }
 
 #[test]
-fn parse_no_settings_at_all() {
+fn parse_text_without_settings() {
     assert_eq!(paths("{}"), ["role"]);
     assert_eq!(paths("[]"), ["role"]);
     assert_eq!(paths("no JSON"), [""]);
 }
 
-/// A fault never shows the secret that it is about.
+/// The message of a fault never contains the secret, in whatever form the settings hold it.
 #[test]
 fn parse_hides_secrets() {
     let bare = ENTRY.replace(r#"{"text": "0123456789abcdef"}"#, r#""tooshort""#);
@@ -68,20 +68,20 @@
 }
 
 #[test]
-fn parse_any_text() {
+fn parse_any_text_without_panic() {
     fuzz::check(3_000, |edits: &Vec<(u16, u8)>| {
         let mut bytes = ENTRY.as_bytes().to_vec();
-        for (at, byte) in edits.iter().take(6) {
-            let at = usize::from(*at) % bytes.len();
-            bytes[at] = *byte;
+        for (index, byte) in edits.iter().take(6) {
+            let index = usize::from(*index) % bytes.len();
+            bytes[index] = *byte;
         }
-        // Whatever it says, it says it without a panic.
+        // Any result is accepted; only a panic fails the test.
         let _ = settings::parse(&String::from_utf8_lossy(&bytes));
     });
 }
 
 #[test]
-fn parse_resources_are_more_than_nothing() {
+fn parse_resources_below_their_minimum() {
     let text = |resources: &str| node(&format!("\"resources\": {resources}"));
     assert!(settings::parse(&text(r#"{"core_share": 0.12, "link_mbps": 20}"#)).is_ok());
     assert!(settings::parse(&text("{}")).is_ok());
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn parse_failure_domains_are_few_and_name_the_own() {
+fn parse_failure_domains_too_many_repeated_or_without_the_own() {
     let text = |domains: &str| node(&format!("\"failure_domains\": {domains}"));
     assert!(settings::parse(&text("[]")).is_ok());
     assert!(settings::parse(&text(r#"["c", "d"]"#)).is_ok());
@@ -105,22 +105,23 @@
     }
 }
 
-/// Guards against an operator who is shown several bounds and not which one is broken.
+/// Guards against a message that names several limits, so that the operator can't see which one is
+/// violated.
 #[test]
-fn parse_time_that_is_too_short_tells_its_least() {
-    for (member, least) in
+fn parse_duration_below_its_minimum_reports_the_minimum() {
+    for (member, min) in
         [("change_ms", 500), ("leaving_ms", 500), ("contact_ms", 2_000), ("drain_ms", 1_000)]
     {
         let with = |ms: u64| settings::parse(&node(&format!("\"{member}\": {ms}")));
-        assert!(with(least).is_ok(), "{member}");
-        let faults = with(least - 1).expect_err("a fault");
+        assert!(with(min).is_ok(), "{member}");
+        let faults = with(min - 1).expect_err("a fault");
         let found: Vec<String> = faults.iter().map(|fault| fault.message.clone()).collect();
-        assert_eq!(found, [format!("must be at least {least}")], "{member}");
+        assert_eq!(found, [format!("must be at least {min}")], "{member}");
     }
 }
 
 #[test]
-fn parse_exposure_share_is_a_part() {
+fn parse_exposure_share_outside_0_to_1() {
     let text = |share: &str| node(&format!("\"exposure_share\": {share}"));
     assert!(settings::parse(&text("0.15")).is_ok());
     for wrong in ["1.5", "-0.1"] {
