--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -1,6 +1,6 @@
 //! Headers of a request that a host forwards to another host, and of the answer.
 //!
-//! They are read only at the port for forwarded requests.
+//! Headers of a request are read only at the port for forwarded requests.
 
 /// Number of attempts. In the request: those made before it was forwarded. In the answer: also
 /// those of the host to which it was forwarded.
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -167,7 +167,7 @@
     #[derive(Copy)]
     #[serde(default)]
     pub struct Resources {
-        /// Processor time, as a share of one core.
+        /// Processor time, in cores; 0.5 is half of a core.
         pub core_share: f64,
         /// Bandwidth of the host's network link, in megabits per second.
         pub link_mbps: f64,
@@ -180,7 +180,8 @@
     /// Limits on extra attempts: those that follow the first attempt of a request.
     #[serde(default)]
     pub struct Repeats {
-        /// Extra attempts allowed for each request.
+        /// Extra attempts allowed per request, as an average over the window; 0.2 allows one for
+        /// five requests.
         pub share: f64,
         /// Extra attempts beyond `share` in each window, for all hosts together.
         pub slack: f64,
--- a/crates/wire/src/view.rs
+++ b/crates/wire/src/view.rs
@@ -36,8 +36,7 @@
         pub unconfirmed_ms: u64,
         /// Versions in quarantine, which receive no new requests.
         pub quarantined: Vec<Name>,
-        /// Candidate versions of roll-outs, with the shares of new sessions that they receive, 0 to
-        /// 1.
+        /// Candidate versions of roll-outs, with the share of new sessions of each, 0 to 1.
         pub shares: Vec<(Name, f64)>,
         /// Estimates of quality from the ratings of all hosts.
         pub estimates: Vec<Estimate>,
