--- a/crates/gateway/src/detour.rs
+++ b/crates/gateway/src/detour.rs
@@ -19,7 +19,8 @@
 use policy::name::Name;
 use policy::time::Millis;
 use wire::forward::{
-    AWAY, ENDED, LOAD, MODEL, NUMBER, SERVER, TRIED, TRIES, VERSION, WITH_REQUEST,
+    ATTEMPTS, FAILED_SERVERS, HOST_UNAVAILABLE, IN_FLIGHT, MODEL_INDEX, NUMBER, REQUEST_HEADERS,
+    SERVER, SERVER_ENDED, VERSION,
 };
 use wire::refusal::{Code, Ran, Refusal};
 
@@ -52,11 +53,11 @@
     fn take_from(headers: &mut HeaderMap) -> Self {
         let report = Self {
             server: header_text(headers, SERVER).map(Name::from),
-            sent: header_number(headers, TRIES),
-            load: header_number(headers, LOAD),
-            has_ended: headers.contains_key(ENDED),
+            sent: header_number(headers, ATTEMPTS),
+            load: header_number(headers, IN_FLIGHT),
+            has_ended: headers.contains_key(SERVER_ENDED),
         };
-        for name in [SERVER, TRIES, LOAD, ENDED] {
+        for name in [SERVER, ATTEMPTS, IN_FLIGHT, SERVER_ENDED] {
             headers.remove(name);
         }
         report
@@ -193,7 +194,7 @@
         }
         match () {
             () if is_misdirected => {
-                Err(Failure::NotRun { misdirected: head.headers.contains_key(AWAY) })
+                Err(Failure::NotRun { misdirected: head.headers.contains_key(HOST_UNAVAILABLE) })
             }
             () if info.id.as_ref().is_some_and(|id| *id != self.info.id) => {
                 Err(Failure::Lost(Cause::Crossed))
@@ -260,18 +261,18 @@
         *request.uri_mut() = self.path.clone();
         let mut headers = self.state.codec.host_headers(&self.headers, left_ms, last_event);
         headers.insert(HOST, self.headers.get(HOST)?.clone());
-        for name in WITH_REQUEST {
+        for name in REQUEST_HEADERS {
             headers.remove(name);
         }
         let tried: Vec<&str> = self.attempts.failed_servers.iter().map(Name::as_str).collect();
         let mut insert = |name, value: HeaderValue| {
             headers.insert(HeaderName::from_static(name), value);
         };
-        insert(TRIES, HeaderValue::from(self.attempts.sent));
-        insert(TRIED, HeaderValue::from_str(&tried.join(",")).ok()?);
+        insert(ATTEMPTS, HeaderValue::from(self.attempts.sent));
+        insert(FAILED_SERVERS, HeaderValue::from_str(&tried.join(",")).ok()?);
         insert(NUMBER, HeaderValue::from(forwarding.number()));
         if !self.route().models.is_empty() {
-            insert(MODEL, HeaderValue::from(self.attempts.model));
+            insert(MODEL_INDEX, HeaderValue::from(self.attempts.model));
         }
         if let Some(version) = &self.attempts.version {
             insert(VERSION, HeaderValue::from_str(version).ok()?);
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -16,7 +16,8 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use policy::name::Name;
 use wire::forward::{
-    AWAY, ENDED, LOAD, MODEL, NUMBER, SERVER, TRIED, TRIES, VERSION, WITH_REQUEST,
+    ATTEMPTS, FAILED_SERVERS, HOST_UNAVAILABLE, IN_FLIGHT, MODEL_INDEX, NUMBER, REQUEST_HEADERS,
+    SERVER, SERVER_ENDED, VERSION,
 };
 use wire::refusal::{Code, Refusal};
 
@@ -76,15 +77,15 @@
 impl ForwardedRequest {
     /// Takes the other host's statements out of the request's headers.
     fn take_from(headers: &mut HeaderMap) -> Self {
-        let excluded = header_text(headers, TRIED).unwrap_or_default();
+        let excluded = header_text(headers, FAILED_SERVERS).unwrap_or_default();
         let forwarded = Self {
-            sent: header_number(headers, TRIES).unwrap_or_default(),
+            sent: header_number(headers, ATTEMPTS).unwrap_or_default(),
             excluded: excluded.split(',').filter(|id| !id.is_empty()).map(Name::from).collect(),
-            model: header_number(headers, MODEL),
+            model: header_number(headers, MODEL_INDEX),
             version: header_text(headers, VERSION).map(Name::from),
             registration: None,
         };
-        for name in WITH_REQUEST {
+        for name in REQUEST_HEADERS {
             headers.remove(name);
         }
         forwarded
@@ -94,8 +95,8 @@
 /// Adds the headers that tell another host what became of the request that it passed on.
 pub fn add_report_headers<C: Codec>(job: &Job<C>, headers: &mut HeaderMap) {
     let in_flight = job.state.in_flight.load(Ordering::Relaxed);
-    headers.insert(LOAD, HeaderValue::from(in_flight));
-    headers.insert(TRIES, HeaderValue::from(job.attempts.sent));
+    headers.insert(IN_FLIGHT, HeaderValue::from(in_flight));
+    headers.insert(ATTEMPTS, HeaderValue::from(job.attempts.sent));
     let server = job.attempts.backend.as_ref();
     if let Some(server) = server.and_then(|server| HeaderValue::from_str(server).ok()) {
         headers.insert(SERVER, server);
@@ -111,7 +112,7 @@
     if let Some(server) = broke_at
         && job.state.probe(&server).await == Liveness::Ended
     {
-        headers.insert(ENDED, HeaderValue::from_static("1"));
+        headers.insert(SERVER_ENDED, HeaderValue::from_static("1"));
     }
     headers
 }
@@ -135,7 +136,7 @@
 pub fn mark_misdirected<C>(state: &State<C>, mut response: Response<Answer>) -> Response<Answer> {
     *response.status_mut() = StatusCode::MISDIRECTED_REQUEST;
     if state.reach.is_isolated() || !state.snapshot.load().is_complete {
-        response.headers_mut().insert(AWAY, HeaderValue::from_static("1"));
+        response.headers_mut().insert(HOST_UNAVAILABLE, HeaderValue::from_static("1"));
     }
     response
 }
--- a/crates/gateway/src/recall.rs
+++ b/crates/gateway/src/recall.rs
@@ -17,7 +17,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use policy::name::Name;
 use tokio_util::sync::CancellationToken;
-use wire::forward::{ASK, LAST_EVENT, RECALL};
+use wire::forward::{LAST_EVENT, QUERY, RECALL};
 
 use crate::backend::Backend;
 use crate::forward;
@@ -144,13 +144,13 @@
     #[must_use]
     pub fn parse(headers: &HeaderMap) -> Option<Self> {
         let number = |name| headers.get(name)?.to_str().ok()?.parse().ok();
-        number(RECALL).map(Self::Recall).or_else(|| number(ASK).map(Self::Query))
+        number(RECALL).map(Self::Recall).or_else(|| number(QUERY).map(Self::Query))
     }
 
     fn header(self) -> (&'static str, u64) {
         match self {
             Self::Recall(number) => (RECALL, number),
-            Self::Query(number) => (ASK, number),
+            Self::Query(number) => (QUERY, number),
         }
     }
 
