--- a/crates/chestnutspur/src/command/report/decisions.rs
+++ b/crates/chestnutspur/src/command/report/decisions.rs
@@ -20,7 +20,7 @@
 
 /// Reads logs from standard input and prints the report.
 pub fn run(arguments: &Arguments) -> Exit {
-    let report = Report::of(&explain::read());
+    let report = Report::from_lines(&explain::read());
     if report.all.requests == 0 {
         eprintln!("chestnutspur: no request ended in these logs; are they those of `node`?");
         return Exit::Refused;
--- a/crates/control/src/bills/book.rs
+++ b/crates/control/src/bills/book.rs
@@ -73,7 +73,7 @@
     pub fn floor(&self) -> u64 {
         let floor = self.floors.values().copied().min().unwrap_or(u64::MAX);
         match self.floors.len() < self.log.pending().len() || self.floors.is_empty() {
-            true => floor.min(self.log.next()),
+            true => floor.min(self.log.next_number()),
             false => floor,
         }
     }
@@ -141,7 +141,7 @@
     /// Takes in the batch that stands at a number.
     pub fn stands(&mut self, number: u64, bills: &[Bill], now: Millis) {
         let ids: Vec<_> = bills.iter().map(|bill| bill.request.clone()).collect();
-        for bill in self.log.stands(number, &ids, now) {
+        for bill in self.log.apply_batch(number, &ids, now) {
             self.owe(&bill.request);
         }
         self.log.forget(now - REMEMBERED_MS);
@@ -149,7 +149,7 @@
 
     /// Drops a bill that is stored, or that its log's own control has taken.
     pub fn release(&mut self, request: &Name) {
-        if self.log.release(request).is_some() {
+        if self.log.remove(request).is_some() {
             self.owe(request);
         }
     }
--- a/crates/control/src/bills/flush.rs
+++ b/crates/control/src/bills/flush.rs
@@ -70,7 +70,7 @@
             let (log, number, bills, at_end) = {
                 let mut book = lock(book);
                 book.start_reading();
-                let Some((number, bills)) = book.log.batch(BATCH_MAX) else { return Ok(()) };
+                let Some((number, bills)) = book.log.next_batch(BATCH_MAX) else { return Ok(()) };
                 (book.id.log.clone(), number, bills, book.at_end)
             };
             match at_end {
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -15,7 +15,7 @@
 use wire::gossip::{Delta, Digest};
 use wire::peer::Key;
 use wire::rpc::Control;
-use wire::shard::{Append, Appended, Home, Known, Reply};
+use wire::shard::{Append, AppendReply, Home, Known, Reply};
 use wire::view::{Ask, View};
 
 use crate::accept;
@@ -94,7 +94,7 @@
         self.process.shards.changed(home).await;
     }
 
-    async fn append(self, _: Context, append: Append) -> Appended {
+    async fn append(self, _: Context, append: Append) -> AppendReply {
         self.process.shards.append(append).await
     }
 
--- a/crates/control/src/shards.rs
+++ b/crates/control/src/shards.rs
@@ -23,7 +23,7 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use wire::claim::{Claim, ClaimAnswer, Pin, PinAnswer};
 use wire::host::List;
-use wire::shard::{Append, Appended, Known, Reply};
+use wire::shard::{Append, AppendReply, Known, Reply};
 
 use crate::node::Node;
 use crate::shards::cell::Cell;
@@ -123,12 +123,12 @@
     }
 
     /// Records of a shard whose deputy is here.
-    pub async fn append(&self, append: Append) -> Appended {
+    pub async fn append(&self, append: Append) -> AppendReply {
         let leaving = self.inner.leaving.load(Ordering::Relaxed);
         match append {
             // No records is a question: whether this control would take the shard over now.
             load if leaving && (load.whole || load.records.is_empty()) => {
-                Appended::Fenced { epoch: 0 }
+                AppendReply::Fenced { epoch: 0 }
             }
             append => self.inner.cell(&append.home).lock().receive(&append),
         }
--- a/crates/control/src/shards/alone.rs
+++ b/crates/control/src/shards/alone.rs
@@ -28,7 +28,7 @@
 
 /// The object name of a piece.
 fn object(cell: &Cell, epoch: u64, number: u64) -> String {
-    format!("snapshots/{}/{epoch:010}/{number:010}", cell.home.row())
+    format!("snapshots/{}/{epoch:010}/{number:010}", cell.home.row_key())
 }
 
 /// What a log of pieces holds for one writer, as far as it was read.
@@ -123,7 +123,7 @@
         let pieces = cell.pieces.lock().await;
         let mut shard = cell.lock();
         let stored = |owner: &mut Owner| {
-            owner.deputy.is_empty() && owner.is_safe() && pieces.epoch == owner.epoch
+            owner.deputy.is_empty() && owner.is_replicated() && pieces.epoch == owner.epoch
         };
         pieces.whole && shard.owner().is_some_and(stored)
     }
--- a/crates/control/src/shards/balance.rs
+++ b/crates/control/src/shards/balance.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use coordination::home::ranked;
+use coordination::home::rank;
 use policy::name::Name;
 use policy::time::Millis;
 use wire::host::List;
@@ -35,7 +35,7 @@
         let near = alive.into_iter().filter(|p| p.failure_domain == cell.home.failure_domain);
         members.extend(near.map(|peer| (peer.host, peer.incarnation)));
         let hosts: Vec<_> = members.iter().map(|(host, _)| host.clone()).collect();
-        let ranked = ranked(&cell.home.row(), &hosts);
+        let ranked = rank(&cell.home.row_key(), &hosts);
         let found = ranked.iter().filter_map(|host| members.iter().find(|(h, _)| h == host));
         found.map(|(_, incarnation)| incarnation.clone()).collect()
     }
--- a/crates/control/src/shards/change.rs
+++ b/crates/control/src/shards/change.rs
@@ -2,10 +2,10 @@
 
 use std::sync::atomic::Ordering;
 
-use coordination::home::ranked;
+use coordination::home::rank;
 use coordination::owner::Owner;
 use policy::name::Name;
-use wire::shard::{Append, Appended, Holder};
+use wire::shard::{Append, AppendReply, Holder};
 
 use crate::node::now;
 use crate::shards::Inner;
@@ -26,7 +26,7 @@
     pub fn candidates(&self, cell: &Cell, without: &str) -> Vec<Name> {
         let alive = self.node.peers.alive(now());
         let hosts: Vec<_> = alive.iter().map(|peer| peer.host.clone()).collect();
-        let mut ranked = ranked(&cell.home.row(), &hosts);
+        let mut ranked = rank(&cell.home.row_key(), &hosts);
         let far = |host: &Name| {
             let peer = alive.iter().find(|peer| peer.host == *host);
             peer.is_none_or(|peer| peer.failure_domain != cell.home.failure_domain)
@@ -49,7 +49,7 @@
     ) -> Option<Loaded> {
         for deputy in candidates {
             match self.send(&deputy, &whole).await {
-                Some(Appended::Up { to }) if to == whole.first => {
+                Some(AppendReply::Up { to }) if to == whole.first => {
                     return Some(Loaded { deputy, whole });
                 }
                 _ => {}
@@ -68,7 +68,7 @@
             Some(owner) if owner.epoch == row.holder.epoch => owner.closed_until.0,
             _ => return false,
         };
-        let whole = cell.lock().whole(&cell.home, &self.node.incarnation);
+        let whole = cell.lock().full_load(&cell.home, &self.node.incarnation);
         let Some(whole) = whole else { return false };
         let loaded = self.load(cell, whole, candidates, or_alone).await;
         let Some(Loaded { deputy, whole }) = loaded else { return false };
@@ -76,9 +76,9 @@
         let holder = Holder { epoch: whole.epoch, owner, deputy: deputy.clone(), closed_until_ms };
         match self.table.swap(&cell.home, row.version, &holder).await {
             Swap::Done => {
-                log::info!("shards: {}: deputy is now '{deputy}'", cell.home.row());
+                log::info!("shards: {}: deputy is now '{deputy}'", cell.home.row_key());
                 if let Some(owner) = cell.lock().owner() {
-                    owner.moved(whole.epoch, deputy, whole.first);
+                    owner.set_deputy(whole.epoch, deputy, whole.first);
                 }
                 cell.wake();
                 true
@@ -99,7 +99,7 @@
             self.observe(cell, &row.holder);
             return;
         }
-        let whole = cell.lock().whole(&cell.home, &self.node.incarnation);
+        let whole = cell.lock().full_load(&cell.home, &self.node.incarnation);
         let candidates = self.candidates(cell, &row.holder.owner);
         let loaded = match whole {
             Some(whole) => self.load(cell, whole, candidates, true).await,
@@ -129,7 +129,7 @@
         let to = {
             let mut shard = cell.lock();
             match shard.owner() {
-                Some(owner) if owner.epoch == row.holder.epoch => owner.leaving = true,
+                Some(owner) if owner.epoch == row.holder.epoch => owner.is_leaving = true,
                 _ => return,
             }
             row.holder.deputy.clone()
@@ -141,14 +141,14 @@
         self.save(cell).await;
         let swapped = self.swap_owner(cell, &row, to).await;
         if let Some(owner) = cell.lock().owner() {
-            owner.leaving = swapped && owner.leaving;
+            owner.is_leaving = swapped && owner.is_leaving;
         }
         cell.wake();
     }
 
     async fn swap_owner(&self, cell: &Cell, row: &Versioned, to: Name) -> bool {
         // `save` may have replaced the deputy; then the next tick decides anew.
-        let ready = |owner: &mut Owner| owner.epoch == row.holder.epoch && owner.is_safe();
+        let ready = |owner: &mut Owner| owner.epoch == row.holder.epoch && owner.is_replicated();
         if !cell.lock().owner().is_some_and(ready) {
             return false;
         }
@@ -190,7 +190,7 @@
         self.save(cell).await;
         let Some((deputy, question)) = self.question(cell) else { return };
         let willing = !deputy.is_empty()
-            && matches!(self.send(&deputy, &question).await, Some(Appended::Up { .. }));
+            && matches!(self.send(&deputy, &question).await, Some(AppendReply::Up { .. }));
         if !willing && !self.is_stored(cell).await {
             self.replace_deputy(cell, self.candidates(cell, &deputy), true).await;
         }
@@ -202,7 +202,7 @@
         let mut shard = cell.lock();
         let owner = shard.owner()?;
         let (home, me) = (cell.home.clone(), self.node.incarnation.clone());
-        let (epoch, first) = (owner.epoch, owner.safe_to());
+        let (epoch, first) = (owner.epoch, owner.replicated_to());
         let question = Append { home, epoch, owner: me, first, records: Vec::new(), whole: false };
         Some((owner.deputy.clone(), question))
     }
--- a/crates/control/src/shards/cold.rs
+++ b/crates/control/src/shards/cold.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
-use coordination::owner::{KEEP_MS_MAX, Owner};
+use coordination::owner::{Owner, RETENTION_MS_MAX};
 use coordination::records::Records;
 use wire::shard::{Append, Holder, Record};
 
@@ -63,8 +63,8 @@
             Swap::Done => {
                 let records: Records = loaded.whole.records.iter().collect();
                 let owner = Owner::new(epoch, deputy, records, 1);
-                cell.lock().own(owner.closed_until(policy::time::Millis(closed_until_ms)));
-                log::info!("shards: {}: owned here now", cell.home.row());
+                cell.lock().become_owner(owner.closed_until(policy::time::Millis(closed_until_ms)));
+                log::info!("shards: {}: owned here now", cell.home.row_key());
                 cell.wake();
             }
             Swap::Beaten(row) => self.observe(cell, &row.holder),
@@ -83,10 +83,10 @@
         let complete = holder.deputy.is_empty() && pieces.whole;
         let closed_until_ms = match complete {
             true => holder.closed_until_ms,
-            false => (now() + KEEP_MS_MAX).0,
+            false => (now() + RETENTION_MS_MAX).0,
         };
         if !complete {
-            log::warn!("shards: {}: records lost; unknown keys are refused", cell.home.row());
+            log::warn!("shards: {}: records lost; unknown keys are refused", cell.home.row_key());
         }
         Some(Remains { records: pieces.records, closed_until_ms })
     }
--- a/crates/control/src/shards/duty.rs
+++ b/crates/control/src/shards/duty.rs
@@ -6,7 +6,7 @@
 
 use coordination::shard::{Role, Transition};
 use tokio::time::Instant;
-use wire::shard::{Append, Appended};
+use wire::shard::{Append, AppendReply};
 
 use crate::node::now;
 use crate::shards::balance::Balance;
@@ -73,7 +73,8 @@
             let (deputy, append) = {
                 let mut shard = cell.lock();
                 let Some(owner) = shard.owner() else { return };
-                let records = owner.unsafe_records(&cell.home, &self.node.incarnation, APPEND_MAX);
+                let records =
+                    owner.unreplicated_records(&cell.home, &self.node.incarnation, APPEND_MAX);
                 let Some(append) = records else { return };
                 (owner.deputy.clone(), append)
             };
@@ -89,17 +90,17 @@
 
     async fn save_at_deputy(&self, cell: &Cell, deputy: &str, append: &Append) -> bool {
         match self.send(deputy, append).await {
-            Some(Appended::Up { to }) => {
+            Some(AppendReply::Up { to }) => {
                 self.saved(cell, append.epoch, to);
                 true
             }
-            Some(Appended::Fenced { .. }) => {
+            Some(AppendReply::Fenced { .. }) => {
                 // The deputy is taking over, or has; the row tells.
                 self.read_row(cell).await;
                 false
             }
-            Some(Appended::Behind) | None => {
-                log::info!("shards: {}: deputy {deputy} does not answer", cell.home.row());
+            Some(AppendReply::Behind) | None => {
+                log::info!("shards: {}: deputy {deputy} does not answer", cell.home.row_key());
                 self.replace_deputy(cell, self.candidates(cell, deputy), true).await
             }
         }
@@ -108,14 +109,14 @@
     /// Notes what is safe, unless the shard changed hands meanwhile.
     pub fn saved(&self, cell: &Cell, epoch: u64, to: u64) {
         match cell.lock().owner() {
-            Some(owner) if owner.epoch == epoch => owner.saved(to),
+            Some(owner) if owner.epoch == epoch => owner.mark_replicated(to),
             _ => {}
         }
         cell.wake();
     }
 
     /// Sends records to a control.
-    pub async fn send(&self, incarnation: &str, append: &Append) -> Option<Appended> {
+    pub async fn send(&self, incarnation: &str, append: &Append) -> Option<AppendReply> {
         let peer = self.node.peers.by_incarnation(incarnation)?;
         let within = if append.whole { LOAD } else { CALL };
         let append = append.clone();
@@ -137,11 +138,11 @@
 
     /// Follows what the row says.
     pub fn observe(&self, cell: &Cell, holder: &wire::shard::Holder) {
-        let standing = cell.lock().observe(&self.node.incarnation, holder);
+        let standing = cell.lock().apply_row(&self.node.incarnation, holder);
         match standing {
             Transition::Unchanged => return,
-            Transition::Dropped => log::info!("shards: {}: not held here now", cell.home.row()),
-            Transition::Promoted => log::info!("shards: {}: owned here now", cell.home.row()),
+            Transition::Dropped => log::info!("shards: {}: not held here now", cell.home.row_key()),
+            Transition::Promoted => log::info!("shards: {}: owned here now", cell.home.row_key()),
         }
         metrics::counter!("shards_changed_hands_total").increment(1);
         cell.wake();
@@ -163,7 +164,7 @@
     fn forget(&self, cell: &Cell, due: &mut Instant) {
         if Instant::now() >= *due {
             *due = Instant::now() + FORGET;
-            cell.lock().owner().into_iter().for_each(|owner| owner.forget(now()));
+            cell.lock().owner().into_iter().for_each(|owner| owner.remove_expired(now()));
         }
     }
 
--- a/crates/control/src/shards/route.rs
+++ b/crates/control/src/shards/route.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use coordination::home::{Home, joined};
-use coordination::owner::{Owner, Refused, Verdict};
+use coordination::home::{Home, account_key};
+use coordination::owner::{Owner, Refusal, Verdict};
 use coordination::shard::Role;
 use policy::name::Name;
 use policy::time::Millis;
@@ -24,7 +24,7 @@
     /// Account and key, joined.
     fn key(&self) -> Name;
     /// Has the owner take it in.
-    fn begin(&self, owner: &mut Owner, now: Millis) -> Result<(), Refused>;
+    fn begin(&self, owner: &mut Owner, now: Millis) -> Result<(), Refusal>;
     /// The owner's answer, once it is safe.
     fn finish(&self, home: &Home, owner: &Owner, now: Millis) -> Option<Self::Answer>;
     /// No answer could be had.
@@ -42,10 +42,10 @@
     type Answer = ClaimAnswer;
 
     fn key(&self) -> Name {
-        joined(&self.account, &self.key)
+        account_key(&self.account, &self.key)
     }
 
-    fn begin(&self, owner: &mut Owner, now: Millis) -> Result<(), Refused> {
+    fn begin(&self, owner: &mut Owner, now: Millis) -> Result<(), Refusal> {
         owner.claim(&self.key(), &self.request, self.keep_ms, now)
     }
 
@@ -77,10 +77,10 @@
     type Answer = PinAnswer;
 
     fn key(&self) -> Name {
-        joined(&self.account, &self.session)
+        account_key(&self.account, &self.session)
     }
 
-    fn begin(&self, owner: &mut Owner, now: Millis) -> Result<(), Refused> {
+    fn begin(&self, owner: &mut Owner, now: Millis) -> Result<(), Refusal> {
         owner.pin(&self.key(), &self.version, self.keep_ms, now)
     }
 
@@ -113,7 +113,7 @@
         self.0.key()
     }
 
-    fn begin(&self, owner: &mut Owner, now: Millis) -> Result<(), Refused> {
+    fn begin(&self, owner: &mut Owner, now: Millis) -> Result<(), Refusal> {
         owner.abandon(&self.key(), &self.0.request, now)
     }
 
@@ -206,17 +206,17 @@
         let mut turn = cell.turn.subscribe();
         let begun = match cell.lock().owner() {
             Some(owner) => ask.begin(owner, now()),
-            None => Err(Refused::Leaving),
+            None => Err(Refusal::Leaving),
         };
         match begun {
             Ok(()) => cell.work.notify_one(),
-            Err(Refused::Closed { until }) => {
+            Err(Refusal::Closed { until }) => {
                 return Reply::Answer(ask.unavailable(home, true, until.since(now())));
             }
-            Err(Refused::Full) => {
+            Err(Refusal::Full) => {
                 return Reply::Answer(ask.unavailable(home, false, RETRY_AFTER_MS));
             }
-            Err(Refused::Leaving) => return self.elsewhere(home, &cell),
+            Err(Refusal::Leaving) => return self.elsewhere(home, &cell),
         }
         let deadline = tokio::time::Instant::now() + SAFE;
         loop {
--- a/crates/control/src/shards/table.rs
+++ b/crates/control/src/shards/table.rs
@@ -167,7 +167,7 @@
     }
 
     async fn read_by(&self, platform: &Client, home: &Home) -> Result<Versioned, Error> {
-        let row = platform.row(TABLE, &home.row()).await;
+        let row = platform.row(TABLE, &home.row_key()).await;
         let Some(row) = row.inspect_err(|_| self.failed.store(now().0, Ordering::Relaxed))? else {
             return Ok(Versioned::default());
         };
@@ -188,7 +188,7 @@
     /// again on the same version until an answer decides: of all tries at most one succeeds.
     pub async fn swap(&self, home: &Home, version: Revision, holder: &Holder) -> Swap {
         let Ok(value) = encode(holder) else { return Swap::Refused };
-        let swap = transaction(&home.row(), version, value);
+        let swap = transaction(&home.row_key(), version, value);
         let mut lost = false;
         loop {
             let platform = if lost { &self.patient } else { &self.platform };
@@ -201,7 +201,7 @@
                 },
                 Err(Error::Refused(_)) if !lost => return Swap::Refused,
                 Err(error) => {
-                    log::warn!("shards: {}: swap undecided: {error}", home.row());
+                    log::warn!("shards: {}: swap undecided: {error}", home.row_key());
                     lost = true;
                 }
             }
--- a/crates/control/tests/common/claims.rs
+++ b/crates/control/tests/common/claims.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coordination::home::{Home, Layout, joined};
+use coordination::home::{Home, Layout, account_key};
 use coordination::message::Holder;
 use policy::name::Name;
 use wire::claim::{Claim, ClaimAnswer, Pin, PinAnswer};
@@ -68,11 +68,11 @@
     pub fn home(&self, key: &str) -> Home {
         let row = self.platform.row("shards", "layout").expect("a layout");
         let layout: Layout = serde_json::from_str(&row.value).expect("a layout");
-        layout.home(&joined(ACCOUNT, key)).expect("failure domains")
+        layout.home(&account_key(ACCOUNT, key)).expect("failure domains")
     }
 
     pub fn holder(&self, home: &Home) -> Holder {
-        let row = self.platform.row("shards", &home.row());
+        let row = self.platform.row("shards", &home.row_key());
         row.and_then(|row| serde_json::from_str(&row.value).ok()).unwrap_or_default()
     }
 
--- a/crates/control/tests/gossip.rs
+++ b/crates/control/tests/gossip.rs
@@ -131,8 +131,8 @@
         self,
         _: tarpc::context::Context,
         _: wire::shard::Append,
-    ) -> wire::shard::Appended {
-        wire::shard::Appended::Behind
+    ) -> wire::shard::AppendReply {
+        wire::shard::AppendReply::Behind
     }
     async fn hold(self, _: tarpc::context::Context, _: wire::bill::Hold) -> bool {
         false
--- a/crates/coordination/src/batch.rs
+++ b/crates/coordination/src/batch.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Log<E> {
     /// All batches before this number have been read or written here.
-    next: u64,
+    next_number: u64,
     pending: BTreeMap<Name, E>,
     /// Entries known to be in the log, with the time that this was learnt.
     stored: HashMap<Name, Millis>,
@@ -29,15 +29,15 @@
 
 impl<E> Default for Log<E> {
     fn default() -> Self {
-        Self { next: 0, pending: BTreeMap::new(), stored: HashMap::new() }
+        Self { next_number: 0, pending: BTreeMap::new(), stored: HashMap::new() }
     }
 }
 
 impl<E: Entry> Log<E> {
     /// The next number to read or to put.
     #[must_use]
-    pub fn next(&self) -> u64 {
-        self.next
+    pub fn next_number(&self) -> u64 {
+        self.next_number
     }
 
     /// Entries that no batch is known to hold.
@@ -50,7 +50,7 @@
     /// ahead, when no batch before it can have any of the pending ones.
     #[must_use]
     pub fn starting_at(mut self, number: u64) -> Self {
-        self.next = number;
+        self.next_number = number;
         self
     }
 
@@ -64,31 +64,31 @@
     }
 
     /// Drops an entry that another writer has put in the log.
-    pub fn release(&mut self, id: &str) -> Option<E> {
+    pub fn remove(&mut self, id: &str) -> Option<E> {
         self.pending.remove(id)
     }
 
     /// The next batch, at most so many entries; none if nothing is pending.
     #[must_use]
-    pub fn batch(&self, max: usize) -> Option<(u64, Vec<E>)> {
+    pub fn next_batch(&self, max: usize) -> Option<(u64, Vec<E>)> {
         match self.pending.is_empty() {
             true => None,
-            false => Some((self.next, self.pending.values().take(max).cloned().collect())),
+            false => Some((self.next_number, self.pending.values().take(max).cloned().collect())),
         }
     }
 
     /// Takes in what stands at a number, whoever put it there. Returns the entries that were
     /// pending here until now. Other numbers than the next are ignored.
-    pub fn stands<'a>(
+    pub fn apply_batch<'a>(
         &mut self,
         number: u64,
         ids: impl IntoIterator<Item = &'a Name>,
         now: Millis,
     ) -> Vec<E> {
-        if number != self.next {
+        if number != self.next_number {
             return Vec::new();
         }
-        self.next += 1;
+        self.next_number += 1;
         let mut settled = Vec::new();
         for id in ids {
             settled.extend(self.pending.remove(id));
--- a/crates/coordination/src/deputy.rs
+++ b/crates/coordination/src/deputy.rs
@@ -2,7 +2,7 @@
 
 use policy::name::Name;
 
-use crate::message::{Append, Appended};
+use crate::message::{Append, AppendReply};
 use crate::records::Records;
 
 /// A shard as its deputy has it.
@@ -14,11 +14,11 @@
     pub owner: Name,
     /// Takes nothing more: it is about to take over. An owner that was only paused, and comes
     /// back, then gets no record acknowledged and so can grant nothing.
-    pub fenced: bool,
+    pub is_fenced: bool,
     /// What was recorded.
     pub records: Records,
     /// Number of the next record.
-    pub next: u64,
+    pub next_number: u64,
 }
 
 impl Deputy {
@@ -28,41 +28,41 @@
         Self {
             epoch: append.epoch,
             owner: append.owner.clone(),
-            fenced: false,
+            is_fenced: false,
             records: append.records.iter().collect(),
-            next: append.first,
+            next_number: append.first,
         }
     }
 
     /// Whether these records come from the owner that it knows.
     #[must_use]
-    pub fn serves(&self, append: &Append) -> bool {
+    pub fn is_from_owner(&self, append: &Append) -> bool {
         self.epoch == append.epoch && self.owner == append.owner
     }
 
     /// Records what its owner sent.
-    pub fn append(&mut self, append: &Append) -> Appended {
+    pub fn append(&mut self, append: &Append) -> AppendReply {
         match append {
             // A whole load that was delayed must not undo what was acknowledged after it.
-            whole if whole.whole && whole.first >= self.next => {
+            whole if whole.whole && whole.first >= self.next_number => {
                 *self = Self::new(whole);
-                Appended::Up { to: self.next }
+                AppendReply::Up { to: self.next_number }
             }
-            whole if whole.whole => Appended::Up { to: self.next },
-            ahead if ahead.first > self.next => Appended::Behind,
+            whole if whole.whole => AppendReply::Up { to: self.next_number },
+            ahead if ahead.first > self.next_number => AppendReply::Behind,
             append => {
                 self.extend(append);
-                Appended::Up { to: self.next }
+                AppendReply::Up { to: self.next_number }
             }
         }
     }
 
     /// Skips what a repeated message brings again.
     fn extend(&mut self, append: &Append) {
-        let known = usize::try_from(self.next - append.first).unwrap_or(usize::MAX);
+        let known = usize::try_from(self.next_number - append.first).unwrap_or(usize::MAX);
         for record in append.records.iter().skip(known) {
-            self.records.apply(record, self.next);
-            self.next += 1;
+            self.records.apply(record, self.next_number);
+            self.next_number += 1;
         }
     }
 }
--- a/crates/coordination/src/home.rs
+++ b/crates/coordination/src/home.rs
@@ -33,7 +33,7 @@
 impl Home {
     /// The key of its row in the platform's table, `DOMAIN/N`.
     #[must_use]
-    pub fn row(&self) -> String {
+    pub fn row_key(&self) -> String {
         format!("{}/{}", self.failure_domain, self.shard)
     }
 }
@@ -44,7 +44,7 @@
     /// A function of the key alone: whatever else a retry carries, it must meet the first try.
     #[must_use]
     pub fn home(&self, key: &str) -> Option<Home> {
-        let failure_domain = ranked(key, &self.failure_domains).into_iter().next()?;
+        let failure_domain = rank(key, &self.failure_domains).into_iter().next()?;
         let shard = score("shard", key) % u64::from(self.shards.max(1));
         Some(Home { failure_domain, shard: u32::try_from(shard).unwrap_or_default() })
     }
@@ -52,13 +52,13 @@
 
 /// The key of an account's idempotency key or session, in which accounts never meet.
 #[must_use]
-pub fn joined(account: &str, key: &str) -> Name {
+pub fn account_key(account: &str, key: &str) -> Name {
     Name::from(format!("{account}/{key}"))
 }
 
 /// Candidates for a place, the best first, in the same order on every host.
 #[must_use]
-pub fn ranked(place: &str, candidates: &[Name]) -> Vec<Name> {
+pub fn rank(place: &str, candidates: &[Name]) -> Vec<Name> {
     let mut ranked = candidates.to_vec();
     ranked.sort_by_cached_key(|name| (std::cmp::Reverse(score(name, place)), name.clone()));
     ranked
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -71,7 +71,7 @@
 
     /// What the deputy says.
     #[derive(Eq)]
-    pub enum Appended {
+    pub enum AppendReply {
         /// Recorded up to this number.
         Up {
             /// The next number expected.
--- a/crates/coordination/src/owner.rs
+++ b/crates/coordination/src/owner.rs
@@ -13,11 +13,11 @@
 pub const RECORDS_MAX: usize = 100_000;
 /// Longest time a key is remembered after its last use, in milliseconds. Also how long a shard
 /// that lost records refuses unknown keys: any of them may have been claimed.
-pub const KEEP_MS_MAX: u64 = 24 * 3_600_000;
+pub const RETENTION_MS_MAX: u64 = 24 * 3_600_000;
 
 /// Why a claim or pin can't be taken now. Nothing was recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum Refusal {
     /// After a cold takeover: the key may have been claimed in records that are lost.
     Closed {
         /// Until when.
@@ -53,23 +53,23 @@
     /// Until when unknown keys are refused.
     pub closed_until: Millis,
     /// Takes nothing new: it is being handed over.
-    pub leaving: bool,
+    pub is_leaving: bool,
     records: Records,
     /// Records not known to be safe, in order.
-    unsafe_yet: VecDeque<Record>,
+    unreplicated: VecDeque<Record>,
     /// Number of the first of them: all before it are safe.
-    safe_to: u64,
+    replicated_to: u64,
 }
 
 impl Owner {
     /// With records that are all safe. Their numbers are below `next`, which is at least 1, so
     /// that 0 can stand for any number of old.
     #[must_use]
-    pub fn new(epoch: u64, deputy: Name, records: Records, next: u64) -> Self {
+    pub fn new(epoch: u64, deputy: Name, records: Records, next_number: u64) -> Self {
         let closed_until = Millis(0);
-        let unsafe_yet = VecDeque::new();
-        let (leaving, safe_to) = (false, next.max(1));
-        Self { epoch, deputy, closed_until, leaving, records, unsafe_yet, safe_to }
+        let unreplicated = VecDeque::new();
+        let (is_leaving, replicated_to) = (false, next_number.max(1));
+        Self { epoch, deputy, closed_until, is_leaving, records, unreplicated, replicated_to }
     }
 
     /// Refuses unknown keys until a time.
@@ -81,14 +81,14 @@
 
     /// All records before this number are safe.
     #[must_use]
-    pub fn safe_to(&self) -> u64 {
-        self.safe_to
+    pub fn replicated_to(&self) -> u64 {
+        self.replicated_to
     }
 
     /// The number that the next record gets.
     #[must_use]
-    pub fn next(&self) -> u64 {
-        self.safe_to + self.unsafe_yet.len() as u64
+    pub fn next_number(&self) -> u64 {
+        self.replicated_to + self.unreplicated.len() as u64
     }
 
     /// The records.
@@ -105,17 +105,21 @@
         &mut self,
         key: &Name,
         request: &Name,
-        keep_ms: u64,
+        retention_ms: u64,
         now: Millis,
-    ) -> Result<(), Refused> {
-        match self.records.claimed(key, now) {
-            Some(claimed) if !claimed.abandoned || claimed.request == *request => return Ok(()),
-            Some(_) if self.leaving => return Err(Refused::Leaving),
+    ) -> Result<(), Refusal> {
+        match self.records.find_claim(key, now) {
+            Some(claim) if !claim.is_abandoned || claim.request == *request => return Ok(()),
+            Some(_) if self.is_leaving => return Err(Refusal::Leaving),
             Some(_) => {}
             None => self.admit(now)?,
         }
         let (key, request) = (key.clone(), request.clone());
-        self.push(Record::Claim { key, request, forget_at: now + keep_ms.min(KEEP_MS_MAX) });
+        self.push(Record::Claim {
+            key,
+            request,
+            forget_at: now + retention_ms.min(RETENTION_MS_MAX),
+        });
         Ok(())
     }
 
@@ -124,12 +128,12 @@
     /// Looked up afresh at each call: the claim may have been abandoned while it was waiting.
     #[must_use]
     pub fn verdict(&self, key: &str, request: &str, now: Millis) -> Option<Verdict> {
-        match self.records.claimed(key, now) {
-            Some(claimed) if claimed.number >= self.safe_to => None,
-            Some(claimed) if &*claimed.request != request => {
-                Some(Verdict::Taken { request: claimed.request.clone() })
+        match self.records.find_claim(key, now) {
+            Some(claim) if claim.number >= self.replicated_to => None,
+            Some(claim) if &*claim.request != request => {
+                Some(Verdict::Taken { request: claim.request.clone() })
             }
-            Some(claimed) if claimed.abandoned => Some(Verdict::Vacant),
+            Some(claim) if claim.is_abandoned => Some(Verdict::Vacant),
             Some(_) => Some(Verdict::Granted),
             None => Some(Verdict::Vacant),
         }
@@ -143,14 +147,14 @@
     /// takeover.
     ///
     /// # Errors
-    /// [`Refused::Leaving`] during a hand-over: the next owner is to be asked.
-    pub fn abandon(&mut self, key: &Name, request: &Name, now: Millis) -> Result<(), Refused> {
-        match self.records.claimed(key, now) {
-            Some(claimed) if claimed.request == *request && !claimed.abandoned => {}
+    /// [`Refusal::Leaving`] during a hand-over: the next owner is to be asked.
+    pub fn abandon(&mut self, key: &Name, request: &Name, now: Millis) -> Result<(), Refusal> {
+        match self.records.find_claim(key, now) {
+            Some(claim) if claim.request == *request && !claim.is_abandoned => {}
             _ => return Ok(()),
         }
-        if self.leaving {
-            return Err(Refused::Leaving);
+        if self.is_leaving {
+            return Err(Refusal::Leaving);
         }
         let (key, request) = (key.clone(), request.clone());
         self.push(Record::Abandon { key, request });
@@ -168,98 +172,99 @@
         &mut self,
         key: &Name,
         version: &Name,
-        keep_ms: u64,
+        retention_ms: u64,
         now: Millis,
-    ) -> Result<(), Refused> {
-        let keep_ms = keep_ms.min(KEEP_MS_MAX);
-        let version = match self.records.pinned(key, now) {
-            Some(pinned) if self.leaving || pinned.forget_at.since(now) > keep_ms / 2 => {
+    ) -> Result<(), Refusal> {
+        let retention_ms = retention_ms.min(RETENTION_MS_MAX);
+        let version = match self.records.find_pin(key, now) {
+            Some(pin) if self.is_leaving || pin.forget_at.since(now) > retention_ms / 2 => {
                 return Ok(());
             }
-            Some(pinned) => pinned.version.clone(),
+            Some(pin) => pin.version.clone(),
             None => {
                 self.admit(now)?;
                 version.clone()
             }
         };
-        self.push(Record::Pin { key: key.clone(), version, forget_at: now + keep_ms });
+        self.push(Record::Pin { key: key.clone(), version, forget_at: now + retention_ms });
         Ok(())
     }
 
     /// A session's version; none while the record that says so is not safe.
     #[must_use]
     pub fn version(&self, key: &str, now: Millis) -> Option<Name> {
-        let pinned = self.records.pinned(key, now)?;
-        (pinned.number < self.safe_to).then(|| pinned.version.clone())
+        let pin = self.records.find_pin(key, now)?;
+        (pin.number < self.replicated_to).then(|| pin.version.clone())
     }
 
-    fn admit(&mut self, now: Millis) -> Result<(), Refused> {
-        if self.leaving {
-            return Err(Refused::Leaving);
+    fn admit(&mut self, now: Millis) -> Result<(), Refusal> {
+        if self.is_leaving {
+            return Err(Refusal::Leaving);
         }
         if now < self.closed_until {
-            return Err(Refused::Closed { until: self.closed_until });
+            return Err(Refusal::Closed { until: self.closed_until });
         }
         if self.records.len() >= RECORDS_MAX {
-            self.records.forget(now);
+            self.records.remove_expired(now);
         }
         match self.records.len() {
-            full if full >= RECORDS_MAX => Err(Refused::Full),
+            full if full >= RECORDS_MAX => Err(Refusal::Full),
             _ => Ok(()),
         }
     }
 
     fn push(&mut self, record: Record) {
-        self.records.apply(&record, self.next());
-        self.unsafe_yet.push_back(record);
+        self.records.apply(&record, self.next_number());
+        self.unreplicated.push_back(record);
     }
 
     /// The records that are not safe yet, a bounded number of them, for the deputy.
     #[must_use]
-    pub fn unsafe_records(&self, home: &Home, owner: &Name, max: usize) -> Option<Append> {
-        match self.unsafe_yet.is_empty() {
+    pub fn unreplicated_records(&self, home: &Home, owner: &Name, max: usize) -> Option<Append> {
+        match self.unreplicated.is_empty() {
             true => None,
             false => Some(Append {
                 home: home.clone(),
                 epoch: self.epoch,
                 owner: owner.clone(),
-                first: self.safe_to,
-                records: self.unsafe_yet.iter().take(max).cloned().collect(),
+                first: self.replicated_to,
+                records: self.unreplicated.iter().take(max).cloned().collect(),
                 whole: false,
             }),
         }
     }
 
     /// All before a number are safe.
-    pub fn saved(&mut self, to: u64) {
-        let count = usize::try_from(to.saturating_sub(self.safe_to)).unwrap_or(usize::MAX);
-        let count = count.min(self.unsafe_yet.len());
-        self.unsafe_yet.drain(..count);
-        self.safe_to += count as u64;
+    pub fn mark_replicated(&mut self, number: u64) {
+        let count =
+            usize::try_from(number.saturating_sub(self.replicated_to)).unwrap_or(usize::MAX);
+        let count = count.min(self.unreplicated.len());
+        self.unreplicated.drain(..count);
+        self.replicated_to += count as u64;
     }
 
     /// Another deputy, loaded up to a number, under the next epoch.
-    pub fn moved(&mut self, epoch: u64, deputy: Name, loaded_to: u64) {
+    pub fn set_deputy(&mut self, epoch: u64, deputy: Name, replicated_to: u64) {
         self.epoch = epoch;
         self.deputy = deputy;
-        self.saved(loaded_to);
+        self.mark_replicated(replicated_to);
     }
 
     /// Whether the deputy has all.
     #[must_use]
-    pub fn is_safe(&self) -> bool {
-        self.unsafe_yet.is_empty()
+    pub fn is_replicated(&self) -> bool {
+        self.unreplicated.is_empty()
     }
 
     /// Its records, and the number of the next.
     #[must_use]
     pub fn into_records(self) -> (Records, u64) {
-        let next = self.next();
-        (self.records, next)
+        let next_number = self.next_number();
+        (self.records, next_number)
     }
 
     /// Drops records whose time is over.
-    pub fn forget(&mut self, now: Millis) {
-        self.records.forget(now);
+    pub fn remove_expired(&mut self, now: Millis) {
+        self.records.remove_expired(now);
     }
 }
--- a/crates/coordination/src/records.rs
+++ b/crates/coordination/src/records.rs
@@ -9,7 +9,7 @@
 
 /// Who holds a key.
 #[derive(Clone, Debug)]
-pub struct Claimed {
+pub struct Claim {
     /// The request.
     pub request: Name,
     /// When it may be forgotten.
@@ -18,12 +18,12 @@
     pub number: u64,
     /// The request never ran and never will: another may take the key. Kept rather than removed,
     /// so that a delayed duplicate of the abandoned claim doesn't take it again.
-    pub abandoned: bool,
+    pub is_abandoned: bool,
 }
 
 /// A session's version.
 #[derive(Clone, Debug)]
-pub struct Pinned {
+pub struct Pin {
     /// The version.
     pub version: Name,
     /// When it may be forgotten.
@@ -35,8 +35,8 @@
 /// All records of one shard.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    claims: HashMap<Name, Claimed>,
-    pins: HashMap<Name, Pinned>,
+    claims: HashMap<Name, Claim>,
+    pins: HashMap<Name, Pin>,
 }
 
 impl Records {
@@ -54,54 +54,54 @@
 
     /// Who holds a key, unless its time is over.
     #[must_use]
-    pub fn claimed(&self, key: &str, now: Millis) -> Option<&Claimed> {
-        self.claims.get(key).filter(|claimed| claimed.forget_at > now)
+    pub fn find_claim(&self, key: &str, now: Millis) -> Option<&Claim> {
+        self.claims.get(key).filter(|claim| claim.forget_at > now)
     }
 
     /// A session's version, unless its time is over.
     #[must_use]
-    pub fn pinned(&self, key: &str, now: Millis) -> Option<&Pinned> {
-        self.pins.get(key).filter(|pinned| pinned.forget_at > now)
+    pub fn find_pin(&self, key: &str, now: Millis) -> Option<&Pin> {
+        self.pins.get(key).filter(|pin| pin.forget_at > now)
     }
 
     /// Takes in one record.
     pub fn apply(&mut self, record: &Record, number: u64) {
         match record.clone() {
             Record::Claim { key, request, forget_at } => {
-                let claimed = Claimed { request, forget_at, number, abandoned: false };
-                self.claims.insert(key, claimed);
+                let claim = Claim { request, forget_at, number, is_abandoned: false };
+                self.claims.insert(key, claim);
             }
             Record::Abandon { key, request } => match self.claims.get_mut(&key) {
-                Some(claimed) if claimed.request == request => {
-                    claimed.abandoned = true;
-                    claimed.number = number;
+                Some(claim) if claim.request == request => {
+                    claim.is_abandoned = true;
+                    claim.number = number;
                 }
                 _ => {}
             },
             Record::Pin { key, version, forget_at } => {
-                self.pins.insert(key, Pinned { version, forget_at, number });
+                self.pins.insert(key, Pin { version, forget_at, number });
             }
         }
     }
 
     /// Drops those whose time is over.
-    pub fn forget(&mut self, now: Millis) {
-        self.claims.retain(|_, claimed| claimed.forget_at > now);
-        self.pins.retain(|_, pinned| pinned.forget_at > now);
+    pub fn remove_expired(&mut self, now: Millis) {
+        self.claims.retain(|_, claim| claim.forget_at > now);
+        self.pins.retain(|_, pin| pin.forget_at > now);
     }
 
     /// Records that build the same, in no particular order but for each key.
     #[must_use]
     pub fn dump(&self) -> Vec<Record> {
         let mut records = Vec::with_capacity(self.len());
-        for (key, Claimed { request, forget_at, abandoned, .. }) in &self.claims {
+        for (key, Claim { request, forget_at, is_abandoned, .. }) in &self.claims {
             let (key, request, forget_at) = (key.clone(), request.clone(), *forget_at);
             records.push(Record::Claim { key: key.clone(), request: request.clone(), forget_at });
-            if *abandoned {
+            if *is_abandoned {
                 records.push(Record::Abandon { key, request });
             }
         }
-        for (key, Pinned { version, forget_at, .. }) in &self.pins {
+        for (key, Pin { version, forget_at, .. }) in &self.pins {
             let (key, version) = (key.clone(), version.clone());
             records.push(Record::Pin { key, version, forget_at: *forget_at });
         }
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -8,7 +8,7 @@
 
 use crate::deputy::Deputy;
 use crate::home::Home;
-use crate::message::{Append, Appended, Holder};
+use crate::message::{Append, AppendReply, Holder};
 use crate::owner::Owner;
 
 /// Which half of the shard is here.
@@ -40,7 +40,7 @@
     /// Which half.
     pub role: Role,
     /// Highest epoch it had a part in.
-    seen: u64,
+    highest_epoch: u64,
 }
 
 impl Shard {
@@ -53,23 +53,25 @@
     }
 
     /// Takes records from an owner.
-    pub fn receive(&mut self, append: &Append) -> Appended {
+    pub fn receive(&mut self, append: &Append) -> AppendReply {
         match &mut self.role {
             // A live owner gives way only to the row, never to another's claim.
-            Role::Owner(owner) => Appended::Fenced { epoch: owner.epoch },
+            Role::Owner(owner) => AppendReply::Fenced { epoch: owner.epoch },
             // About to be owner. A load by another that prepares the same epoch would take away the
             // records it is about to serve.
-            Role::Deputy(deputy) if deputy.fenced => Appended::Fenced { epoch: deputy.epoch },
-            Role::Deputy(deputy) if deputy.serves(append) => deputy.append(append),
+            Role::Deputy(deputy) if deputy.is_fenced => AppendReply::Fenced { epoch: deputy.epoch },
+            Role::Deputy(deputy) if deputy.is_from_owner(append) => deputy.append(append),
             // Two owners can prepare the same epoch, and only one swap succeeds. The first load
             // keeps its place; the other owner learns so and picks another deputy.
-            _ if append.epoch <= self.seen => Appended::Fenced { epoch: self.seen },
+            _ if append.epoch <= self.highest_epoch => {
+                AppendReply::Fenced { epoch: self.highest_epoch }
+            }
             _ if append.whole => {
-                self.seen = append.epoch;
+                self.highest_epoch = append.epoch;
                 self.role = Role::Deputy(Box::new(Deputy::new(append)));
-                Appended::Up { to: append.first }
+                AppendReply::Up { to: append.first }
             }
-            _ => Appended::Behind,
+            _ => AppendReply::Behind,
         }
     }
 
@@ -78,7 +80,7 @@
     pub fn fence(&mut self, row: &Holder) -> bool {
         match &mut self.role {
             Role::Deputy(deputy) if deputy.epoch == row.epoch && deputy.owner == row.owner => {
-                deputy.fenced = true;
+                deputy.is_fenced = true;
                 true
             }
             _ => false,
@@ -89,16 +91,16 @@
     /// never will.
     pub fn unfence(&mut self) {
         if let Role::Deputy(deputy) = &mut self.role {
-            deputy.fenced = false;
+            deputy.is_fenced = false;
         }
     }
 
     /// All records, as a first load for a deputy under the next epoch.
     #[must_use]
-    pub fn whole(&self, home: &Home, me: &Name) -> Option<Append> {
+    pub fn full_load(&self, home: &Home, me: &Name) -> Option<Append> {
         let (epoch, first, records) = match &self.role {
-            Role::Owner(owner) => (owner.epoch, owner.next(), owner.records().dump()),
-            Role::Deputy(deputy) => (deputy.epoch, deputy.next, deputy.records.dump()),
+            Role::Owner(owner) => (owner.epoch, owner.next_number(), owner.records().dump()),
+            Role::Deputy(deputy) => (deputy.epoch, deputy.next_number, deputy.records.dump()),
             Role::Idle => return None,
         };
         let (home, epoch, owner) = (home.clone(), epoch + 1, me.clone());
@@ -106,13 +108,13 @@
     }
 
     /// Becomes owner under a row's epoch; only after the row was read or swapped so.
-    pub fn own(&mut self, owner: Owner) {
-        self.seen = self.seen.max(owner.epoch);
+    pub fn become_owner(&mut self, owner: Owner) {
+        self.highest_epoch = self.highest_epoch.max(owner.epoch);
         self.role = Role::Owner(Box::new(owner));
     }
 
     /// Takes in what the row says.
-    pub fn observe(&mut self, me: &Name, row: &Holder) -> Transition {
+    pub fn apply_row(&mut self, me: &Name, row: &Holder) -> Transition {
         match &self.role {
             Role::Owner(owner) if row.epoch > owner.epoch && row.owner != *me => self.drop_role(),
             Role::Deputy(deputy) if row.epoch == deputy.epoch + 1 && row.owner == *me => {
@@ -131,11 +133,11 @@
     pub fn hand_over(&mut self, epoch: u64, to: Name) {
         match std::mem::take(&mut self.role) {
             // A record that the next owner does not have would shift the numbers of all after it.
-            Role::Owner(owner) if !owner.is_safe() => {}
+            Role::Owner(owner) if !owner.is_replicated() => {}
             Role::Owner(owner) => {
-                let (records, next) = owner.into_records();
-                let deputy = Deputy { epoch, owner: to, fenced: false, records, next };
-                self.seen = epoch;
+                let (records, next_number) = owner.into_records();
+                let deputy = Deputy { epoch, owner: to, is_fenced: false, records, next_number };
+                self.highest_epoch = epoch;
                 self.role = Role::Deputy(Box::new(deputy));
             }
             role => self.role = role,
@@ -154,8 +156,8 @@
             return Transition::Unchanged;
         };
         let closed_until = policy::time::Millis(row.closed_until_ms);
-        let owner = Owner::new(row.epoch, row.deputy.clone(), deputy.records, deputy.next);
-        self.own(owner.closed_until(closed_until));
+        let owner = Owner::new(row.epoch, row.deputy.clone(), deputy.records, deputy.next_number);
+        self.become_owner(owner.closed_until(closed_until));
         Transition::Promoted
     }
 }
--- a/crates/coordination/tests/batch.rs
+++ b/crates/coordination/tests/batch.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use coordination::batch::{Entry, Log};
-use model::Dice;
+use model::Rng;
 use policy::name::Name;
 use policy::time::Millis;
 
@@ -21,27 +21,27 @@
     }
 }
 
-type Batch = (u64, Vec<Name>);
+type NumberedBatch = (u64, Vec<Name>);
 
 /// The object store with puts on their way, and the writers of one log.
 #[derive(Default)]
-struct World {
+struct Simulation {
     store: BTreeMap<u64, Vec<Name>>,
-    late: Vec<Batch>,
+    delayed: Vec<NumberedBatch>,
     writers: Vec<Log<Item>>,
     /// Whether the writer knows its next number to be free.
     at_end: Vec<bool>,
     added: Vec<Name>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let writers = (0..WRITERS).map(|_| Log::default()).collect();
         Self { writers, at_end: vec![false; WRITERS], ..Self::default() }
     }
 
     /// Put if absent; true if it took effect.
-    fn effect(&mut self, (number, ids): Batch) -> bool {
+    fn put_if_absent(&mut self, (number, ids): NumberedBatch) -> bool {
         let absent = !self.store.contains_key(&number);
         if absent {
             self.store.insert(number, ids);
@@ -49,16 +49,16 @@
         absent
     }
 
-    fn add(&mut self, dice: &mut Dice) {
-        let id = Name::from(format!("r{}", dice.below(40)));
+    fn add(&mut self, rng: &mut Rng) {
+        let id = Name::from(format!("r{}", rng.below(40)));
         if !self.added.contains(&id) {
             self.added.push(id.clone());
             // Two hold it, or all; a retry may bring it to any of them again later.
-            for writer in 0..2 + dice.below(WRITERS - 1) {
+            for writer in 0..2 + rng.below(WRITERS - 1) {
                 self.hold(writer, &id);
             }
         } else {
-            self.hold(dice.below(WRITERS), &id);
+            self.hold(rng.below(WRITERS), &id);
         }
     }
 
@@ -68,46 +68,46 @@
     }
 
     /// The writer reads its next number, or puts there.
-    fn write(&mut self, writer: usize, dice: &mut Dice) {
-        let number = self.writers[writer].next();
+    fn write(&mut self, writer: usize, rng: &mut Rng) {
+        let number = self.writers[writer].next_number();
         if !self.at_end[writer] {
             match self.store.get(&number) {
-                Some(ids) => _ = self.writers[writer].stands(number, &ids.clone(), NOW),
+                Some(ids) => _ = self.writers[writer].apply_batch(number, &ids.clone(), NOW),
                 None => self.at_end[writer] = true,
             }
             return;
         }
-        let Some((number, items)) = self.writers[writer].batch(3) else { return };
+        let Some((number, items)) = self.writers[writer].next_batch(3) else { return };
         let ids: Vec<_> = items.iter().map(|item| item.0.clone()).collect();
         let batch = (number, ids.clone());
         self.at_end[writer] = false;
-        match dice.below(4) {
+        match rng.below(4) {
             // The answer is lost before the effect, or the effect comes later.
-            0 => self.late.push(batch),
+            0 => self.delayed.push(batch),
             // The answer is lost after the effect.
-            1 => _ = self.effect(batch),
-            _ if self.effect(batch) => {
+            1 => _ = self.put_if_absent(batch),
+            _ if self.put_if_absent(batch) => {
                 self.at_end[writer] = true;
-                self.writers[writer].stands(number, &ids, NOW);
+                self.writers[writer].apply_batch(number, &ids, NOW);
             }
             _ => {}
         }
     }
 
-    fn step(&mut self, dice: &mut Dice) {
-        match dice.below(10) {
-            0 | 1 => self.add(dice),
-            2 if !self.late.is_empty() => {
-                let index = dice.below(self.late.len());
-                let batch = self.late.swap_remove(index);
-                self.effect(batch);
+    fn step(&mut self, rng: &mut Rng) {
+        match rng.below(10) {
+            0 | 1 => self.add(rng),
+            2 if !self.delayed.is_empty() => {
+                let index = rng.below(self.delayed.len());
+                let batch = self.delayed.swap_remove(index);
+                self.put_if_absent(batch);
             }
             // One writer of the three is lost with its memory and starts anew.
-            3 if dice.once_in(8) => {
+            3 if rng.once_in(8) => {
                 self.writers[2] = Log::default();
                 self.at_end[2] = false;
             }
-            _ => self.write(dice.below(WRITERS), dice),
+            _ => self.write(rng.below(WRITERS), rng),
         }
     }
 
@@ -126,28 +126,29 @@
 }
 
 fn run(seed: u64) {
-    let mut dice = Dice::new(seed);
-    let mut world = World::new();
+    let mut rng = Rng::new(seed);
+    let mut simulation = Simulation::new();
     for _ in 0..250 {
-        world.step(&mut dice);
-        world.check();
+        simulation.step(&mut rng);
+        simulation.check();
     }
     // With no more faults all writers come to an end, and everything is stored.
-    world.late.clear();
+    simulation.delayed.clear();
     for _ in 0..300 {
-        let writer = dice.below(WRITERS);
-        let number = world.writers[writer].next();
-        match world.store.get(&number).cloned() {
-            Some(ids) => _ = world.writers[writer].stands(number, &ids, NOW),
+        let writer = rng.below(WRITERS);
+        let number = simulation.writers[writer].next_number();
+        match simulation.store.get(&number).cloned() {
+            Some(ids) => _ = simulation.writers[writer].apply_batch(number, &ids, NOW),
             None => {
-                if let Some((number, items)) = world.writers[writer].batch(3) {
-                    world.effect((number, items.into_iter().map(|item| item.0).collect()));
+                if let Some((number, items)) = simulation.writers[writer].next_batch(3) {
+                    simulation
+                        .put_if_absent((number, items.into_iter().map(|item| item.0).collect()));
                 }
             }
         }
     }
-    world.check();
-    assert!(world.writers.iter().all(|writer| writer.pending().is_empty()));
+    simulation.check();
+    assert!(simulation.writers.iter().all(|writer| writer.pending().is_empty()));
 }
 
 /// A caller's bill would be taken twice, or never: an entry host sends it to several controls
@@ -169,12 +170,12 @@
         assert!(paused.add(Item(Name::from(id))));
         assert!(holder.add(Item(Name::from(id))));
     }
-    let (number, tail) = holder.batch(10).expect("two pending");
+    let (number, tail) = holder.next_batch(10).expect("two pending");
     let ids: Vec<_> = tail.into_iter().map(|item| item.0).collect();
-    holder.stands(number, &ids, NOW);
+    holder.apply_batch(number, &ids, NOW);
     assert!(paused.add(Item(Name::from("c"))));
-    assert_eq!(paused.stands(0, &ids, NOW).len(), 2);
-    let (number, rest) = paused.batch(10).expect("one pending");
+    assert_eq!(paused.apply_batch(0, &ids, NOW).len(), 2);
+    let (number, rest) = paused.next_batch(10).expect("one pending");
     assert_eq!((number, rest.len(), rest[0].id().as_str()), (1, 1, "c"));
     assert!(!paused.add(Item(Name::from("a"))), "a retry of a stored bill is no new bill");
 }
@@ -183,11 +184,11 @@
 fn log_forgets() {
     let mut log = Log::default().starting_at(7);
     assert!(log.add(Item(Name::from("a"))));
-    log.stands(7, &[Name::from("a")], Millis(5));
-    assert_eq!(log.next(), 8);
+    log.apply_batch(7, &[Name::from("a")], Millis(5));
+    assert_eq!(log.next_number(), 8);
     log.forget(Millis(6));
     assert!(log.add(Item(Name::from("a"))));
     // Whoever takes it for old goes back and finds it.
     let mut log = log.starting_at(7);
-    assert_eq!(log.stands(7, &[Name::from("a")], Millis(9)).len(), 1);
+    assert_eq!(log.apply_batch(7, &[Name::from("a")], Millis(9)).len(), 1);
 }
--- a/crates/coordination/tests/deputy.rs
+++ b/crates/coordination/tests/deputy.rs
@@ -1,7 +1,7 @@
 //! What a deputy, and a control asked to be one, takes and refuses.
 
 use coordination::home::Home;
-use coordination::message::{Append, Appended, Holder, Record};
+use coordination::message::{Append, AppendReply, Holder, Record};
 use coordination::owner::Owner;
 use coordination::records::Records;
 use coordination::shard::{Shard, Transition};
@@ -25,13 +25,13 @@
 fn receive_late_load() {
     let mut shard = Shard::default();
     let load = append("one", 1, 1, &["a"], true);
-    assert_eq!(shard.receive(&load), Appended::Up { to: 1 });
-    assert_eq!(shard.receive(&append("one", 1, 1, &["b"], false)), Appended::Up { to: 2 });
-    assert_eq!(shard.receive(&load), Appended::Up { to: 2 });
+    assert_eq!(shard.receive(&load), AppendReply::Up { to: 1 });
+    assert_eq!(shard.receive(&append("one", 1, 1, &["b"], false)), AppendReply::Up { to: 2 });
+    assert_eq!(shard.receive(&load), AppendReply::Up { to: 2 });
     let row = Holder { epoch: 2, owner: Name::from("me"), ..Holder::default() };
-    assert_eq!(shard.observe(&Name::from("me"), &row), Transition::Promoted);
+    assert_eq!(shard.apply_row(&Name::from("me"), &row), Transition::Promoted);
     let owner = shard.owner().expect("promoted");
-    assert!(owner.records().claimed("b", Millis(1)).is_some());
+    assert!(owner.records().find_claim("b", Millis(1)).is_some());
 }
 
 /// Two owners, one of them paused since long, prepare the same epoch with the same deputy. The
@@ -39,27 +39,27 @@
 #[test]
 fn receive_second_load_of_an_epoch() {
     let mut shard = Shard::default();
-    assert_eq!(shard.receive(&append("one", 2, 5, &["a"], true)), Appended::Up { to: 5 });
-    assert_eq!(shard.receive(&append("two", 2, 9, &[], true)), Appended::Fenced { epoch: 2 });
-    assert_eq!(shard.receive(&append("two", 1, 9, &[], true)), Appended::Fenced { epoch: 2 });
-    assert_eq!(shard.receive(&append("one", 2, 5, &["b"], false)), Appended::Up { to: 6 });
-    assert_eq!(shard.receive(&append("one", 2, 8, &["c"], false)), Appended::Behind);
+    assert_eq!(shard.receive(&append("one", 2, 5, &["a"], true)), AppendReply::Up { to: 5 });
+    assert_eq!(shard.receive(&append("two", 2, 9, &[], true)), AppendReply::Fenced { epoch: 2 });
+    assert_eq!(shard.receive(&append("two", 1, 9, &[], true)), AppendReply::Fenced { epoch: 2 });
+    assert_eq!(shard.receive(&append("one", 2, 5, &["b"], false)), AppendReply::Up { to: 6 });
+    assert_eq!(shard.receive(&append("one", 2, 8, &["c"], false)), AppendReply::Behind);
     // A repeated message brings nothing new.
-    assert_eq!(shard.receive(&append("one", 2, 5, &["b"], false)), Appended::Up { to: 6 });
+    assert_eq!(shard.receive(&append("one", 2, 5, &["b"], false)), AppendReply::Up { to: 6 });
 }
 
 /// A control that owns a shard by the row gives it up to no one's word.
 #[test]
 fn receive_as_live_owner() {
     let mut shard = Shard::default();
-    shard.own(Owner::new(3, Name::from("other"), Records::default(), 1));
-    assert_eq!(shard.receive(&append("other", 4, 1, &[], true)), Appended::Fenced { epoch: 3 });
+    shard.become_owner(Owner::new(3, Name::from("other"), Records::default(), 1));
+    assert_eq!(shard.receive(&append("other", 4, 1, &[], true)), AppendReply::Fenced { epoch: 3 });
     assert!(shard.owner().is_some());
     let row = Holder { epoch: 4, owner: Name::from("other"), ..Holder::default() };
-    assert_eq!(shard.observe(&Name::from("me"), &row), Transition::Dropped);
+    assert_eq!(shard.apply_row(&Name::from("me"), &row), Transition::Dropped);
     assert!(shard.owner().is_none());
     // What was prepared under an epoch that is over is not taken any more.
-    assert_eq!(shard.receive(&append("two", 3, 1, &[], true)), Appended::Fenced { epoch: 3 });
+    assert_eq!(shard.receive(&append("two", 3, 1, &[], true)), AppendReply::Fenced { epoch: 3 });
 }
 
 /// A fenced deputy takes nothing until it is certain that its swap never takes effect.
@@ -72,9 +72,9 @@
     let row = Holder { owner: Name::from("one"), ..other };
     assert!(shard.fence(&row));
     let late = append("one", 1, 1, &["a"], false);
-    assert_eq!(shard.receive(&late), Appended::Fenced { epoch: 1 });
+    assert_eq!(shard.receive(&late), AppendReply::Fenced { epoch: 1 });
     let load = append("two", 2, 1, &[], true);
-    assert_eq!(shard.receive(&load), Appended::Fenced { epoch: 1 });
+    assert_eq!(shard.receive(&load), AppendReply::Fenced { epoch: 1 });
     shard.unfence();
-    assert_eq!(shard.receive(&late), Appended::Up { to: 2 });
+    assert_eq!(shard.receive(&late), AppendReply::Up { to: 2 });
 }
--- a/crates/coordination/tests/model/mod.rs
+++ b/crates/coordination/tests/model/mod.rs
@@ -1,9 +1,9 @@
 //! Pieces that the state-machine tests share.
 
 /// Steps decided by a seed: the same seed gives the same run on every machine.
-pub struct Dice(u64);
+pub struct Rng(u64);
 
-impl Dice {
+impl Rng {
     /// Seeded.
     pub fn new(seed: u64) -> Self {
         Self(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5851_f42d_4c95_7f2d)
--- a/crates/coordination/tests/owner.rs
+++ b/crates/coordination/tests/owner.rs
@@ -1,12 +1,12 @@
 //! What an owner answers, and when.
 
-use coordination::home::{Home, Layout, joined, ranked};
-use coordination::owner::{Owner, Refused, Verdict};
+use coordination::home::{Home, Layout, account_key, rank};
+use coordination::owner::{Owner, Refusal, Verdict};
 use coordination::records::Records;
 use policy::name::Name;
 use policy::time::Millis;
 
-const KEEP_MS: u64 = 1_000;
+const RETENTION_MS: u64 = 1_000;
 const NOW: Millis = Millis(10);
 
 fn name(text: &str) -> Name {
@@ -17,8 +17,8 @@
     Owner::new(1, name("deputy"), Records::default(), 1)
 }
 
-fn claim(owner: &mut Owner, request: &str, now: Millis) -> Result<(), Refused> {
-    owner.claim(&name("k"), &name(request), KEEP_MS, now)
+fn claim(owner: &mut Owner, request: &str, now: Millis) -> Result<(), Refusal> {
+    owner.claim(&name("k"), &name(request), RETENTION_MS, now)
 }
 
 #[test]
@@ -28,7 +28,7 @@
     assert_eq!(claim(&mut owner, "two", NOW), Ok(()));
     assert_eq!(owner.verdict("k", "one", NOW), None);
     assert_eq!(owner.verdict("k", "two", NOW), None);
-    owner.saved(2);
+    owner.mark_replicated(2);
     assert_eq!(owner.verdict("k", "one", NOW), Some(Verdict::Granted));
     assert_eq!(owner.verdict("k", "two", NOW), Some(Verdict::Taken { request: name("one") }));
 }
@@ -40,13 +40,13 @@
     let mut owner = owner();
     assert_eq!(claim(&mut owner, "one", NOW), Ok(()));
     assert_eq!(owner.abandon(&name("k"), &name("two"), NOW), Ok(()));
-    owner.saved(2);
+    owner.mark_replicated(2);
     assert_eq!(owner.verdict("k", "one", NOW), Some(Verdict::Granted));
     assert_eq!(owner.abandon(&name("k"), &name("one"), NOW), Ok(()));
     assert_eq!(owner.verdict("k", "one", NOW), None);
     assert_eq!(claim(&mut owner, "one", NOW), Ok(()));
     assert_eq!(claim(&mut owner, "two", NOW), Ok(()));
-    owner.saved(owner.next());
+    owner.mark_replicated(owner.next_number());
     assert_eq!(owner.verdict("k", "two", NOW), Some(Verdict::Granted));
     assert_eq!(owner.verdict("k", "one", NOW), Some(Verdict::Taken { request: name("two") }));
 }
@@ -55,9 +55,9 @@
 fn claim_after_its_time() {
     let mut owner = owner();
     assert_eq!(claim(&mut owner, "one", NOW), Ok(()));
-    let later = NOW + KEEP_MS;
+    let later = NOW + RETENTION_MS;
     assert_eq!(claim(&mut owner, "two", later), Ok(()));
-    owner.saved(owner.next());
+    owner.mark_replicated(owner.next_number());
     assert_eq!(owner.verdict("k", "two", later), Some(Verdict::Granted));
 }
 
@@ -67,29 +67,29 @@
 fn claim_while_closed() {
     let mut first = owner();
     assert_eq!(claim(&mut first, "one", NOW), Ok(()));
-    let (records, next) = first.into_records();
+    let (records, next_number) = first.into_records();
     let until = Millis(500);
-    let mut owner = Owner::new(2, name("deputy"), records, next).closed_until(until);
+    let mut owner = Owner::new(2, name("deputy"), records, next_number).closed_until(until);
     assert_eq!(claim(&mut owner, "two", NOW), Ok(()));
     assert_eq!(owner.verdict("k", "two", NOW), Some(Verdict::Taken { request: name("one") }));
-    let other = owner.claim(&name("other"), &name("two"), KEEP_MS, NOW);
-    assert_eq!(other, Err(Refused::Closed { until }));
-    assert_eq!(owner.claim(&name("other"), &name("two"), KEEP_MS, until), Ok(()));
+    let other = owner.claim(&name("other"), &name("two"), RETENTION_MS, NOW);
+    assert_eq!(other, Err(Refusal::Closed { until }));
+    assert_eq!(owner.claim(&name("other"), &name("two"), RETENTION_MS, until), Ok(()));
 }
 
 #[test]
 fn pin_keeps_the_first_version() {
     let mut owner = owner();
-    assert_eq!(owner.pin(&name("s"), &name("v1"), KEEP_MS, NOW), Ok(()));
+    assert_eq!(owner.pin(&name("s"), &name("v1"), RETENTION_MS, NOW), Ok(()));
     assert_eq!(owner.version("s", NOW), None, "not safe yet");
-    owner.saved(2);
-    assert_eq!(owner.pin(&name("s"), &name("v2"), KEEP_MS, NOW), Ok(()));
-    assert_eq!(owner.next(), 2, "an early use costs no record");
-    let later = NOW + KEEP_MS / 2 + 1;
-    assert_eq!(owner.pin(&name("s"), &name("v2"), KEEP_MS, later), Ok(()));
-    assert_eq!(owner.next(), 3, "a late use prolongs it");
-    owner.saved(3);
-    assert_eq!(owner.version("s", NOW + KEEP_MS), Some(name("v1")));
+    owner.mark_replicated(2);
+    assert_eq!(owner.pin(&name("s"), &name("v2"), RETENTION_MS, NOW), Ok(()));
+    assert_eq!(owner.next_number(), 2, "an early use costs no record");
+    let later = NOW + RETENTION_MS / 2 + 1;
+    assert_eq!(owner.pin(&name("s"), &name("v2"), RETENTION_MS, later), Ok(()));
+    assert_eq!(owner.next_number(), 3, "a late use prolongs it");
+    owner.mark_replicated(3);
+    assert_eq!(owner.version("s", NOW + RETENTION_MS), Some(name("v1")));
 }
 
 /// A retry must find the first try's home, whatever the order of names in someone's list.
@@ -100,7 +100,7 @@
     let other = Layout { failure_domains: failure_domains.into_iter().rev().collect(), shards: 16 };
     let mut homes = std::collections::BTreeMap::<Home, u32>::new();
     for index in 0..6_400 {
-        let key = joined("account", &index.to_string());
+        let key = account_key("account", &index.to_string());
         let home = layout.home(&key).expect("there are failure domains");
         assert_eq!(other.home(&key), Some(home.clone()));
         *homes.entry(home).or_default() += 1;
@@ -115,9 +115,9 @@
     let hosts: Vec<_> = ["h1", "h2", "h3", "h4"].map(name).to_vec();
     for shard in 0..64 {
         let place = format!("a/{shard}");
-        let before = ranked(&place, &hosts);
+        let before = rank(&place, &hosts);
         let lost = before[3].clone();
         let left: Vec<_> = hosts.iter().filter(|host| **host != lost).cloned().collect();
-        assert_eq!(ranked(&place, &left), before[..3]);
+        assert_eq!(rank(&place, &left), before[..3]);
     }
 }
--- a/crates/coordination/tests/shard.rs
+++ b/crates/coordination/tests/shard.rs
@@ -5,16 +5,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use coordination::home::Home;
-use coordination::message::{Append, Appended, Holder};
-use coordination::owner::{Owner, Refused, Verdict};
+use coordination::message::{Append, AppendReply, Holder};
+use coordination::owner::{Owner, Refusal, Verdict};
 use coordination::records::Records;
 use coordination::shard::{Role, Shard};
-use model::Dice;
+use model::Rng;
 use policy::name::Name;
 use policy::time::Millis;
 
 const NOW: Millis = Millis(1_000);
-const KEEP_MS: u64 = 60_000;
+const RETENTION_MS: u64 = 60_000;
 const CONTROLS: usize = 3;
 
 /// A change of hands under way: deputy loaded, then the row swapped.
@@ -40,12 +40,12 @@
     /// To a deputy.
     Append(Name, Append),
     /// Back to an owner, with the epoch it was for.
-    Appended(Name, Name, u64, Appended),
+    AppendReply(Name, Name, u64, AppendReply),
     /// To the platform, from a control.
     Swap(Name, u64, Holder),
 }
 
-struct World {
+struct Simulation {
     controls: Vec<Control>,
     row: (u64, Holder),
     messages: Vec<Message>,
@@ -53,14 +53,14 @@
     waiting: BTreeSet<(Name, Name, Name)>,
     granted: BTreeMap<Name, Name>,
     abandoned: BTreeSet<Name>,
-    serial: u64,
+    last_serial: u64,
 }
 
 fn home() -> Home {
     Home { failure_domain: Name::from("a"), shard: 0 }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let mut controls = Vec::new();
         for index in 0..CONTROLS {
@@ -70,7 +70,7 @@
         let (owner, deputy) = (controls[0].name.clone(), controls[1].name.clone());
         let row =
             Holder { epoch: 1, owner: owner.clone(), deputy: deputy.clone(), closed_until_ms: 0 };
-        controls[0].shard.own(Owner::new(1, deputy, Records::default(), 1));
+        controls[0].shard.become_owner(Owner::new(1, deputy, Records::default(), 1));
         let records = Vec::new();
         controls[1].shard.receive(&Append {
             home: home(),
@@ -82,32 +82,34 @@
         });
         let (messages, waiting) = (Vec::new(), BTreeSet::new());
         let (granted, abandoned) = (BTreeMap::new(), BTreeSet::new());
-        Self { controls, row: (1, row), messages, waiting, granted, abandoned, serial: 0 }
+        Self { controls, row: (1, row), messages, waiting, granted, abandoned, last_serial: 0 }
     }
 
     fn find(&mut self, name: &Name) -> Option<&mut Control> {
         self.controls.iter_mut().find(|control| control.name == *name)
     }
 
-    fn claim(&mut self, index: usize, dice: &mut Dice) {
-        let key = Name::from(format!("k{}", dice.below(4)));
+    fn claim(&mut self, index: usize, rng: &mut Rng) {
+        let key = Name::from(format!("k{}", rng.below(4)));
         // A new request, or one that asks again, perhaps elsewhere.
-        let serial = match dice.once_in(3) {
-            true => self.serial.saturating_sub(dice.below(3) as u64),
-            false => self.serial + 1,
+        let serial = match rng.once_in(3) {
+            true => self.last_serial.saturating_sub(rng.below(3) as u64),
+            false => self.last_serial + 1,
         };
-        self.serial = self.serial.max(serial);
+        self.last_serial = self.last_serial.max(serial);
         let request = Name::from(format!("{key}.{serial}"));
         let control = &mut self.controls[index];
         let Some(owner) = control.shard.owner() else { return };
-        if owner.claim(&key, &request, KEEP_MS, NOW).is_ok() && !self.abandoned.contains(&request) {
+        if owner.claim(&key, &request, RETENTION_MS, NOW).is_ok()
+            && !self.abandoned.contains(&request)
+        {
             self.waiting.insert((control.name.clone(), key, request));
         }
     }
 
     /// An entry host gives up on a request that it has no grant for. One that was granted is on
     /// its way to a backend server, even if its claim was sent twice and one answer is still out.
-    fn abandon(&mut self, index: usize, dice: &mut Dice) {
+    fn abandon(&mut self, index: usize, rng: &mut Rng) {
         let granted = &self.granted;
         let open: Vec<_> = self
             .waiting
@@ -118,7 +120,7 @@
         if open.is_empty() {
             return;
         }
-        let (_, key, request) = open[dice.below(open.len())].clone();
+        let (_, key, request) = open[rng.below(open.len())].clone();
         self.waiting.retain(|(_, _, other)| *other != request);
         self.abandoned.insert(request.clone());
         if let Some(owner) = self.controls[index].shard.owner() {
@@ -135,16 +137,16 @@
         let name = control.name.clone();
         let Some(owner) = control.shard.owner() else { return };
         let deputy = owner.deputy.clone();
-        if let Some(append) = owner.unsafe_records(&home(), &name, 2) {
+        if let Some(append) = owner.unreplicated_records(&home(), &name, 2) {
             self.messages.push(Message::Append(deputy, append));
         }
     }
 
     /// Owner: another deputy, or a hand-over. Deputy: takeover, fenced first.
-    fn begin(&mut self, index: usize, dice: &mut Dice) {
+    fn begin(&mut self, index: usize, rng: &mut Rng) {
         let row = self.row.clone();
-        let to = self.controls[dice.below(CONTROLS)].name.clone();
-        let hand_over = dice.once_in(4);
+        let to = self.controls[rng.below(CONTROLS)].name.clone();
+        let hand_over = rng.once_in(4);
         let control = &mut self.controls[index];
         let me = control.name.clone();
         if control.change.is_some() || to == me {
@@ -152,11 +154,11 @@
         }
         let fits = match &mut control.shard.role {
             Role::Owner(owner) if owner.epoch != row.1.epoch => false,
-            Role::Owner(owner) if hand_over && owner.is_safe() => {
-                owner.leaving = true;
+            Role::Owner(owner) if hand_over && owner.is_replicated() => {
+                owner.is_leaving = true;
                 let (epoch, owner, deputy) = (row.1.epoch + 1, row.1.deputy.clone(), me.clone());
                 let swap = Holder { epoch, owner, deputy, closed_until_ms: 0 };
-                let whole = control.shard.whole(&home(), &me).expect("it has a role");
+                let whole = control.shard.full_load(&home(), &me).expect("it has a role");
                 control.change = Some(Change {
                     whole,
                     row: row.clone(),
@@ -171,7 +173,7 @@
             Role::Deputy(_) => row.1.deputy == me && control.shard.fence(&row.1),
             Role::Idle => false,
         };
-        if let Some(whole) = control.shard.whole(&home(), &me).filter(|_| fits) {
+        if let Some(whole) = control.shard.full_load(&home(), &me).filter(|_| fits) {
             self.messages.push(Message::Append(to.clone(), whole.clone()));
             control.change = Some(Change { whole, row, to, loaded: false, swap: None });
         }
@@ -179,11 +181,11 @@
 
     /// Goes on with a change: swaps once the deputy is loaded, again if no answer came; or gives
     /// it up while no swap was sent.
-    fn proceed(&mut self, index: usize, dice: &mut Dice) {
+    fn proceed(&mut self, index: usize, rng: &mut Rng) {
         let control = &mut self.controls[index];
         let Some(change) = &mut control.change else { return };
         if !change.loaded {
-            if dice.once_in(3) {
+            if rng.once_in(3) {
                 control.change = None;
                 control.shard.unfence();
             } else {
@@ -214,25 +216,25 @@
         let me = control.name.clone();
         match &mut control.shard.role {
             Role::Owner(owner) if done && holder.owner == me => {
-                owner.moved(holder.epoch, holder.deputy, change.whole.first);
+                owner.set_deputy(holder.epoch, holder.deputy, change.whole.first);
             }
             Role::Owner(_) if done => control.shard.hand_over(holder.epoch, holder.owner),
             Role::Owner(owner) => {
-                owner.leaving = false;
-                control.shard.observe(&me, &row.1);
+                owner.is_leaving = false;
+                control.shard.apply_row(&me, &row.1);
             }
-            _ => _ = control.shard.observe(&me, &row.1),
+            _ => _ = control.shard.apply_row(&me, &row.1),
         }
     }
 
-    fn deliver(&mut self, message: Message, dice: &mut Dice) {
+    fn deliver(&mut self, message: Message, rng: &mut Rng) {
         match message {
             Message::Append(to, append) => {
                 let Some(control) = self.find(&to) else { return };
                 let appended = control.shard.receive(&append);
-                self.messages.push(Message::Appended(append.owner, to, append.epoch, appended));
+                self.messages.push(Message::AppendReply(append.owner, to, append.epoch, appended));
             }
-            Message::Appended(to, from, epoch, Appended::Up { to: number }) => {
+            Message::AppendReply(to, from, epoch, AppendReply::Up { to: number }) => {
                 let Some(control) = self.find(&to) else { return };
                 match &mut control.change {
                     Some(change) if change.whole.epoch == epoch && change.to == from => {
@@ -241,44 +243,44 @@
                     _ => {}
                 }
                 match control.shard.owner() {
-                    Some(owner) if owner.epoch == epoch => owner.saved(number),
+                    Some(owner) if owner.epoch == epoch => owner.mark_replicated(number),
                     _ => {}
                 }
             }
-            Message::Appended(..) => {}
+            Message::AppendReply(..) => {}
             Message::Swap(from, version, holder) => {
-                self.swap(&from, version, holder, !dice.once_in(3));
+                self.swap(&from, version, holder, !rng.once_in(3));
             }
         }
     }
 
-    fn step(&mut self, dice: &mut Dice) {
-        let index = dice.below(CONTROLS);
-        match dice.below(16) {
-            0..=2 => self.claim(index, dice),
+    fn step(&mut self, rng: &mut Rng) {
+        let index = rng.below(CONTROLS);
+        match rng.below(16) {
+            0..=2 => self.claim(index, rng),
             3 | 4 => self.save(index),
-            5 if dice.once_in(3) => self.begin(index, dice),
-            6 => self.proceed(index, dice),
+            5 if rng.once_in(3) => self.begin(index, rng),
+            6 => self.proceed(index, rng),
             7 if self.controls[index].change.is_none() => {
                 let (me, row) = (self.controls[index].name.clone(), self.row.1.clone());
-                self.controls[index].shard.observe(&me, &row);
+                self.controls[index].shard.apply_row(&me, &row);
             }
-            8 if dice.once_in(3) => self.abandon(index, dice),
-            9 if dice.once_in(30) => {
-                self.serial += 1;
-                let name = Name::from(format!("c{index}.{}", self.serial));
+            8 if rng.once_in(3) => self.abandon(index, rng),
+            9 if rng.once_in(30) => {
+                self.last_serial += 1;
+                let name = Name::from(format!("c{index}.{}", self.last_serial));
                 self.controls[index] = Control { name, ..Control::default() };
             }
             _ if self.messages.is_empty() => {}
             _ => {
-                let at = dice.below(self.messages.len());
-                let message = match dice.below(6) {
+                let at = rng.below(self.messages.len());
+                let message = match rng.below(6) {
                     // Delivered and kept, to come again later.
                     0 => self.messages[at].clone(),
                     _ => self.messages.swap_remove(at),
                 };
-                if !dice.once_in(8) {
-                    self.deliver(message, dice);
+                if !rng.once_in(8) {
+                    self.deliver(message, rng);
                 }
             }
         }
@@ -286,16 +288,16 @@
 
     /// No key has two requests that were told that it is theirs.
     fn check(&mut self) {
-        let mut told = Vec::new();
+        let mut newly_granted = Vec::new();
         for (name, key, request) in &self.waiting {
             let control = self.controls.iter_mut().find(|control| control.name == *name);
             let owner = control.and_then(|control| control.shard.owner());
             let verdict = owner.and_then(|owner| owner.verdict(key, request, NOW));
             if verdict == Some(Verdict::Granted) {
-                told.push((key.clone(), request.clone()));
+                newly_granted.push((key.clone(), request.clone()));
             }
         }
-        for (key, request) in told {
+        for (key, request) in newly_granted {
             let first = self.granted.entry(key.clone()).or_insert_with(|| request.clone());
             assert_eq!(*first, request, "key {key} was granted twice");
             self.waiting.retain(|(_, _, other)| *other != request);
@@ -304,13 +306,13 @@
 }
 
 fn run(seed: u64) -> usize {
-    let mut dice = Dice::new(seed);
-    let mut world = World::new();
+    let mut rng = Rng::new(seed);
+    let mut simulation = Simulation::new();
     for _ in 0..600 {
-        world.step(&mut dice);
-        world.check();
+        simulation.step(&mut rng);
+        simulation.check();
     }
-    world.granted.len() * 100 + usize::try_from(world.row.1.epoch).unwrap_or(0)
+    simulation.granted.len() * 100 + usize::try_from(simulation.row.1.epoch).unwrap_or(0)
 }
 
 /// A seed that failed: a request that had been granted was abandoned by its own repeated claim.
@@ -324,29 +326,29 @@
 /// one it knows, and after a takeover grant that key again, to a second request.
 #[test]
 fn shard_abandoned_while_handed_over() {
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     let (one, two, key) = (Name::from("c0.0"), Name::from("c1.0"), Name::from("k"));
     let (first, second) = (Name::from("k.1"), Name::from("k.2"));
-    let owner = world.controls[0].shard.owner().expect("the owner");
-    owner.claim(&key, &first, KEEP_MS, NOW).expect("a claim");
-    let append = owner.unsafe_records(&home(), &one, 8).expect("a record");
-    world.controls[1].shard.receive(&append);
-    let owner = world.controls[0].shard.owner().expect("the owner");
-    owner.saved(2);
-    owner.leaving = true;
-    assert_eq!(owner.abandon(&key, &first, NOW), Err(Refused::Leaving));
+    let owner = simulation.controls[0].shard.owner().expect("the owner");
+    owner.claim(&key, &first, RETENTION_MS, NOW).expect("a claim");
+    let append = owner.unreplicated_records(&home(), &one, 8).expect("a record");
+    simulation.controls[1].shard.receive(&append);
+    let owner = simulation.controls[0].shard.owner().expect("the owner");
+    owner.mark_replicated(2);
+    owner.is_leaving = true;
+    assert_eq!(owner.abandon(&key, &first, NOW), Err(Refusal::Leaving));
     let row = Holder { epoch: 2, owner: two.clone(), deputy: one, closed_until_ms: 0 };
-    world.controls[0].shard.hand_over(2, two.clone());
-    world.controls[1].shard.observe(&two, &row);
+    simulation.controls[0].shard.hand_over(2, two.clone());
+    simulation.controls[1].shard.apply_row(&two, &row);
 
     let other = Name::from("other");
-    let owner = world.controls[1].shard.owner().expect("the new owner");
-    owner.claim(&other, &second, KEEP_MS, NOW).expect("a claim");
-    let append = owner.unsafe_records(&home(), &two, 8).expect("a record");
-    assert_eq!(world.controls[0].shard.receive(&append), Appended::Up { to: 3 });
-    let Role::Deputy(deputy) = &world.controls[0].shard.role else { panic!("no deputy") };
-    let claimed = deputy.records.claimed(&other, NOW).map(|claimed| claimed.request.clone());
-    assert_eq!(claimed, Some(second));
+    let owner = simulation.controls[1].shard.owner().expect("the new owner");
+    owner.claim(&other, &second, RETENTION_MS, NOW).expect("a claim");
+    let append = owner.unreplicated_records(&home(), &two, 8).expect("a record");
+    assert_eq!(simulation.controls[0].shard.receive(&append), AppendReply::Up { to: 3 });
+    let Role::Deputy(deputy) = &simulation.controls[0].shard.role else { panic!("no deputy") };
+    let claim = deputy.records.find_claim(&other, NOW).map(|claim| claim.request.clone());
+    assert_eq!(claim, Some(second));
 }
 
 /// A caller's letter would be drafted twice: two requests of one key are both told that it is
--- a/crates/entry/tests/common/control.rs
+++ b/crates/entry/tests/common/control.rs
@@ -18,7 +18,7 @@
 use wire::gossip::{Delta, Digest};
 use wire::peer::Key;
 use wire::rpc::Control;
-use wire::shard::{Append, Appended, Holder, Home, Reply};
+use wire::shard::{Append, AppendReply, Holder, Home, Reply};
 use wire::view::{Ask, View};
 
 /// What it says of bills.
@@ -172,8 +172,8 @@
         wire::shard::Known::default()
     }
 
-    async fn append(self, _: Context, _: Append) -> Appended {
-        Appended::Behind
+    async fn append(self, _: Context, _: Append) -> AppendReply {
+        AppendReply::Behind
     }
 
     async fn hold(self, _: Context, _: Hold) -> bool {
--- a/crates/review/src/cause.rs
+++ b/crates/review/src/cause.rs
@@ -6,7 +6,7 @@
 
 /// A backend server's answer counts as later than expected from this much on, in milliseconds.
 /// Below it the difference is the step of an engine's batch.
-const UNEXPECTED_MS: u64 = 300;
+const UNEXPECTED_DELAY_MS: u64 = 300;
 
 domain! {
     /// What made an answer late; where several things did, the first of them in this order.
@@ -32,15 +32,15 @@
 
 /// Why a late answer was late.
 #[must_use]
-pub fn of(request: &Request) -> Cause {
-    let asked_on_purpose = 1 + u64::from(request.is_lifted);
-    let is_unexpected = request.head_ms > request.expected_ms + UNEXPECTED_MS;
+pub fn classify(request: &Request) -> Cause {
+    let intended_attempts = 1 + u64::from(request.is_lifted);
+    let is_longer_than_expected = request.head_ms > request.expected_ms + UNEXPECTED_DELAY_MS;
     match () {
         () if request.first_ms <= request.objective_ms => Cause::Pause,
-        () if request.sent > asked_on_purpose => Cause::SentAgain,
+        () if request.sent > intended_attempts => Cause::SentAgain,
         () if request.is_lifted && request.head_ms <= request.objective_ms => Cause::Lifted,
         () if request.unsent > 0 => Cause::Unsent,
-        () if is_unexpected => Cause::LongerThanExpected,
+        () if is_longer_than_expected => Cause::LongerThanExpected,
         () if request.expected_ms > request.objective_ms => Cause::ExpectedLate,
         () => Cause::Unsorted,
     }
--- a/crates/review/src/plot.rs
+++ b/crates/review/src/plot.rs
@@ -8,11 +8,11 @@
 use crate::report::{Group, Report};
 use crate::request::Outcome;
 
-const WIDTH: u32 = 720;
-const HEIGHT: u32 = 320;
+const WIDTH_PX: u32 = 720;
+const HEIGHT_PX: u32 = 320;
 const ORANGE: RGBColor = RGBColor(230, 140, 0);
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
 /// Shares of requests by time: late in orange, refused in blue, failed in red.
 ///
@@ -28,8 +28,8 @@
     };
     let end = report.spans.keys().last().map_or(1.0, |at| *at as f64 + 1.0);
     let lines = [(Outcome::Late, ORANGE), (Outcome::Refused, BLUE), (Outcome::Failed, RED)];
-    svg(|text| {
-        let root = SVGBackend::with_string(text, (WIDTH, HEIGHT)).into_drawing_area();
+    draw_svg(|text| {
+        let root = SVGBackend::with_string(text, (WIDTH_PX, HEIGHT_PX)).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .caption("late, refused and failed by time", ("sans-serif", 16).into_font())
@@ -54,8 +54,8 @@
     let points: Vec<(f64, f64)> =
         report.backends.values().map(|row| (row.expected_ms, row.real_ms)).collect();
     let top = points.iter().fold(1.0_f64, |top, (x, y)| top.max(*x).max(*y)) * 1.1;
-    svg(|text| {
-        let root = SVGBackend::with_string(text, (WIDTH, HEIGHT)).into_drawing_area();
+    draw_svg(|text| {
+        let root = SVGBackend::with_string(text, (WIDTH_PX, HEIGHT_PX)).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .caption("time to the head of an answer", ("sans-serif", 16).into_font())
@@ -71,7 +71,7 @@
     })
 }
 
-fn svg(draw: impl FnOnce(&mut String) -> Drawn) -> Result<String, String> {
+fn draw_svg(draw: impl FnOnce(&mut String) -> DrawResult) -> Result<String, String> {
     let mut text = String::new();
     draw(&mut text).map_err(|error| error.to_string())?;
     Ok(text)
--- a/crates/review/src/report.rs
+++ b/crates/review/src/report.rs
@@ -11,11 +11,11 @@
 use crate::request::{Outcome, Request};
 
 /// Upper bounds of the classes of prompts, in tokens; what is larger is a class of its own.
-const PROMPTS: [u64; 4] = [0, 1_000, 4_000, 16_000];
+const PROMPT_BOUNDS_TOKENS: [u64; 4] = [0, 1_000, 4_000, 16_000];
 /// Length of one span of time, in seconds.
 const SPAN_S: f64 = 5.0;
 /// An answer's head counts as late against what was expected from this much on, in milliseconds.
-const UNEXPECTED_MS: u64 = 300;
+const MUCH_LATER_MS: u64 = 300;
 
 domain! {
     /// Requests of one group.
@@ -70,7 +70,7 @@
         self.requests += 1;
         *self.outcomes.entry(request.outcome).or_default() += 1;
         if request.outcome == Outcome::Late {
-            *self.causes.entry(cause::of(request)).or_default() += 1;
+            *self.causes.entry(cause::classify(request)).or_default() += 1;
         }
     }
 
@@ -82,12 +82,12 @@
 impl Calibration {
     fn add(&mut self, request: &Request) {
         self.answers += 1;
-        let part = 1.0 / self.answers as f64;
+        let weight = 1.0 / self.answers as f64;
         let (expected, real) = (request.expected_ms as f64, request.head_ms as f64);
-        self.expected_ms += (expected - self.expected_ms) * part;
-        self.real_ms += (real - self.real_ms) * part;
-        self.off_ms += ((real - expected).abs() - self.off_ms) * part;
-        let is_much_later = request.head_ms > request.expected_ms + UNEXPECTED_MS;
+        self.expected_ms += (expected - self.expected_ms) * weight;
+        self.real_ms += (real - self.real_ms) * weight;
+        self.off_ms += ((real - expected).abs() - self.off_ms) * weight;
+        let is_much_later = request.head_ms > request.expected_ms + MUCH_LATER_MS;
         self.much_later += u64::from(is_much_later);
     }
 }
@@ -95,18 +95,18 @@
 impl Report {
     /// Of the logs of all hosts, in any order.
     #[must_use]
-    pub fn of(lines: &[Line]) -> Self {
+    pub fn from_lines(lines: &[Line]) -> Self {
         let requests: Vec<Request> = lines.iter().filter_map(Request::read).collect();
-        let began = requests.iter().map(|request| request.at).fold(f64::INFINITY, f64::min);
-        let domains = domains(lines);
+        let first_end = requests.iter().map(|request| request.at).fold(f64::INFINITY, f64::min);
+        let domains = domains_by_host(lines);
         let mut report = Self::default();
         for request in &requests {
             let domain = domains.get(&request.host).unwrap_or(&request.host).clone();
-            let span = ((request.at - began) / SPAN_S) as u64 * SPAN_S as u64;
+            let span = ((request.at - first_end) / SPAN_S) as u64 * SPAN_S as u64;
             report.all.add(request);
             report.routes.entry(request.route.clone()).or_default().add(request);
             report.failure_domains.entry(domain).or_default().add(request);
-            report.prompts.entry(prompt(request.prompt)).or_default().add(request);
+            report.prompts.entry(prompt_class(request.prompt)).or_default().add(request);
             report.spans.entry(span).or_default().add(request);
             // Without an expectation the request was never answered by a backend server.
             if request.head_ms > 0 && !request.backend.is_empty() {
@@ -121,41 +121,52 @@
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
-        groups(&mut text, "all requests", [(Name::from("all"), &self.all)]);
-        groups(&mut text, "by route", named(&self.routes));
-        groups(&mut text, "by failure domain", named(&self.failure_domains));
-        groups(&mut text, "by prompt, tokens", named(&self.prompts));
+        write_groups(&mut text, "all requests", [(Name::from("all"), &self.all)]);
+        write_groups(&mut text, "by route", named_groups(&self.routes));
+        write_groups(&mut text, "by failure domain", named_groups(&self.failure_domains));
+        write_groups(&mut text, "by prompt, tokens", named_groups(&self.prompts));
         let spans = self.spans.iter().map(|(at, group)| (Name::from(format!("{at:>6} s")), group));
-        groups(&mut text, "by time", spans);
-        calibrations(&mut text, "expected against real, by model", &self.models);
-        calibrations(&mut text, "expected against real, by backend server", &self.backends);
+        write_groups(&mut text, "by time", spans);
+        write_calibrations(&mut text, "expected against real, by model", &self.models);
+        write_calibrations(&mut text, "expected against real, by backend server", &self.backends);
         text
     }
 }
 
 /// The failure domain of each host, as its start tells.
-fn domains(lines: &[Line]) -> BTreeMap<Name, Name> {
+fn domains_by_host(lines: &[Line]) -> BTreeMap<Name, Name> {
     let started = lines.iter().filter(|line| line.text("event") == "started");
     let named = started.filter(|line| !line.text("domain").is_empty());
     named.map(|line| (Name::from(line.text("host")), Name::from(line.text("domain")))).collect()
 }
 
 /// The class of a prompt's length, named so that the classes sort by it.
-fn prompt(tokens: u64) -> Name {
-    let class = PROMPTS.iter().position(|bound| tokens <= *bound).unwrap_or(PROMPTS.len());
+fn prompt_class(tokens: u64) -> Name {
+    let class = PROMPT_BOUNDS_TOKENS
+        .iter()
+        .position(|bound| tokens <= *bound)
+        .unwrap_or(PROMPT_BOUNDS_TOKENS.len());
     let name = match class {
         0 => "none".to_owned(),
-        class if class == PROMPTS.len() => format!("{:>6} and more", PROMPTS[class - 1] + 1),
-        class => format!("{:>6} to {}", PROMPTS[class - 1] + 1, PROMPTS[class]),
+        class if class == PROMPT_BOUNDS_TOKENS.len() => {
+            format!("{:>6} and more", PROMPT_BOUNDS_TOKENS[class - 1] + 1)
+        }
+        class => {
+            format!("{:>6} to {}", PROMPT_BOUNDS_TOKENS[class - 1] + 1, PROMPT_BOUNDS_TOKENS[class])
+        }
     };
     Name::from(name)
 }
 
-fn named(groups: &BTreeMap<Name, Group>) -> impl Iterator<Item = (Name, &Group)> {
+fn named_groups(groups: &BTreeMap<Name, Group>) -> impl Iterator<Item = (Name, &Group)> {
     groups.iter().map(|(name, group)| (name.clone(), group))
 }
 
-fn groups<'a>(text: &mut String, title: &str, rows: impl IntoIterator<Item = (Name, &'a Group)>) {
+fn write_groups<'a>(
+    text: &mut String,
+    title: &str,
+    rows: impl IntoIterator<Item = (Name, &'a Group)>,
+) {
     // Writing to a string does not fail.
     let _ = writeln!(
         text,
@@ -181,7 +192,7 @@
     text.push('\n');
 }
 
-fn calibrations(text: &mut String, title: &str, rows: &BTreeMap<Name, Calibration>) {
+fn write_calibrations(text: &mut String, title: &str, rows: &BTreeMap<Name, Calibration>) {
     let _ = writeln!(
         text,
         "{title}, ms\n{:<24} {:>8} {:>9} {:>9} {:>9} {:>11}",
--- a/crates/review/src/request.rs
+++ b/crates/review/src/request.rs
@@ -6,7 +6,8 @@
 use crate::line::Line;
 
 /// Statuses that promise that a request has not run.
-const NOT_RUN: [&str; 4] = ["Refused(408)", "Refused(421)", "Refused(429)", "Refused(503)"];
+const NOT_RUN_OUTCOMES: [&str; 4] =
+    ["Refused(408)", "Refused(421)", "Refused(429)", "Refused(503)"];
 
 domain! {
     /// How a request ended for its caller.
@@ -92,7 +93,7 @@
             "Answered" if request.is_late() => Outcome::Late,
             "Answered" => Outcome::InTime,
             "CallerGone" => Outcome::CallerGone,
-            refused if NOT_RUN.contains(&refused) => Outcome::Refused,
+            refused if NOT_RUN_OUTCOMES.contains(&refused) => Outcome::Refused,
             _ => Outcome::Failed,
         };
         Some(request)
--- a/crates/review/tests/report.rs
+++ b/crates/review/tests/report.rs
@@ -59,7 +59,7 @@
     ] {
         let request = request(members.clone());
         assert_eq!(request.outcome, Outcome::Late, "{members}");
-        assert_eq!(cause::of(&request), expected, "{members}");
+        assert_eq!(cause::classify(&request), expected, "{members}");
     }
 }
 
@@ -75,7 +75,7 @@
         // Neither is a request that ended.
         Line::read(r#"{"event": "request refused", "host": "host-1"}"#).unwrap(),
     ];
-    let report = Report::of(&lines);
+    let report = Report::from_lines(&lines);
     assert_eq!(report.all.requests, 4);
     assert_eq!(report.all.outcomes[&Outcome::InTime], 2);
     assert_eq!(report.all.causes[&Cause::LongerThanExpected], 1);
@@ -94,7 +94,8 @@
 
 #[test]
 fn text_and_pictures_hold_the_figures() {
-    let report = Report::of(&[ended(json!({})), ended(json!({"first_ms": 700, "sent": 2}))]);
+    let report =
+        Report::from_lines(&[ended(json!({})), ended(json!({"first_ms": 700, "sent": 2}))]);
     let text = report.text();
     assert!(text.contains("SentAgain 1"), "{text}");
     for picture in [review::plot::outcomes(&report), review::plot::calibration(&report)] {
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -9,7 +9,7 @@
 use crate::claim::{Claim, ClaimAnswer, Pin, PinAnswer};
 use crate::evidence::Report;
 use crate::gossip::{Delta, Digest};
-use crate::shard::{Append, Appended, Home, Known, Reply};
+use crate::shard::{Append, AppendReply, Home, Known, Reply};
 use crate::view::{Ask, View};
 
 /// Served by each control.
@@ -40,7 +40,7 @@
     /// An abandoned claim for a shard that the asked one owns; true once recorded.
     async fn owner_abandon(home: Home, claim: Claim) -> Reply<bool>;
     /// Records for a shard that the asked one is deputy of.
-    async fn append(append: Append) -> Appended;
+    async fn append(append: Append) -> AppendReply;
     /// What the asked one knows of the table of shards, for who can't read it.
     async fn shards() -> Known;
     /// The row of a shard may name the asked one as owner now; also a sign of life.
--- a/crates/wire/src/shard.rs
+++ b/crates/wire/src/shard.rs
@@ -1,7 +1,7 @@
 //! What controls say to each other about shards.
 
 pub use coordination::home::{Home, Layout};
-pub use coordination::message::{Append, Appended, Holder, Record};
+pub use coordination::message::{Append, AppendReply, Holder, Record};
 use policy::domain;
 
 domain! {
