--- a/crates/coordination/src/deputy.rs
+++ b/crates/coordination/src/deputy.rs
@@ -44,11 +44,11 @@
     pub fn append(&mut self, append: &Append) -> AppendReply {
         match append {
             // A delayed full load must not undo records that were acknowledged after it was sent.
-            whole if whole.whole && whole.first >= self.next_number => {
-                *self = Self::new(whole);
+            load if load.whole && load.first >= self.next_number => {
+                *self = Self::new(load);
                 AppendReply::Up { to: self.next_number }
             }
-            whole if whole.whole => AppendReply::Up { to: self.next_number },
+            load if load.whole => AppendReply::Up { to: self.next_number },
             ahead if ahead.first > self.next_number => AppendReply::Behind,
             append => {
                 self.extend(append);
--- a/crates/coordination/src/owner.rs
+++ b/crates/coordination/src/owner.rs
@@ -213,7 +213,7 @@
             self.records.remove_expired(now);
         }
         match self.records.len() {
-            full if full >= RECORDS_MAX => Err(Refusal::Full),
+            count if count >= RECORDS_MAX => Err(Refusal::Full),
             _ => Ok(()),
         }
     }
--- a/crates/coordination/tests/batch.rs
+++ b/crates/coordination/tests/batch.rs
@@ -30,14 +30,14 @@
     delayed: Vec<NumberedBatch>,
     writers: Vec<Log<Item>>,
     /// For each writer, whether it read that the batch of its next number is absent.
-    at_end: Vec<bool>,
+    is_at_end: Vec<bool>,
     added: Vec<Name>,
 }
 
 impl Simulation {
     fn new() -> Self {
         let writers = (0..WRITERS).map(|_| Log::default()).collect();
-        Self { writers, at_end: vec![false; WRITERS], ..Self::default() }
+        Self { writers, is_at_end: vec![false; WRITERS], ..Self::default() }
     }
 
     /// Puts a batch unless its number is present. Returns whether the put took effect.
@@ -55,39 +55,39 @@
             self.added.push(id.clone());
             // Two or all writers get the entry; a retry may bring it to any of them again later.
             for writer in 0..2 + rng.below(WRITERS - 1) {
-                self.hold(writer, &id);
+                self.give(writer, &id);
             }
         } else {
-            self.hold(rng.below(WRITERS), &id);
+            self.give(rng.below(WRITERS), &id);
         }
     }
 
     /// Gives a writer an entry, which may be stored in batches that the writer has already read.
-    fn hold(&mut self, writer: usize, id: &Name) {
+    fn give(&mut self, writer: usize, id: &Name) {
         self.writers[writer].add(Item(id.clone()));
     }
 
     /// Lets a writer read the batch of its next number, or put that batch if it is absent.
     fn write(&mut self, writer: usize, rng: &mut Rng) {
         let number = self.writers[writer].next_number();
-        if !self.at_end[writer] {
+        if !self.is_at_end[writer] {
             match self.store.get(&number) {
                 Some(ids) => _ = self.writers[writer].apply_batch(number, &ids.clone(), NOW),
-                None => self.at_end[writer] = true,
+                None => self.is_at_end[writer] = true,
             }
             return;
         }
         let Some((number, items)) = self.writers[writer].next_batch(3) else { return };
         let ids: Vec<_> = items.iter().map(|item| item.0.clone()).collect();
         let batch = (number, ids.clone());
-        self.at_end[writer] = false;
+        self.is_at_end[writer] = false;
         match rng.below(4) {
             // The answer is lost, and the put takes effect later or never.
             0 => self.delayed.push(batch),
             // The put takes effect, and its answer is lost.
             1 => _ = self.put_if_absent(batch),
             _ if self.put_if_absent(batch) => {
-                self.at_end[writer] = true;
+                self.is_at_end[writer] = true;
                 self.writers[writer].apply_batch(number, &ids, NOW);
             }
             _ => {}
@@ -105,7 +105,7 @@
             // One of the three writers loses its memory and restarts.
             3 if rng.once_in(8) => {
                 self.writers[2] = Log::default();
-                self.at_end[2] = false;
+                self.is_at_end[2] = false;
             }
             _ => self.write(rng.below(WRITERS), rng),
         }
--- a/crates/coordination/tests/model/mod.rs
+++ b/crates/coordination/tests/model/mod.rs
@@ -4,7 +4,7 @@
 pub struct Rng(u64);
 
 impl Rng {
-    /// Creates a generator; any seed is fine, also 0 and neighbouring numbers.
+    /// Creates a generator. The seed is mixed, so that neighbouring seeds give unrelated numbers.
     pub fn new(seed: u64) -> Self {
         Self(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5851_f42d_4c95_7f2d)
     }
--- a/crates/coordination/tests/shard.rs
+++ b/crates/coordination/tests/shard.rs
@@ -22,10 +22,10 @@
 /// swapped.
 #[derive(Clone)]
 struct Change {
-    whole: Append,
+    load: Append,
     row: (u64, Holder),
     to: Name,
-    loaded: bool,
+    is_loaded: bool,
     /// New row, once it was sent to the platform. Only the platform's answer ends the change then.
     swap: Option<Holder>,
 }
@@ -131,7 +131,7 @@
     }
 
     /// Lets the owner send unreplicated records, unless a change of owner or deputy is in progress.
-    fn save(&mut self, index: usize) {
+    fn send_records(&mut self, index: usize) {
         let control = &mut self.controls[index];
         if control.change.is_some() {
             return;
@@ -146,7 +146,7 @@
 
     /// Begins a change: a new deputy or a hand-over if the control process is the owner, a takeover
     /// (which fences first) if it is the deputy.
-    fn begin(&mut self, index: usize, rng: &mut Rng) {
+    fn begin_change(&mut self, index: usize, rng: &mut Rng) {
         let row = self.row.clone();
         let to = self.controls[rng.below(CONTROLS)].name.clone();
         let hand_over = rng.once_in(4);
@@ -155,19 +155,19 @@
         if control.change.is_some() || to == me {
             return;
         }
-        let fits = match &mut control.shard.role {
+        let can_begin = match &mut control.shard.role {
             Role::Owner(owner) if owner.epoch != row.1.epoch => false,
             Role::Owner(owner) if hand_over && owner.is_replicated() => {
                 owner.is_leaving = true;
                 let (epoch, owner, deputy) = (row.1.epoch + 1, row.1.deputy.clone(), me.clone());
                 let swap = Holder { epoch, owner, deputy, closed_until_ms: 0 };
-                let whole =
+                let load =
                     control.shard.full_load(&home(), &me).expect("the control process has a role");
                 control.change = Some(Change {
-                    whole,
+                    load,
                     row: row.clone(),
                     to: me,
-                    loaded: true,
+                    is_loaded: true,
                     swap: Some(swap.clone()),
                 });
                 self.messages.push(Message::Swap(control.name.clone(), row.0, swap));
@@ -177,28 +177,28 @@
             Role::Deputy(_) => row.1.deputy == me && control.shard.fence(&row.1),
             Role::Idle => false,
         };
-        if let Some(whole) = control.shard.full_load(&home(), &me).filter(|_| fits) {
-            self.messages.push(Message::Append(to.clone(), whole.clone()));
-            control.change = Some(Change { whole, row, to, loaded: false, swap: None });
+        if let Some(load) = control.shard.full_load(&home(), &me).filter(|_| can_begin) {
+            self.messages.push(Message::Append(to.clone(), load.clone()));
+            control.change = Some(Change { load, row, to, is_loaded: false, swap: None });
         }
     }
 
     /// Continues a change. Until the new deputy is loaded, sends the load again or cancels the
     /// change; afterwards sends the swap, again if its answer was lost.
-    fn proceed(&mut self, index: usize, rng: &mut Rng) {
+    fn continue_change(&mut self, index: usize, rng: &mut Rng) {
         let control = &mut self.controls[index];
         let Some(change) = &mut control.change else { return };
-        if !change.loaded {
+        if !change.is_loaded {
             if rng.once_in(3) {
                 control.change = None;
                 control.shard.unfence();
             } else {
-                self.messages.push(Message::Append(change.to.clone(), change.whole.clone()));
+                self.messages.push(Message::Append(change.to.clone(), change.load.clone()));
             }
             return;
         }
         let swap = change.swap.get_or_insert_with(|| {
-            let (epoch, owner) = (change.whole.epoch, control.name.clone());
+            let (epoch, owner) = (change.load.epoch, control.name.clone());
             Holder { epoch, owner, deputy: change.to.clone(), closed_until_ms: 0 }
         });
         self.messages.push(Message::Swap(control.name.clone(), change.row.0, swap.clone()));
@@ -210,7 +210,7 @@
             self.row = (version + 1, holder.clone());
         }
         let row = self.row.clone();
-        let done = row.1 == holder;
+        let took_effect = row.1 == holder;
         let Some(control) = self.find(from) else { return };
         let Some(change) = control.change.clone() else { return };
         if !answered || change.swap != Some(holder.clone()) {
@@ -219,10 +219,10 @@
         control.change = None;
         let me = control.name.clone();
         match &mut control.shard.role {
-            Role::Owner(owner) if done && holder.owner == me => {
-                owner.set_deputy(holder.epoch, holder.deputy, change.whole.first);
+            Role::Owner(owner) if took_effect && holder.owner == me => {
+                owner.set_deputy(holder.epoch, holder.deputy, change.load.first);
             }
-            Role::Owner(_) if done => control.shard.hand_over(holder.epoch, holder.owner),
+            Role::Owner(_) if took_effect => control.shard.hand_over(holder.epoch, holder.owner),
             Role::Owner(owner) => {
                 owner.is_leaving = false;
                 control.shard.apply_row(&me, &row.1);
@@ -241,8 +241,8 @@
             Message::AppendReply(to, from, epoch, AppendReply::Up { to: number }) => {
                 let Some(control) = self.find(&to) else { return };
                 match &mut control.change {
-                    Some(change) if change.whole.epoch == epoch && change.to == from => {
-                        change.loaded |= number == change.whole.first;
+                    Some(change) if change.load.epoch == epoch && change.to == from => {
+                        change.is_loaded |= number == change.load.first;
                     }
                     _ => {}
                 }
@@ -262,9 +262,9 @@
         let index = rng.below(CONTROLS);
         match rng.below(16) {
             0..=2 => self.claim(index, rng),
-            3 | 4 => self.save(index),
-            5 if rng.once_in(3) => self.begin(index, rng),
-            6 => self.proceed(index, rng),
+            3 | 4 => self.send_records(index),
+            5 if rng.once_in(3) => self.begin_change(index, rng),
+            6 => self.continue_change(index, rng),
             7 if self.controls[index].change.is_none() => {
                 let (me, row) = (self.controls[index].name.clone(), self.row.1.clone());
                 self.controls[index].shard.apply_row(&me, &row);
--- a/crates/fuzz/src/lib.rs
+++ b/crates/fuzz/src/lib.rs
@@ -15,21 +15,22 @@
 /// Environment variable with the number of the input sequence; 0 if it is not set or not a number.
 pub const SEED_VARIABLE: &str = "CHESTNUTSPUR_FUZZ_SEED";
 /// Distance between the seeds of two sequences, so that neighbouring sequences don't overlap.
-const START_STRIDE: u64 = 1 << 32;
+const SEQUENCE_STRIDE: u64 = 1 << 32;
 
 /// Runs a test on the first `values` inputs of the sequence.
 ///
 /// # Panics
 /// When the test panics, with the same panic, after printing which input of which sequence failed.
 pub fn check<T: TypeGenerator>(values: u64, test: impl Fn(&T)) {
-    let start =
+    let sequence =
         std::env::var(SEED_VARIABLE).ok().and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
     for number in 0..values {
-        let rng = ChaCha8Rng::seed_from_u64(start.wrapping_mul(START_STRIDE).wrapping_add(number));
+        let rng =
+            ChaCha8Rng::seed_from_u64(sequence.wrapping_mul(SEQUENCE_STRIDE).wrapping_add(number));
         let mut driver = Rng::new(rng, &Options::default());
         let Some(value) = T::generate(&mut driver) else { continue };
         if let Err(panic) = catch_unwind(AssertUnwindSafe(|| test(&value))) {
-            eprintln!("fuzz: input {number} of sequence {start} fails");
+            eprintln!("fuzz: input {number} of sequence {sequence} fails");
             resume_unwind(panic);
         }
     }
--- a/crates/review/src/lib.rs
+++ b/crates/review/src/lib.rs
@@ -1,6 +1,6 @@
 //! Outcomes of requests, computed from nothing but the logs of `node`.
 //!
-//! [`line`] parses log lines, [`request`] makes a typed record of each request that ended,
+//! [`mod@line`] parses log lines, [`request`] makes a typed record of each request that ended,
 //! [`cause`] finds why an answer was late, [`report`] sums up and prints, and [`plot`] draws. No
 //! code here contacts a running process: logs of any time and of any hosts suffice, in any order.
 
