--- a/crates/review/src/plot.rs
+++ b/crates/review/src/plot.rs
@@ -1,4 +1,4 @@
-//! Pictures of a report, as SVG.
+//! Charts of a report, as SVG.
 
 use plotters::prelude::{
     BLACK, BLUE, ChartBuilder, Circle, IntoDrawingArea, IntoFont, LineSeries, RED, RGBColor,
@@ -8,16 +8,16 @@
 use crate::report::{Group, Report};
 use crate::request::Outcome;
 
-const WIDTH: u32 = 720;
-const HEIGHT: u32 = 320;
+const WIDTH_PX: u32 = 720;
+const HEIGHT_PX: u32 = 320;
 const ORANGE: RGBColor = RGBColor(230, 140, 0);
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// Shares of requests by time: late in orange, refused in blue, failed in red.
+/// Draws the shares of late (orange), refused (blue) and failed (red) requests over time.
 ///
 /// # Errors
-/// When the plotting library refuses; the message is its own.
+/// The plotting library's message, if it can't draw the chart.
 pub fn outcomes(report: &Report) -> Result<String, String> {
     let share = |group: &Group, outcome| {
         let count = group.outcomes.get(&outcome).copied().unwrap_or_default();
@@ -28,8 +28,8 @@
     };
     let end = report.spans.keys().last().map_or(1.0, |at| *at as f64 + 1.0);
     let lines = [(Outcome::Late, ORANGE), (Outcome::Refused, BLUE), (Outcome::Failed, RED)];
-    svg(|text| {
-        let root = SVGBackend::with_string(text, (WIDTH, HEIGHT)).into_drawing_area();
+    draw_svg(|text| {
+        let root = SVGBackend::with_string(text, (WIDTH_PX, HEIGHT_PX)).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .caption("late, refused and failed by time", ("sans-serif", 16).into_font())
@@ -46,16 +46,17 @@
     })
 }
 
-/// Expected against real time to the head of an answer, one point a backend server.
+/// Draws the mean time to the head of an answer, expected against real, with one point for each
+/// backend server. Points on the diagonal were estimated exactly.
 ///
 /// # Errors
-/// When the plotting library refuses; the message is its own.
+/// The plotting library's message, if it can't draw the chart.
 pub fn calibration(report: &Report) -> Result<String, String> {
     let points: Vec<(f64, f64)> =
         report.backends.values().map(|row| (row.expected_ms, row.real_ms)).collect();
     let top = points.iter().fold(1.0_f64, |top, (x, y)| top.max(*x).max(*y)) * 1.1;
-    svg(|text| {
-        let root = SVGBackend::with_string(text, (WIDTH, HEIGHT)).into_drawing_area();
+    draw_svg(|text| {
+        let root = SVGBackend::with_string(text, (WIDTH_PX, HEIGHT_PX)).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .caption("time to the head of an answer", ("sans-serif", 16).into_font())
@@ -71,7 +72,7 @@
     })
 }
 
-fn svg(draw: impl FnOnce(&mut String) -> Drawn) -> Result<String, String> {
+fn draw_svg(draw: impl FnOnce(&mut String) -> DrawResult) -> Result<String, String> {
     let mut text = String::new();
     draw(&mut text).map_err(|error| error.to_string())?;
     Ok(text)
--- a/crates/wire/src/rpc.rs
+++ b/crates/wire/src/rpc.rs
@@ -9,7 +9,7 @@
 use crate::claim::{Claim, ClaimAnswer, Pin, PinAnswer};
 use crate::evidence::Report;
 use crate::gossip::{Delta, Digest};
-use crate::shard::{Append, Appended, Home, Reply, ShardTable};
+use crate::shard::{Append, AppendReply, Home, Reply, ShardTable};
 use crate::view::{View, ViewRequest};
 
 /// The service that each control offers.
@@ -41,7 +41,7 @@
     /// Releases a claim of a shard that the called control owns; true once that is recorded.
     async fn owner_abandon(home: Home, claim: Claim) -> Reply<bool>;
     /// Adds records to a shard of which the called control is the deputy.
-    async fn append(append: Append) -> Appended;
+    async fn append(append: Append) -> AppendReply;
     /// Returns the table of shards as the called control last read it, for controls that can't read
     /// it from the platform.
     async fn shards() -> ShardTable;
