--- a/crates/chestnutspur/src/command.rs
+++ b/crates/chestnutspur/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line: one small module for each subcommand.
+//! The command line, with one module for each subcommand.
 
 mod apply;
 mod bills;
@@ -28,93 +28,95 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub enum Command {
-    /// Run the data plane of one entry host: callers in, backend servers out
+    /// Run the data plane of one entry host: relays callers' requests to backend servers
     ///
-    /// Prints one JSON line with the addresses it listens on, then logs on standard error until
-    /// SIGTERM, upon which it finishes the requests under way and exits 0.
+    /// Prints one JSON line with its listening addresses, then logs on standard error until SIGTERM.
+    /// Then it finishes the requests in flight and exits with code 0.
     #[bpaf(command)]
     Entry {
         /// JSON file with the process's settings
         #[bpaf(long, argument("FILE"))]
         settings: PathBuf,
     },
-    /// Run the controllers of one entry host: configuration, shards, bills, console
+    /// Run the controllers of one entry host: configuration, shards, bills and console
     ///
-    /// Prints one JSON line with the addresses it listens on, then logs on standard error until
-    /// SIGTERM, upon which it hands over what it holds and exits 0.
+    /// Prints one JSON line with its listening addresses, then logs on standard error until SIGTERM.
+    /// Then it hands its shards and bills over to other controls and exits with code 0.
     #[bpaf(command)]
     Control {
         /// JSON file with the process's settings
         #[bpaf(long, argument("FILE"))]
         settings: PathBuf,
     },
-    /// Run one entry host whole: routed requests, by what the platform's store says
+    /// Run a complete entry host that routes requests as the platform's store says
     ///
-    /// Logs JSON lines on standard output until SIGTERM, upon which it finishes the requests under
-    /// way and exits 0. Reads its settings again when the file changes, or on SIGHUP.
+    /// Logs JSON lines on standard output until SIGTERM. Then it finishes the requests in flight and
+    /// exits with code 0. Reloads its settings when the file changes or on SIGHUP.
     #[bpaf(command)]
     Node {
         /// JSON file with the process's settings
         #[bpaf(long, argument("FILE"), env("CHESTNUTSPUR_NODE_FILE"))]
         settings: PathBuf,
     },
-    /// Print a request's life from logs on standard input, in order
+    /// Print the history of one request, in order, from logs on standard input
     ///
-    /// Takes the JSON lines of `node`, of all hosts together and in any order; what stands before
-    /// a line's brace is passed over. Beside the request's own lines it prints what the hosts came
-    /// to believe meanwhile of the backend servers that it was sent to, of its service's roll-out,
-    /// and of the store. Exit code 1 if no line names the request.
+    /// Reads the JSON lines of `node`, from all hosts together and in any order; text before a line's
+    /// first brace is ignored. Beside the request's own lines it prints the changes that its hosts
+    /// logged meanwhile about the backend servers that received the request, about the roll-out of
+    /// its service and about the store. Exit code 1 if no line names the request.
     #[bpaf(command)]
     Explain {
-        /// The request's id
+        /// Id of the request
         #[bpaf(positional("REQUEST-ID"))]
         request: String,
     },
-    /// Check a settings file or a configuration document, whichever it is
+    /// Check a settings file, a configuration document or a routing table
     ///
-    /// Prints every fault with its path in the file; exit code 2 if there is one.
+    /// The file's members tell which of them it is. Prints every fault with its path in the file; exit
+    /// code 2 if there is any.
     #[bpaf(command)]
     Check {
-        /// The file
+        /// File to check
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Put a configuration document in force everywhere, or learn why not
+    /// Put a configuration document in force on all hosts, or print why it was refused
     #[bpaf(command)]
     Apply(#[bpaf(external(apply::arguments))] apply::Arguments),
-    /// Show the generation in force on every host, versions, quarantines and roll-outs
+    /// Show the generation in force on each host, the versions, quarantines and roll-outs
     #[bpaf(command)]
     Status(#[bpaf(external(status::arguments))] status::Arguments),
-    /// Count the bills in the object store: ids, doubles, gaps
+    /// Count the bills in the object store, and those that are duplicated or missing
     #[bpaf(command)]
     Bills(#[bpaf(external(status::arguments))] status::Arguments),
     /// Reports on a running deployment
     #[bpaf(command)]
     Report(#[bpaf(external(report::report))] report::Report),
-    /// A whole deployment on loopback with faults, and an audit of what came of it
+    /// Run a whole deployment on loopback with faults, and audit the results
     ///
-    /// Requests of mixed tasks to all entry hosts; half way the cheapest version turns bad, later
-    /// the platform is down for a while. The audit is made from the records of the stand-ins for
-    /// backend servers and platform. Exit code 1 if a number that must be 0 is not.
+    /// Sends requests of mixed tasks to all entry hosts. Half way through, the cheapest version turns
+    /// bad; later the platform is down for a while. The audit uses the records of the stand-ins for
+    /// backend servers and platform. Exit code 1 if a count that must be 0 is not.
     #[bpaf(command)]
     Demo(#[bpaf(external(demo::arguments))] demo::Arguments),
     /// Send requests at a steady rate to one or several targets and compare their latency
     ///
-    /// Open loop: requests are sent at their intended times whether or not earlier ones were
-    /// answered, and latency counts from the intended time.
+    /// The load is open-loop: each request is sent at its intended time, whether or not earlier ones
+    /// were answered, and its latency counts from the intended time.
     #[bpaf(command)]
     Load(#[bpaf(external(load::arguments))] load::Arguments),
-    /// Stand-ins for the platform and the backend servers, each its own process
+    /// Run a stand-in for the platform, a backend server or another part, as a process
     #[bpaf(command)]
     Standin(#[bpaf(external(standin::standin))] standin::Standin),
-    /// Play a fleet under overload in simulated time, and compare ways to decide
+    /// Simulate a fleet under overload, and compare decision policies
     ///
-    /// Every way of the scenario is played from every seed. Prints what became of requests, and how
-    /// many seconds after the cause's end all were served again, in the worst run. Exit code 2 if
-    /// the scenario has faults; each is printed with its path in the file.
+    /// Simulates each policy (way) of the scenario with each seed. Prints the outcomes of requests and,
+    /// for the worst run, how many seconds after the cause of the overload ended all requests were
+    /// served again. Exit code 2 if the scenario has faults; each is printed with its path in the
+    /// file.
     #[bpaf(command)]
     Experiment(#[bpaf(external(experiment::arguments))] experiment::Arguments),
-    /// Replay recorded traces and check their stated outcomes
+    /// Replay recorded traces and check the outcomes that they state
     #[bpaf(command)]
     Replay(#[bpaf(external(replay::arguments))] replay::Arguments),
     /// Print a generated trace
@@ -125,13 +127,13 @@
     Version,
 }
 
-/// The command line's parser.
+/// Returns the parser of the command line.
 #[must_use]
 pub fn options() -> bpaf::OptionParser<Command> {
     command()
 }
 
-/// Runs one subcommand to its end.
+/// Runs one subcommand until it finishes.
 pub fn run(command: Command) -> Exit {
     match command {
         Command::Entry { settings } => entry::run(&settings),
@@ -151,21 +153,21 @@
         Command::Trace(arguments) => trace::run(&arguments),
         Command::Version => {
             println!("chestnutspur {}", env!("CARGO_PKG_VERSION"));
-            Exit::Done
+            Exit::Success
         }
     }
 }
 
-/// Reads a file, or says on standard error why not.
-fn read(file: &Path) -> Option<String> {
+/// Reads a file, or prints on standard error why it can't be read.
+fn read_file(file: &Path) -> Option<String> {
     std::fs::read_to_string(file)
         .map_err(|error| eprintln!("chestnutspur: {}: {error}", file.display()))
         .ok()
 }
 
-/// Reads a settings file, or prints every fault found.
-fn load(file: &Path) -> Option<Settings> {
-    let text = read(file)?;
+/// Reads a settings file, or prints all its faults.
+fn load_settings(file: &Path) -> Option<Settings> {
+    let text = read_file(file)?;
     settings::parse(&text).map_err(|faults| print_faults(file, &faults)).ok()
 }
 
@@ -175,7 +177,7 @@
     }
 }
 
-/// Prints an answer's JSON as it is, or indented for people.
+/// Prints a response's JSON unchanged if `compact`, else indented. Other text is printed unchanged.
 fn print_json(body: &[u8], compact: bool) {
     let text = String::from_utf8_lossy(body);
     match serde_json::from_str::<serde_json::Value>(&text) {
--- a/crates/chestnutspur/src/command/apply.rs
+++ b/crates/chestnutspur/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur apply`.
+//! `chestnutspur apply`: sends a configuration document to a control.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,33 +7,33 @@
 use hyper::{Method, StatusCode};
 
 use crate::exit::Exit;
-use crate::http::{Answer, Call};
+use crate::http::{Call, Response};
 use crate::{command, process};
 
-/// What to send, and where
+/// Arguments of `apply`
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
-    /// A control's operators' address
+    /// Address of a control's operators' port
     #[bpaf(argument("ADDR"))]
     pub to: SocketAddr,
-    /// File that holds the operator's token; else the environment's CHESTNUTSPUR_TOKEN
+    /// File with the operator's token [default: the environment variable CHESTNUTSPUR_TOKEN]
     #[bpaf(argument("FILE"))]
     pub token_file: Option<PathBuf>,
-    /// Id of this change; the same id again is the same change, so an unanswered one can be sent
-    /// again [default: random]
+    /// Id of this change. A change is applied once however often it is sent with the same id, so an
+    /// unanswered one can be retried [default: random]
     #[bpaf(argument("ID"))]
     pub change: Option<String>,
-    /// Print the answer as one JSON line
+    /// Print the response as one JSON line
     pub json: bool,
-    /// The document; its generation is the one it was made from
+    /// Configuration document; its generation is that of the configuration that it was edited from
     #[bpaf(positional("FILE"))]
     pub file: PathBuf,
 }
 
-/// Sends the document and prints what became of it.
+/// Checks the document, sends it and prints the response.
 pub fn run(arguments: Arguments) -> Exit {
-    let Some(text) = command::read(&arguments.file) else { return Exit::Usage };
-    let Some(token) = token(&arguments) else { return Exit::Usage };
+    let Some(text) = command::read_file(&arguments.file) else { return Exit::Usage };
+    let Some(token) = read_token(&arguments) else { return Exit::Usage };
     if let Err(faults) = wire::configuration::check::parse(&text) {
         command::print_faults(&arguments.file, &faults);
         return Exit::Usage;
@@ -41,11 +41,11 @@
     process::block_on(send(arguments, text, token))
 }
 
-fn token(arguments: &Arguments) -> Option<String> {
+fn read_token(arguments: &Arguments) -> Option<String> {
     let token = match &arguments.token_file {
-        Some(file) => command::read(file)?,
+        Some(file) => command::read_file(file)?,
         None => std::env::var("CHESTNUTSPUR_TOKEN")
-            .map_err(|_| eprintln!("chestnutspur: no --token-file and no CHESTNUTSPUR_TOKEN"))
+            .map_err(|_| eprintln!("chestnutspur: the operator's token is missing: give --token-file or set CHESTNUTSPUR_TOKEN"))
             .ok()?,
     };
     Some(token.trim().to_owned())
@@ -64,14 +64,16 @@
         body: text.into(),
     };
     match call.send(arguments.to).await {
-        Ok(Answer { status, body }) => {
+        Ok(Response { status, body }) => {
             command::print_json(&body, arguments.json);
-            if status == StatusCode::OK { Exit::Done } else { Exit::Refused }
+            if status == StatusCode::OK { Exit::Success } else { Exit::Failure }
         }
         Err(error) => {
             eprintln!("chestnutspur: {error}");
-            eprintln!("chestnutspur: send it again with --change {change}: it is taken once");
-            Exit::Refused
+            eprintln!(
+                "chestnutspur: retry with --change {change}; the change is applied only once"
+            );
+            Exit::Failure
         }
     }
 }
--- a/crates/chestnutspur/src/command/check.rs
+++ b/crates/chestnutspur/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur check`.
+//! `chestnutspur check`: finds the faults of a file without starting anything.
 
 use std::path::Path;
 
@@ -8,21 +8,22 @@
 
 use crate::exit::Exit;
 
-/// Checks a file; which kind it is, it says itself: settings have a `role`, the platform's table of
-/// routes has `routes`, and our own configuration has neither.
+/// Checks a file. Its members tell its kind: settings have a `role`, the platform's routing table has
+/// `routes`, and a configuration document has neither.
 pub fn run(file: &Path) -> Exit {
-    let Some(text) = super::read(file) else { return Exit::Usage };
+    let Some(text) = super::read_file(file) else { return Exit::Usage };
     let value = serde_json::from_str::<serde_json::Value>(&text).unwrap_or_default();
-    let has = |member: &str| value.get(member).is_some();
+    let has_member = |member: &str| value.get(member).is_some();
     let result = match () {
-        () if has("role") => settings::parse(&text).map(|_| "settings".to_owned()),
-        () if has("routes") => table(&text),
-        () => check::parse(&text).map(|d| format!("configuration, generation {}", d.generation)),
+        () if has_member("role") => settings::parse(&text).map(|_| "settings".to_owned()),
+        () if has_member("routes") => check_routing_table(&text),
+        () => check::parse(&text)
+            .map(|document| format!("configuration, generation {}", document.generation)),
     };
     match result {
         Ok(kind) => {
             println!("{}: {kind}: no faults", file.display());
-            Exit::Done
+            Exit::Success
         }
         Err(faults) => {
             super::print_faults(file, &faults);
@@ -31,12 +32,13 @@
     }
 }
 
-/// Checks the platform's table of routes; faults are named by our own names of its members.
-fn table(text: &str) -> Result<String, Vec<Fault>> {
+/// Checks the platform's routing table. Faults name its members as `wire::routing` does, not as the
+/// platform's document does.
+fn check_routing_table(text: &str) -> Result<String, Vec<Fault>> {
     let table = platform::document::configuration(text.as_bytes());
     let table = table.map_err(|error| vec![Fault::at("", error)])?;
     match routing::check(&table) {
-        faults if faults.is_empty() => Ok(format!("table of routes, version {}", table.version)),
+        faults if faults.is_empty() => Ok(format!("routing table, version {}", table.version)),
         faults => Err(faults),
     }
 }
--- a/crates/chestnutspur/src/command/control.rs
+++ b/crates/chestnutspur/src/command/control.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur control`.
+//! `chestnutspur control`: runs the controllers of one entry host.
 
 use std::path::Path;
 
@@ -10,15 +10,15 @@
 use crate::exit::Exit;
 use crate::{logging, process};
 
-/// Runs the controllers until it is asked to stop.
+/// Runs the controllers until SIGTERM or SIGINT.
 pub fn run(file: &Path) -> Exit {
-    match super::load(file) {
+    match super::load_settings(file) {
         Some(Settings::Control(settings)) => {
             logging::start(&settings.log);
             process::supervise("control", None, |metrics, stop| start(settings, metrics, stop))
         }
         Some(_) => {
-            eprintln!("{}: role: these are not settings of control", file.display());
+            eprintln!("{}: role: must be \"control\"", file.display());
             Exit::Usage
         }
         None => Exit::Usage,
--- a/crates/chestnutspur/src/command/demo.rs
+++ b/crates/chestnutspur/src/command/demo.rs
@@ -1,12 +1,12 @@
-//! `chestnutspur demo`: a whole deployment on loopback, with faults, and an audit of what came
-//! of it from the stand-ins' own records.
+//! `chestnutspur demo`: runs a whole deployment on loopback, injects faults, and audits the results
+//! from the stand-ins' own records.
 
 mod caller;
 mod drive;
+mod fleet;
 mod settings;
 mod summary;
 mod traffic;
-mod world;
 
 use bpaf::Bpaf;
 use standin::deployment::{self, Deployment};
@@ -14,41 +14,41 @@
 use crate::exit::Exit;
 use crate::{logging, process};
 
+use fleet::Fleet;
 use summary::Summary;
-use world::World;
 
-/// What to run, and how to tell of it
+/// Arguments of `demo`
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
-    /// nl-centraal or midlands
+    /// Name of the deployment: nl-centraal or midlands
     #[bpaf(argument("NAME"), fallback("nl-centraal".to_owned()), display_fallback)]
     pub deployment: String,
-    /// How many requests; some callers send theirs a second time
+    /// Number of planned requests; callers send some of them twice
     #[bpaf(argument("N"), fallback(3000), display_fallback)]
     pub requests: u64,
-    /// What requests and qualities are drawn by
+    /// Seed that requests and the quality of answers are drawn from
     #[bpaf(argument("S"), fallback(1), display_fallback)]
     pub seed: u64,
-    /// Print the planned requests as JSON lines, and send nothing
+    /// Print the planned requests as JSON lines and send nothing
     pub plan: bool,
     /// Print the summary as one JSON object
     pub json: bool,
 }
 
-/// Why a demo could not be held.
+/// Why a demo could not run.
 #[derive(Debug)]
 pub enum Error {
-    /// No such deployment.
+    /// The deployment is unknown or invalid.
     Deployment(deployment::Error),
-    /// Something did not start.
-    World(world::Error),
+    /// A process or stand-in did not start.
+    Fleet(fleet::Error),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Deployment(error) => error.fmt(f),
-            Self::World(error) => error.fmt(f),
+            Self::Fleet(error) => error.fmt(f),
         }
     }
 }
@@ -59,13 +59,13 @@
     }
 }
 
-impl From<world::Error> for Error {
-    fn from(error: world::Error) -> Self {
-        Self::World(error)
+impl From<fleet::Error> for Error {
+    fn from(error: fleet::Error) -> Self {
+        Self::Fleet(error)
     }
 }
 
-/// Holds the demo; exit 1 if an audited number that must be 0 is not.
+/// Runs the demo; exit code 1 if an audited count that must be 0 is not.
 pub fn run(arguments: &Arguments) -> Exit {
     if arguments.requests == 0 {
         eprintln!("chestnutspur: --requests must be above 0");
@@ -74,16 +74,16 @@
     if arguments.plan {
         return print_plan(arguments);
     }
-    // Faults are part of the show: what the parts warn of would drown its progress.
+    // The injected faults make the processes log many warnings, which would hide the progress lines.
     logging::start("error");
     process::block_on(async {
-        match hold(arguments).await {
+        match run_demo(arguments).await {
             Ok(summary) => print(&summary, arguments.json),
             Err(error) => {
                 eprintln!("chestnutspur: {error}");
                 match error {
                     Error::Deployment(_) => Exit::Usage,
-                    Error::World(_) => Exit::Refused,
+                    Error::Fleet(_) => Exit::Failure,
                 }
             }
         }
@@ -101,10 +101,10 @@
     for request in traffic::plan(&deployment, arguments.requests, arguments.seed) {
         println!("{}", serde_json::to_string(&request).unwrap_or_default());
     }
-    Exit::Done
+    Exit::Success
 }
 
-async fn hold(arguments: &Arguments) -> Result<Summary, Error> {
+async fn run_demo(arguments: &Arguments) -> Result<Summary, Error> {
     let deployment = Deployment::named(&arguments.deployment)?;
     let plan = traffic::plan(&deployment, arguments.requests, arguments.seed);
     eprintln!(
@@ -114,11 +114,11 @@
         deployment.of_role(wire::host::Role::Entry).count(),
         arguments.seed
     );
-    let mut world = World::start(&deployment, arguments.seed).await?;
-    let journal = drive::drive(&world, &deployment, plan).await;
+    let mut fleet = Fleet::start(&deployment, arguments.seed).await?;
+    let journal = drive::drive(&fleet, &deployment, plan).await;
     eprintln!("demo: stopping all processes gracefully");
-    world.stop(&journal).await;
-    Ok(Summary::new(&world, &deployment, &journal))
+    fleet.stop(&journal).await;
+    Ok(Summary::new(&fleet, &deployment, &journal))
 }
 
 fn print(summary: &Summary, json: bool) -> Exit {
@@ -126,12 +126,12 @@
         true => println!("{}", serde_json::to_string(&summary.figures()).unwrap_or_default()),
         false => print!("{summary}"),
     }
-    for wrong in &summary.wrong {
-        eprintln!("demo: wrong answer: {wrong}");
+    for answer in &summary.wrong {
+        eprintln!("demo: wrong answer: {answer}");
     }
     let faults = summary.faults();
     for fault in &faults {
         eprintln!("demo: must be 0: {fault}");
     }
-    if faults.is_empty() { Exit::Done } else { Exit::Refused }
+    if faults.is_empty() { Exit::Success } else { Exit::Failure }
 }
--- a/crates/chestnutspur/src/command/demo/caller.rs
+++ b/crates/chestnutspur/src/command/demo/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's request, and whether what came back is the whole answer to it.
+//! Sends a caller's request and checks that the response is the complete answer to it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,73 +16,77 @@
 
 use super::traffic::{self, Kind};
 
-/// A caller waits no longer.
-const PATIENCE: Duration = Duration::from_secs(20);
-const DONE: &str = "[DONE]";
+/// Timeout of a whole call, up to the end of the answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
+/// Data of the event that ends a stream.
+const END_OF_STREAM: &str = "[DONE]";
 
-/// What came of one request.
+/// How one request ended for its caller.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// The whole answer to this request.
+    /// The caller received the complete answer to this request.
     Answered {
-        /// The request's id, as the backend server had it.
+        /// Id under which the backend server recorded the request.
         request: Name,
-        /// Whether the answer is a good one.
+        /// Whether the stand-in drew this answer as one of good quality.
         good: bool,
-        /// Time to its end.
-        took: Duration,
+        /// Time until the end of the answer.
+        latency: Duration,
     },
-    /// Something that looks like a whole answer, and is not the one to this request.
+    /// The response looks complete, but is not the complete answer to this request; says why.
     Wrong(String),
-    /// A refusal.
+    /// The request was refused with an error status.
     Refused(refusal::Refusal),
-    /// The connection broke, or nothing came: the caller sees that there is no whole answer.
+    /// The connection broke or the call timed out, so the caller can see that it has no complete
+    /// answer; says why.
     Broken(String),
 }
 
-/// What a session's request has to go by, and gets to go by.
+/// Value of the session header: the caller's own name of the session, `new`, or the token that the
+/// last answer returned. None means that the request belongs to no session.
 #[derive(Clone, Debug, Default)]
 pub struct Token(pub Option<String>);
 
-/// How a caller reaches the system.
+/// Credentials of one client account's callers.
 #[derive(Clone)]
 pub struct Caller {
-    /// Its account's key.
+    /// Key of the client account.
     pub key: Arc<str>,
-    /// The model asked for.
+    /// Model that the requests name.
     pub model: Name,
 }
 
 impl Caller {
-    /// Asks one entry host, and checks the answer.
-    pub async fn ask(
+    /// Sends a request to one entry host and checks the response. In a session, `token` becomes the
+    /// token of the answer.
+    pub async fn send(
         &self,
         entry: &Client,
         request: &traffic::Request,
         token: &mut Token,
     ) -> Outcome {
         let started = Instant::now();
-        let asked = match self.request(request, token) {
-            Ok(asked) => asked,
+        let call = match self.build(request, token) {
+            Ok(call) => call,
             Err(error) => return Outcome::Broken(error.to_string()),
         };
-        let answer = match tokio::time::timeout(PATIENCE, entry.call(asked)).await {
-            Ok(Ok(answer)) => answer,
+        let response = match tokio::time::timeout(CALL_TIMEOUT, entry.call(call)).await {
+            Ok(Ok(response)) => response,
             Ok(Err(error)) => return Outcome::Broken(error.to_string()),
-            Err(_) => return Outcome::Broken("no end of the answer in time".to_owned()),
+            Err(_) => return Outcome::Broken("timed out before the end of the answer".to_owned()),
         };
-        if !answer.status().is_success() {
-            return refused(&answer);
+        if !response.status().is_success() {
+            return parse_refusal(&response);
         }
-        let given = answer.headers().get(SESSION).and_then(|value| value.to_str().ok());
-        match given {
-            Some(given) if token.0.is_some() => token.0 = Some(given.to_owned()),
+        let session = response.headers().get(SESSION).and_then(|value| value.to_str().ok());
+        match session {
+            Some(session) if token.0.is_some() => token.0 = Some(session.to_owned()),
             _ => {}
         }
-        check(request, &answer, started.elapsed())
+        check(request, &response, started.elapsed())
     }
 
-    fn request(
+    fn build(
         &self,
         request: &traffic::Request,
         token: &Token,
@@ -112,57 +116,57 @@
     }
 }
 
-fn refused(answer: &Response<Bytes>) -> Outcome {
-    match serde_json::from_slice::<refusal::Body>(answer.body()) {
+fn parse_refusal(response: &Response<Bytes>) -> Outcome {
+    match serde_json::from_slice::<refusal::Body>(response.body()) {
         Ok(body) => Outcome::Refused(body.error),
-        Err(_) => Outcome::Broken(format!("status {} without a refusal", answer.status())),
+        Err(_) => Outcome::Broken(format!("status {} without a refusal", response.status())),
     }
 }
 
-fn check(request: &traffic::Request, answer: &Response<Bytes>, took: Duration) -> Outcome {
+fn check(request: &traffic::Request, response: &Response<Bytes>, latency: Duration) -> Outcome {
     let checked = match &request.kind {
-        Kind::Chat { stream: true, .. } => text_of_events(answer.body()).map(said),
-        Kind::Chat { stream: false, .. } => text_of(answer.body()).map(said),
-        Kind::Service { .. } => echoed(answer),
+        Kind::Chat { stream: true, .. } => stream_text(response.body()).map(parse_answer),
+        Kind::Chat { stream: false, .. } => completion_text(response.body()).map(parse_answer),
+        Kind::Service { .. } => parse_echo(response),
     };
-    let own = draw::digest(request.text());
+    let expected_digest = draw::digest(request.text());
     match checked {
-        Some(Some(answer)) if *answer.digest == *own => {
-            Outcome::Answered { request: answer.request, good: answer.good, took }
+        Some(Some(answer)) if *answer.digest == *expected_digest => {
+            Outcome::Answered { request: answer.request, good: answer.good, latency }
         }
         Some(Some(answer)) => Outcome::Wrong(format!("the answer to {}", answer.request)),
-        _ => Outcome::Wrong("cut short without a sign of it".to_owned()),
+        _ => Outcome::Wrong("truncated, though the response looks complete".to_owned()),
     }
 }
 
-fn said(text: String) -> Option<Answer> {
+fn parse_answer(text: String) -> Option<Answer> {
     Answer::parse(&text)
 }
 
-fn text_of(body: &[u8]) -> Option<String> {
+fn completion_text(body: &[u8]) -> Option<String> {
     let body: Value = serde_json::from_slice(body).ok()?;
     Some(body.pointer("/choices/0/message/content")?.as_str()?.to_owned())
 }
 
-/// The text of a stream, if it has its last event.
-fn text_of_events(body: &[u8]) -> Option<String> {
+/// Returns the text of a streamed answer if its last event has arrived.
+fn stream_text(body: &[u8]) -> Option<String> {
     let body = std::str::from_utf8(body).ok()?;
     let mut events = body.split("\n\n").filter_map(|event| event.strip_prefix("data: "));
     let mut text = String::new();
-    let done = events.any(|event| {
+    let is_complete = events.any(|event| {
         let chunk: Option<Value> = serde_json::from_str(event).ok();
         let piece = chunk.as_ref().and_then(|chunk| chunk.pointer("/choices/0/delta/content"));
         text.push_str(piece.and_then(Value::as_str).unwrap_or_default());
-        event == DONE
+        event == END_OF_STREAM
     });
-    done.then_some(text)
+    is_complete.then_some(text)
 }
 
-fn echoed(answer: &Response<Bytes>) -> Option<Option<Answer>> {
-    if answer.status() != StatusCode::OK {
+fn parse_echo(response: &Response<Bytes>) -> Option<Option<Answer>> {
+    if response.status() != StatusCode::OK {
         return None;
     }
-    let echo: service::Echo = serde_json::from_slice(answer.body()).ok()?;
+    let echo: service::Echo = serde_json::from_slice(response.body()).ok()?;
     let service::Echo { service, digest, request, .. } = echo;
     Some(Some(Answer { good: true, version: service, request, digest }))
 }
--- a/crates/chestnutspur/src/command/demo/drive.rs
+++ b/crates/chestnutspur/src/command/demo/drive.rs
@@ -1,4 +1,4 @@
-//! Sends the planned requests at their times, and brings about the faults.
+//! Sends the planned requests at their times and injects the faults.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,30 +16,33 @@
 use wire::refusal::{Code, Ran};
 
 use super::caller::{Caller, Outcome, Token};
+use super::fleet::Fleet;
 use super::traffic::{Kind, Request, Session};
-use super::world::World;
 
-/// Share of good answers of a version that has turned bad.
-const BAD: f64 = 0.3;
-/// When, as shares of the run, the version turns bad, and the platform goes away and comes back.
-const TURNS_BAD: f64 = 0.5;
-const OUTAGE: [f64; 2] = [0.65, 0.85];
-const PROGRESS: Duration = Duration::from_secs(2);
+/// Share of good answers among all answers of the version that has turned bad.
+const BAD_VERSION_GOOD_SHARE: f64 = 0.3;
+/// When the version turns bad, as a fraction of the run's length.
+const TURN_BAD_FRACTION: f64 = 0.5;
+/// When the platform goes down and when it comes back, as fractions of the run's length.
+const OUTAGE_FRACTIONS: [f64; 2] = [0.65, 0.85];
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
+/// Value of the session header that asks for a new session.
 const NEW_SESSION: &str = "new";
 
-/// One sending of a request, and what came of it.
+/// A request that a caller sent, and its outcome. A request sent twice has two exchanges.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    /// What was asked.
+pub struct Exchange {
+    /// The planned request.
     pub request: Request,
-    /// The session it was sent in: a caller opens another one when its session has ended.
+    /// Name of the session that the request was sent in, unique in the run; none outside a session. When
+    /// a session has ended, its caller continues in another one.
     pub session: Option<Name>,
-    /// What came of it.
+    /// How the request ended for its caller.
     pub outcome: Outcome,
 }
 
-impl Sent {
-    /// What the audit needs of it.
+impl Exchange {
+    /// Returns what the audit reads of this exchange.
     #[must_use]
     pub fn record(&self) -> audit::Sent {
         let end = match &self.outcome {
@@ -59,123 +62,126 @@
     }
 }
 
-/// All that callers saw, and where the faults came.
+/// What the callers saw, and the state in which the version turned bad.
 #[derive(Debug, Default)]
 pub struct Journal {
-    /// Every sending.
-    pub sent: Vec<Sent>,
-    /// The version that turned bad.
+    /// Every request sent, in the order in which they ended.
+    pub exchanges: Vec<Exchange>,
+    /// Name of the version that turns bad.
     pub turned_bad: Name,
-    /// For each engine, how many runs it had received when it did.
+    /// Number of runs that each engine had received when the version turned bad.
     pub runs_before: Vec<u64>,
 }
 
 impl Journal {
-    /// Ids of all requests answered whole.
+    /// Returns the ids of all requests that were answered completely.
     pub fn answered(&self) -> impl Iterator<Item = Name> {
-        self.sent.iter().filter_map(|sent| match &sent.outcome {
+        self.exchanges.iter().filter_map(|exchange| match &exchange.outcome {
             Outcome::Answered { request, .. } => Some(request.clone()),
             _ => None,
         })
     }
 }
 
-/// A session of one caller. Its requests wait for each other: each needs what the one before got.
+/// State of one caller's session. Its requests are sent one after the other, because each needs the
+/// token that the answer before returned.
 #[derive(Default)]
-struct Conversation {
+struct SessionState {
     token: Token,
+    /// Number of sessions that the caller has ended, which makes the next one's name unique.
     round: u64,
 }
 
 struct Driver {
     callers: BTreeMap<Name, Caller>,
     entries: Vec<Client>,
-    conversations: Mutex<BTreeMap<u64, Arc<tokio::sync::Mutex<Conversation>>>>,
+    /// By the number of the planned session.
+    sessions: Mutex<BTreeMap<u64, Arc<tokio::sync::Mutex<SessionState>>>>,
     answered: AtomicU64,
     refused: AtomicU64,
 }
 
-/// Sends everything and waits for every outcome.
-pub async fn drive(world: &World, deployment: &Deployment, plan: Vec<Request>) -> Journal {
-    let driver = Arc::new(Driver::new(world, deployment));
+/// Sends all planned requests, injects the faults and waits for all outcomes.
+pub async fn drive(fleet: &Fleet, deployment: &Deployment, plan: Vec<Request>) -> Journal {
+    let driver = Arc::new(Driver::new(fleet, deployment));
     let length = plan.last().map_or(Duration::ZERO, |request| request.at);
     let total = plan.len();
     let mut journal = Journal { turned_bad: cheapest(deployment), ..Journal::default() };
     let mut sending = JoinSet::new();
     let start = Instant::now();
-    let mut events = Events::new(length);
-    let mut next_progress = PROGRESS;
+    let mut faults = FaultSchedule::new(length);
+    let mut next_progress = PROGRESS_INTERVAL;
     for (index, request) in plan.into_iter().enumerate() {
         tokio::time::sleep_until(start + request.at).await;
-        events.due(request.at, world, &mut journal);
+        faults.inject_due(request.at, fleet, &mut journal);
         if request.at >= next_progress {
-            next_progress += PROGRESS;
-            driver.progress(index, total);
+            next_progress += PROGRESS_INTERVAL;
+            driver.print_progress(index, total);
         }
         if request.twice {
             sending.spawn(Arc::clone(&driver).send(request.clone(), 1));
         }
         sending.spawn(Arc::clone(&driver).send(request, 0));
     }
-    events.due(Duration::MAX, world, &mut journal);
-    while let Some(sent) = sending.join_next().await {
-        match sent {
-            Ok(sent) => journal.sent.push(sent),
+    faults.inject_due(Duration::MAX, fleet, &mut journal);
+    while let Some(result) = sending.join_next().await {
+        match result {
+            Ok(exchange) => journal.exchanges.push(exchange),
             Err(error) => log::error!("demo: a caller failed: {error}"),
         }
     }
-    driver.progress(total, total);
+    driver.print_progress(total, total);
     journal
 }
 
-/// The cheapest version in full use: the one that most requests run on.
+/// Returns the cheapest live version, which most requests run on.
 fn cheapest(deployment: &Deployment) -> Name {
     let versions = deployment.document.versions.iter();
     let live = versions.filter(|(_, version)| version.state == VersionState::Live);
-    let cheapest = live.min_by(|(_, one), (_, other)| one.cost.total_cmp(&other.cost));
+    let cheapest = live.min_by(|(_, a), (_, b)| a.cost.total_cmp(&b.cost));
     cheapest.map(|(name, _)| name.clone()).unwrap_or_default()
 }
 
-/// The faults still to come.
-struct Events {
+/// Times, since the start, of the faults that have not been injected yet.
+struct FaultSchedule {
     bad_at: Option<Duration>,
     down_at: Option<Duration>,
     up_at: Option<Duration>,
 }
 
-impl Events {
+impl FaultSchedule {
     fn new(length: Duration) -> Self {
-        let [down, up] = OUTAGE.map(|share| Some(length.mul_f64(share)));
-        Self { bad_at: Some(length.mul_f64(TURNS_BAD)), down_at: down, up_at: up }
+        let [down, up] = OUTAGE_FRACTIONS.map(|fraction| Some(length.mul_f64(fraction)));
+        Self { bad_at: Some(length.mul_f64(TURN_BAD_FRACTION)), down_at: down, up_at: up }
     }
 
-    fn due(&mut self, now: Duration, world: &World, journal: &mut Journal) {
-        let reached = |at: &mut Option<Duration>| at.take_if(|at| *at <= now).is_some();
-        if reached(&mut self.bad_at) {
-            turn_bad(world, journal);
+    fn inject_due(&mut self, now: Duration, fleet: &Fleet, journal: &mut Journal) {
+        let is_due = |at: &mut Option<Duration>| at.take_if(|at| *at <= now).is_some();
+        if is_due(&mut self.bad_at) {
+            turn_bad(fleet, journal);
         }
-        if reached(&mut self.down_at) {
+        if is_due(&mut self.down_at) {
             eprintln!("demo: the platform is down");
-            world.platform.close();
+            fleet.platform.close();
         }
-        if reached(&mut self.up_at) {
+        if is_due(&mut self.up_at) {
             eprintln!("demo: the platform is back");
-            world.platform.open();
+            fleet.platform.open();
         }
     }
 }
 
-fn turn_bad(world: &World, journal: &mut Journal) {
+fn turn_bad(fleet: &Fleet, journal: &mut Journal) {
     eprintln!("demo: {} turns bad", journal.turned_bad);
-    let bad = BTreeMap::from([(journal.turned_bad.clone(), BAD)]);
-    for engine in &world.engines {
+    let bad = BTreeMap::from([(journal.turned_bad.clone(), BAD_VERSION_GOOD_SHARE)]);
+    for engine in &fleet.engines {
         engine.set_faults(Faults { bad: bad.clone(), ..Faults::default() });
         journal.runs_before.push(engine.runs().len() as u64);
     }
 }
 
 impl Driver {
-    fn new(world: &World, deployment: &Deployment) -> Self {
+    fn new(fleet: &Fleet, deployment: &Deployment) -> Self {
         let version = deployment.document.versions.values().next();
         let model = version.map(|version| version.model.clone()).unwrap_or_default();
         let caller = |account: &Name| {
@@ -184,84 +190,85 @@
         };
         Self {
             callers: deployment.document.accounts.keys().map(caller).collect(),
-            entries: world.entries.iter().copied().map(Client::new).collect(),
-            conversations: Mutex::default(),
+            entries: fleet.entries.iter().copied().map(Client::new).collect(),
+            sessions: Mutex::default(),
             answered: AtomicU64::new(0),
             refused: AtomicU64::new(0),
         }
     }
 
-    fn progress(&self, sent: usize, total: usize) {
+    fn print_progress(&self, sent: usize, total: usize) {
         let answered = self.answered.load(Ordering::Relaxed);
         let refused = self.refused.load(Ordering::Relaxed);
         eprintln!("demo: {sent} of {total} sent, {answered} answered, {refused} refused or broken");
     }
 
-    /// Sends one request, as the balancer would: to one entry host after another.
-    async fn send(self: Arc<Self>, request: Request, offset: u64) -> Sent {
+    /// Sends one request to the next entry host in turn, as the callers' balancer would.
+    async fn send(self: Arc<Self>, request: Request, offset: u64) -> Exchange {
         let count = self.entries.len().max(1) as u64;
         let index = usize::try_from((request.number + offset) % count).unwrap_or_default();
-        let sent = match (self.callers.get(&request.account), self.entries.get(index)) {
-            (Some(caller), Some(entry)) => self.ask(caller, entry, request).await,
+        let exchange = match (self.callers.get(&request.account), self.entries.get(index)) {
+            (Some(caller), Some(entry)) => self.send_to(caller, entry, request).await,
             _ => {
-                let outcome = Outcome::Broken("nobody to ask".to_owned());
-                Sent { request, session: None, outcome }
+                let outcome = Outcome::Broken("no caller or no entry host".to_owned());
+                Exchange { request, session: None, outcome }
             }
         };
-        let counter = match sent.outcome {
+        let counter = match exchange.outcome {
             Outcome::Answered { .. } => &self.answered,
             _ => &self.refused,
         };
         counter.fetch_add(1, Ordering::Relaxed);
-        sent
+        exchange
     }
 
-    async fn ask(&self, caller: &Caller, entry: &Client, request: Request) -> Sent {
+    async fn send_to(&self, caller: &Caller, entry: &Client, request: Request) -> Exchange {
         let Some(session) = request.session() else {
-            let outcome = caller.ask(entry, &request, &mut Token::default()).await;
-            return Sent { request, session: None, outcome };
+            let outcome = caller.send(entry, &request, &mut Token::default()).await;
+            return Exchange { request, session: None, outcome };
         };
-        let conversation = self.conversation(session.number);
-        let mut conversation = conversation.lock().await;
-        let name = conversation.begin(session, &request);
-        let outcome = caller.ask(entry, &request, &mut conversation.token).await;
-        conversation.after(&outcome);
-        Sent { request, session: Some(name), outcome }
+        let state = self.session_state(session.number);
+        let mut state = state.lock().await;
+        let name = state.prepare(session, &request);
+        let outcome = caller.send(entry, &request, &mut state.token).await;
+        state.update(&outcome);
+        Exchange { request, session: Some(name), outcome }
     }
 
-    fn conversation(&self, number: u64) -> Arc<tokio::sync::Mutex<Conversation>> {
-        let mut all = self.conversations.lock().unwrap_or_else(PoisonError::into_inner);
-        Arc::clone(all.entry(number).or_default())
+    fn session_state(&self, number: u64) -> Arc<tokio::sync::Mutex<SessionState>> {
+        let mut sessions = self.sessions.lock().unwrap_or_else(PoisonError::into_inner);
+        Arc::clone(sessions.entry(number).or_default())
     }
 }
 
-impl Conversation {
-    /// Names the session that the next request belongs to.
-    fn begin(&mut self, session: Session, request: &Request) -> Name {
+impl SessionState {
+    /// Returns the name of the session that the next request belongs to, and sets the token if the
+    /// session is new.
+    fn prepare(&mut self, session: Session, request: &Request) -> Name {
         let name = format!("{}-session-{}-{}", request.account, session.number, self.round);
-        let first = || match session.chosen {
+        let initial = || match session.chosen {
             true => name.clone(),
             false => NEW_SESSION.to_owned(),
         };
-        self.token.0.get_or_insert_with(first);
+        self.token.0.get_or_insert_with(initial);
         name.into()
     }
 
-    /// A session that has ended, or whose first answer never came, is followed by another.
-    fn after(&mut self, outcome: &Outcome) {
-        let ended = match outcome {
+    /// Starts another session if this one has ended or its first answer never came.
+    fn update(&mut self, outcome: &Outcome) {
+        let has_ended = match outcome {
             Outcome::Refused(refusal) => refusal.code == Code::SessionEnded,
             _ => false,
         };
         let never_began = self.token.0.as_deref() == Some(NEW_SESSION);
-        if ended || never_began {
+        if has_ended || never_began {
             self.token = Token::default();
             self.round += 1;
         }
     }
 }
 
-/// Whether a request is a chat completion.
+/// Returns whether a request is a chat completion; otherwise it calls a plain service.
 #[must_use]
 pub fn is_chat(request: &Request) -> bool {
     matches!(request.kind, Kind::Chat { .. })
--- a/crates/chestnutspur/src/command/demo/world.rs
+++ b/crates/chestnutspur/src/command/demo/fleet.rs
@@ -1,4 +1,5 @@
-//! Everything the demo runs, as tasks of one process that speak over real sockets.
+//! The deployment that the demo runs: all parts are tasks of one process and communicate over real
+//! sockets.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -25,35 +26,35 @@
 use super::settings;
 use crate::process;
 
-/// Longest wait for all entry hosts to be ready.
-const START: Duration = Duration::from_secs(20);
-/// Longest wait for the last bills to reach the object store.
-const SETTLE: Duration = Duration::from_secs(15);
-const PAUSE: Duration = Duration::from_millis(50);
+/// Timeout for each entry host to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout for the last bills to reach the object store.
+const BILLS_TIMEOUT: Duration = Duration::from_secs(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why the world did not start.
+/// Why the fleet did not start.
 #[derive(Debug)]
 pub enum Error {
-    /// A port could not be listened on.
+    /// An address could not be bound.
     Listen(std::io::Error),
-    /// Control could not start.
+    /// A control could not start.
     Control(control::Error),
-    /// Entry could not start.
+    /// An entry could not start.
     Entry(entry::Error),
-    /// Metrics can't be recorded.
+    /// The metrics recorder could not be installed.
     Metrics(String),
-    /// An entry host did not get ready in time.
+    /// An entry host, named here, did not become ready in time.
     NotReady(Name),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Listen(error) => write!(f, "listening: {error}"),
+            Self::Listen(error) => write!(f, "can't listen: {error}"),
             Self::Control(error) => write!(f, "control: {error}"),
             Self::Entry(error) => write!(f, "entry: {error}"),
             Self::Metrics(message) => f.write_str(message),
-            Self::NotReady(host) => write!(f, "{host} did not get ready"),
+            Self::NotReady(host) => write!(f, "{host} did not become ready in time"),
         }
     }
 }
@@ -76,39 +77,39 @@
     }
 }
 
-/// One of our processes, as a task.
+/// A control or entry, running as a task.
 struct Process {
     host: Name,
     stop: CancellationToken,
     task: JoinHandle<Result<(), String>>,
 }
 
-/// All that runs.
-pub struct World {
-    /// The platform.
+/// All stand-ins, controls and entries of a demo.
+pub struct Fleet {
+    /// Stand-in for the platform.
     pub platform: Running<Platform>,
-    /// The model engines.
+    /// Stand-ins for model engines.
     pub engines: Vec<Running<Engine>>,
-    /// The plain services' workers.
+    /// Stand-ins for backend servers of plain services.
     pub services: Vec<Running<Service>>,
-    /// Where callers come in, for each entry host.
+    /// Callers' address of each entry host.
     pub entries: Vec<SocketAddr>,
-    /// What went wrong in stopping, for the summary.
+    /// Errors of the processes that did not stop cleanly.
     pub unclean: Vec<String>,
     raters: Vec<Running<Rater>>,
     controls: Vec<Process>,
     entry_processes: Vec<Process>,
 }
 
-impl World {
+impl Fleet {
     /// Starts everything and waits until all entry hosts are ready.
     ///
     /// # Errors
-    /// Any [`Error`].
+    /// Returns the first [`Error`] of a part that can't start.
     pub async fn start(deployment: &Deployment, seed: u64) -> Result<Self, Error> {
-        let metrics = process::metrics().map_err(Error::Metrics)?;
+        let metrics = process::install_metrics().map_err(Error::Metrics)?;
         let platform = platform::start(settings::any_port(), deployment.platform())?;
-        let mut world = Self {
+        let mut fleet = Self {
             platform,
             engines: Vec::new(),
             services: Vec::new(),
@@ -118,18 +119,18 @@
             controls: Vec::new(),
             entry_processes: Vec::new(),
         };
-        let mut hosts = world.start_backends(deployment, seed)?;
-        let peers = world.start_controls(deployment, &metrics).await?;
-        let operators = world.start_entries(deployment, &peers, &metrics).await?;
+        let mut hosts = fleet.start_backends(deployment, seed)?;
+        let peers = fleet.start_controls(deployment, &metrics).await?;
+        let operators = fleet.start_entries(deployment, &peers, &metrics).await?;
         let controls = deployment.of_role(Role::Control).zip(&peers);
-        hosts.extend(controls.map(|(host, peer)| at(host, peer.address)));
+        hosts.extend(controls.map(|(host, peer)| with_address(host, peer.address)));
         let entries = deployment.of_role(Role::Entry).zip(&operators);
-        hosts.extend(entries.map(|(host, (_, address))| at(host, *address)));
-        world.platform.set_hosts(hosts);
+        hosts.extend(entries.map(|(host, (_, address))| with_address(host, *address)));
+        fleet.platform.set_hosts(hosts);
         for (host, address) in operators {
-            ready(host, address).await?;
+            wait_until_ready(host, address).await?;
         }
-        Ok(world)
+        Ok(fleet)
     }
 
     fn start_backends(&mut self, deployment: &Deployment, seed: u64) -> Result<Vec<Host>, Error> {
@@ -151,11 +152,11 @@
                     address
                 }
             };
-            hosts.push(at(host, address));
+            hosts.push(with_address(host, address));
         }
         for host in deployment.of_role(Role::Rater) {
             let rater = rater::start(settings::any_port(), rater::Faults::default())?;
-            hosts.push(at(host, rater.address));
+            hosts.push(with_address(host, rater.address));
             self.raters.push(rater);
         }
         Ok(hosts)
@@ -186,7 +187,7 @@
         Ok(peers)
     }
 
-    /// Starts all entries; gives their operators' addresses.
+    /// Starts all entries and returns their operators' addresses by host.
     async fn start_entries(
         &mut self,
         deployment: &Deployment,
@@ -207,16 +208,17 @@
         Ok(operators)
     }
 
-    /// Waits for the last bills, then stops all processes gracefully: entries first.
+    /// Waits for the last bills, then stops all processes gracefully. Entries stop first, because they
+    /// still need the controls.
     pub async fn stop(&mut self, journal: &Journal) {
         let answered: BTreeSet<Name> = journal.answered().collect();
-        let deadline = tokio::time::Instant::now() + SETTLE;
+        let deadline = tokio::time::Instant::now() + BILLS_TIMEOUT;
         while tokio::time::Instant::now() < deadline {
             let billed = self.platform.bills().ids();
             if answered.is_subset(&billed) {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         let entries = std::mem::take(&mut self.entry_processes);
         self.unclean.extend(stop_all(entries).await);
@@ -224,7 +226,7 @@
         self.unclean.extend(stop_all(controls).await);
     }
 
-    /// Everything that any backend server recorded.
+    /// Returns all runs that the backend servers recorded.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         let engines = self.engines.iter().flat_map(|engine| engine.runs());
@@ -247,23 +249,24 @@
     unclean
 }
 
-fn at(host: &Host, address: SocketAddr) -> Host {
+/// Returns a host of the list with the address that its stand-in or process listens on.
+fn with_address(host: &Host, address: SocketAddr) -> Host {
     Host { address: address.to_string().into(), ..host.clone() }
 }
 
-async fn ready(host: Name, operators: SocketAddr) -> Result<(), Error> {
+async fn wait_until_ready(host: Name, operators: SocketAddr) -> Result<(), Error> {
     let client = Client::new(operators);
-    let deadline = tokio::time::Instant::now() + START;
+    let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
     while tokio::time::Instant::now() < deadline {
-        let asked = request(Method::GET, "/ready", "");
-        let answer = match asked {
-            Ok(asked) => client.call(asked).await.ok(),
+        let call = request(Method::GET, "/ready", "");
+        let answer = match call {
+            Ok(call) => client.call(call).await.ok(),
             Err(_) => None,
         };
         if answer.is_some_and(|answer| answer.status() == StatusCode::OK) {
             return Ok(());
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Err(Error::NotReady(host))
 }
--- a/crates/chestnutspur/src/command/demo/settings.rs
+++ b/crates/chestnutspur/src/command/demo/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the demo's processes: the examples' defaults, on ports that the system chooses.
+//! Settings of the demo's processes: like the examples', but on ports that the system chooses.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,16 @@
 use wire::settings::{Bounds, Control, Entry, Peer, Secret};
 
 const PEER_KEY: &str = "the demo's shared key: on loopback only";
-/// Share of answers rated.
+/// Share of all answers that the rater rates.
 const RATED_SHARE: f64 = 0.1;
 
-/// On loopback, whichever is free.
+/// Returns the loopback address with port 0: the system chooses a free port.
 #[must_use]
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Settings of a host's control; its peers are filled in once their ports are known.
+/// Returns the settings of a host's control, without peers: their ports are not known yet.
 #[must_use]
 pub fn control(host: &Host, platform: SocketAddr) -> Control {
     Control {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Settings of a host's entry.
+/// Returns the settings of a host's entry.
 #[must_use]
 pub fn entry(host: &Host, controls: &[Peer]) -> Entry {
     Entry {
--- a/crates/chestnutspur/src/command/demo/summary.rs
+++ b/crates/chestnutspur/src/command/demo/summary.rs
@@ -1,4 +1,4 @@
-//! What the demo prints.
+//! The printed summary of the demo.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,45 +11,46 @@
 use standin::platform::audit::Bills;
 
 use super::caller::Outcome;
-use super::drive::{self, Journal, Sent};
-use super::world::World;
+use super::drive::{self, Exchange, Journal};
+use super::fleet::Fleet;
 
-/// The platform's table of quarantines.
-const QUARANTINE: &str = "quarantine";
+/// Name of the platform's table of quarantines.
+const QUARANTINE_TABLE: &str = "quarantine";
 
 domain! {
-    /// What `--json` prints.
+    /// Counts that `--json` prints.
     pub struct Figures {
-        /// Whole answers.
+        /// Number of complete answers, each to its own request.
         pub answered: u64,
-        /// Refusals, and answers that broke off visibly.
+        /// Number of refusals, and of calls that failed visibly: broken connections and timeouts.
         pub refused: u64,
-        /// Answers that were not, or not wholly, the answer to their request.
+        /// Number of responses that looked complete but were not the complete answer to their request.
         pub wrong_answers: u64,
-        /// Runs beyond the first of requests that may run once.
+        /// Number of runs beyond the first of requests that may run only once.
         pub doubled_runs: u64,
-        /// Runs on a version that the account does not allow, or that is withdrawn.
+        /// Number of runs on a version that the client account does not allow or that is withdrawn.
         pub disallowed_runs: u64,
-        /// Sessions with runs on more than one version.
+        /// Number of sessions with runs on more than one version.
         pub sessions_moved: u64,
-        /// Requests answered without a bill.
+        /// Number of answered requests without a bill.
         pub bills_missing: u64,
-        /// Requests with more than one bill.
+        /// Number of requests with more than one bill.
         pub bills_doubled: u64,
-        /// Cost billed for chat completions, as a share of what the best version alone would cost.
+        /// Billed cost of all answered chat completions, divided by what they would have cost on the most
+        /// expensive version.
         pub cost_ratio_to_best: f64,
-        /// Runs on the version that turned bad, after it did.
+        /// Number of runs on the version that turned bad, after it turned bad.
         pub exposure: u64,
     }
 }
 
-/// The whole summary.
+/// Results of a demo: what the callers saw, and the audit of the stand-ins' records.
 pub struct Summary {
-    /// What must be 0.
+    /// Audited counts, each of which must be 0.
     pub audit: Audit,
-    /// Processes that did not stop as they should.
+    /// Errors of the processes that did not stop cleanly.
     pub unclean: Vec<String>,
-    /// Each wrong answer: whose, and what it was.
+    /// Wrong answers, each as the request's text and what was wrong with the answer.
     pub wrong: Vec<String>,
     answered: u64,
     refused: BTreeMap<String, u64>,
@@ -57,53 +58,58 @@
     cost_ratio_to_best: f64,
     turned_bad: Name,
     exposure: u64,
-    /// Keys of the platform's table of quarantines.
+    /// Versions under quarantine at the end, from the platform's table.
     quarantined: Vec<Name>,
-    /// Sorted.
+    /// Latencies of all answered requests, in ascending order.
     latencies: Vec<Duration>,
 }
 
 impl Summary {
-    /// Adds up everything.
+    /// Sums up the journal and audits the stand-ins' records.
     #[must_use]
-    pub fn new(world: &World, deployment: &Deployment, journal: &Journal) -> Self {
+    pub fn new(fleet: &Fleet, deployment: &Deployment, journal: &Journal) -> Self {
         let mut refused: BTreeMap<String, u64> = BTreeMap::new();
         let mut latencies = Vec::new();
         let mut wrong = Vec::new();
         let (mut answered, mut good) = (0, 0);
-        for sent in &journal.sent {
-            match &sent.outcome {
-                Outcome::Answered { good: is_good, took, .. } => {
+        for exchange in &journal.exchanges {
+            match &exchange.outcome {
+                Outcome::Answered { good: is_good, latency, .. } => {
                     answered += 1;
                     good += u64::from(*is_good);
-                    latencies.push(*took);
+                    latencies.push(*latency);
                 }
                 Outcome::Refused(refusal) => {
-                    *refused.entry(code(refusal.code)).or_default() += 1;
+                    *refused.entry(code_name(refusal.code)).or_default() += 1;
                 }
                 Outcome::Broken(why) => *refused.entry(format!("broken: {why}")).or_default() += 1,
-                Outcome::Wrong(why) => wrong.push(format!("{}: {why}", sent.request.text())),
+                Outcome::Wrong(why) => wrong.push(format!("{}: {why}", exchange.request.text())),
             }
         }
         latencies.sort_unstable();
-        let bills = world.platform.bills();
-        let sent: Vec<_> = journal.sent.iter().map(Sent::record).collect();
+        let bills = fleet.platform.bills();
+        let sent: Vec<_> = journal.exchanges.iter().map(Exchange::record).collect();
         Self {
-            audit: Audit::new(&deployment.document, &sent, &world.runs(), &bills),
-            unclean: world.unclean.clone(),
+            audit: Audit::new(&deployment.document, &sent, &fleet.runs(), &bills),
+            unclean: fleet.unclean.clone(),
             wrong,
             answered,
             refused,
             good,
             cost_ratio_to_best: cost_ratio(&bills, deployment, journal),
             turned_bad: journal.turned_bad.clone(),
-            exposure: exposure(world, journal),
-            quarantined: world.platform.rows(QUARANTINE).into_iter().map(|row| row.key).collect(),
+            exposure: exposure(fleet, journal),
+            quarantined: fleet
+                .platform
+                .rows(QUARANTINE_TABLE)
+                .into_iter()
+                .map(|row| row.key)
+                .collect(),
             latencies,
         }
     }
 
-    /// The figures alone.
+    /// Returns the counts that `--json` prints.
     #[must_use]
     pub fn figures(&self) -> Figures {
         Figures {
@@ -120,7 +126,7 @@
         }
     }
 
-    /// Everything that must not be.
+    /// Describes each count that must be 0 and is not, and each unclean stop.
     #[must_use]
     pub fn faults(&self) -> Vec<String> {
         let numbers = self.audit.numbers();
@@ -130,14 +136,15 @@
         numbers.chain(unclean).collect()
     }
 
-    fn percentile(&self, share: f64) -> f64 {
-        let index = (self.latencies.len() as f64 * share) as usize;
-        let found = self.latencies.get(index).or(self.latencies.last());
-        found.map_or(0.0, |latency| latency.as_secs_f64() * 1000.0)
+    /// Returns a quantile of the latencies, in milliseconds.
+    fn latency_ms(&self, quantile: f64) -> f64 {
+        let index = (self.latencies.len() as f64 * quantile) as usize;
+        let latency = self.latencies.get(index).or(self.latencies.last());
+        latency.map_or(0.0, |latency| latency.as_secs_f64() * 1000.0)
     }
 }
 
-fn code(code: wire::refusal::Code) -> String {
+fn code_name(code: wire::refusal::Code) -> String {
     match serde_json::to_value(code) {
         Ok(serde_json::Value::String(name)) => name,
         _ => format!("{code:?}"),
@@ -145,27 +152,28 @@
 }
 
 fn cost_ratio(bills: &Bills, deployment: &Deployment, journal: &Journal) -> f64 {
-    let chats = journal.sent.iter().filter(|sent| drive::is_chat(&sent.request));
+    let chats = journal.exchanges.iter().filter(|exchange| drive::is_chat(&exchange.request));
     let ids: BTreeSet<&Name> = chats
-        .filter_map(|sent| match &sent.outcome {
+        .filter_map(|exchange| match &exchange.outcome {
             Outcome::Answered { request, .. } => Some(request),
             _ => None,
         })
         .collect();
     let versions = deployment.document.versions.values();
     let best = versions.map(|version| version.cost).fold(0.0, f64::max);
-    let once: BTreeMap<&Name, f64> = bills.bills.iter().map(|b| (&b.request, b.cost)).collect();
-    let billed = ids.iter().filter_map(|id| once.get(*id));
+    let costs: BTreeMap<&Name, f64> =
+        bills.bills.iter().map(|bill| (&bill.request, bill.cost)).collect();
+    let billed = ids.iter().filter_map(|id| costs.get(*id));
     billed.fold(0.0, |sum, cost| sum + cost) / (best * ids.len().max(1) as f64)
 }
 
-fn exposure(world: &World, journal: &Journal) -> u64 {
-    let engines = world.engines.iter().zip(&journal.runs_before);
-    let bad = engines.map(|(engine, before)| {
+fn exposure(fleet: &Fleet, journal: &Journal) -> u64 {
+    let engines = fleet.engines.iter().zip(&journal.runs_before);
+    let counts = engines.map(|(engine, before)| {
         let after = engine.runs().into_iter().filter(|run| run.order >= *before);
         after.filter(|run| run.version == journal.turned_bad && run.began()).count() as u64
     });
-    bad.sum()
+    counts.sum()
 }
 
 impl fmt::Display for Summary {
@@ -184,8 +192,13 @@
         for version in &self.quarantined {
             writeln!(f, "{:<34}{version:>10}", "under quarantine")?;
         }
-        for (name, share) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
-            writeln!(f, "{:<34}{:>10.1}", format!("latency {name}, ms"), self.percentile(share))?;
+        for (name, quantile) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
+            writeln!(
+                f,
+                "{:<34}{:>10.1}",
+                format!("latency {name}, ms"),
+                self.latency_ms(quantile)
+            )?;
         }
         writeln!(f, "audit, from the stand-ins' own records:")?;
         for (name, number) in self.audit.numbers() {
--- a/crates/chestnutspur/src/command/demo/traffic.rs
+++ b/crates/chestnutspur/src/command/demo/traffic.rs
@@ -1,4 +1,4 @@
-//! What callers will ask, drawn from the seed alone: the same arguments give the same requests.
+//! The requests that callers send, drawn from the seed: the same arguments give the same requests.
 
 use std::time::Duration;
 
@@ -7,68 +7,68 @@
 use standin::deployment::Deployment;
 use standin::draw;
 
-/// Requests a second, all entry hosts together.
-const RATE: f64 = 150.0;
-/// A run with many requests goes faster rather than on for ever.
-const LONGEST: Duration = Duration::from_secs(35);
-/// How much more a large account asks than a small one.
-const LARGE: f64 = 6.0;
-/// Sessions that are open at a time.
-const SESSIONS: u64 = 8;
-/// Requests, of all kinds, during which a group of sessions is open.
-const SESSION_SPAN: u64 = 200;
+/// Lowest request rate, of all entry hosts together.
+const RATE_PER_S: f64 = 150.0;
+/// Maximum length of a run; with many requests the rate rises instead.
+const RUN_MAX: Duration = Duration::from_secs(35);
+/// Weight of a large client account, one without a limit of requests in flight; a small one has 1.
+const LARGE_ACCOUNT_WEIGHT: f64 = 6.0;
+/// Number of sessions that are open at a time.
+const OPEN_SESSIONS: u64 = 8;
+/// Number of requests, inside and outside sessions, after which other sessions replace the open ones.
+const SESSION_SPAN_REQUESTS: u64 = 200;
 
 domain! {
-    /// What one request asks.
+    /// What a request calls.
     pub enum Kind {
         /// A chat completion.
         Chat {
-            /// The account's task.
+            /// Task of the client account.
             task: Name,
-            /// Whether the answer is to be streamed.
+            /// Whether the caller requests a streamed answer.
             stream: bool,
-            /// The session it belongs to.
+            /// Session that the request belongs to, if any.
             session: Option<Session>,
         },
         /// A call of a plain service.
         Service {
-            /// The service.
+            /// Name of the service.
             service: Name,
-            /// Whether it only reads.
+            /// Whether the call only reads (GET), and so may be repeated.
             read: bool,
         },
     }
 
-    /// A session, as the caller knows it.
+    /// A session that a caller plans.
     #[derive(Copy, Eq)]
     pub struct Session {
-        /// Its number.
+        /// Number of the session, unique in the plan.
         pub number: u64,
-        /// Whether the caller chose its name; otherwise it goes by a token of the system.
+        /// Whether the caller names the session; otherwise it uses the token that the entry returns.
         pub chosen: bool,
     }
 
-    /// One request.
+    /// A planned request.
     pub struct Request {
-        /// Its number; its text is made from it.
+        /// Number of the request, which makes its text unique.
         pub number: u64,
-        /// When it is sent, from the start.
+        /// Time at which the request is sent, since the start.
         pub at: Duration,
-        /// Who asks.
+        /// Client account of the caller.
         pub account: Name,
-        /// What.
+        /// What the request calls.
         pub kind: Kind,
-        /// Whether it may run more than once.
+        /// Whether the request may run more than once.
         pub may_repeat: bool,
-        /// Whether it comes with an idempotency key.
+        /// Whether the request carries an idempotency key.
         pub keyed: bool,
-        /// Whether the caller sends it twice, at once, by way of two entry hosts.
+        /// Whether the caller sends the request twice at the same time, to two entry hosts.
         pub twice: bool,
     }
 }
 
 impl Request {
-    /// The prompt or body; no two requests have the same.
+    /// Returns the prompt or body, which is unique to the request.
     #[must_use]
     pub fn text(&self) -> String {
         match &self.kind {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The session it belongs to, if any.
+    /// Returns the session that the request belongs to, if any.
     #[must_use]
     pub fn session(&self) -> Option<Session> {
         match self.kind {
@@ -87,57 +87,58 @@
     }
 }
 
-/// Draws for one request.
+/// Random draws for one request; each label has its own draw.
 struct Draw {
     seed: u64,
     number: u64,
 }
 
 impl Draw {
+    /// Draws a number from 0 to 1.
     fn share(&self, label: &str) -> f64 {
         draw::share(self.seed, &["demo", label, &self.number.to_string()])
     }
 
-    /// One of several, by their weights.
+    /// Draws one of several choices by their weights.
     fn pick<'a, T>(&self, label: &str, choices: &'a [(T, f64)]) -> Option<&'a T> {
         let total: f64 = choices.iter().map(|(_, weight)| weight).sum();
-        let mut left = self.share(label) * total;
-        let found = choices.iter().find(|(_, weight)| {
-            left -= weight;
-            left < 0.0
+        let mut remainder = self.share(label) * total;
+        let choice = choices.iter().find(|(_, weight)| {
+            remainder -= weight;
+            remainder < 0.0
         });
-        found.or(choices.last()).map(|(choice, _)| choice)
+        choice.or(choices.last()).map(|(choice, _)| choice)
     }
 }
 
-/// All requests, in the order of their times.
+/// Draws all requests, in the order of their times.
 #[must_use]
 pub fn plan(deployment: &Deployment, requests: u64, seed: u64) -> Vec<Request> {
-    let rate = RATE.max(requests as f64 / LONGEST.as_secs_f64());
-    let accounts = accounts(deployment);
+    let rate = RATE_PER_S.max(requests as f64 / RUN_MAX.as_secs_f64());
+    let accounts = weighted_accounts(deployment);
     let drawn = (0..requests).filter_map(|number| {
         let at = Duration::from_secs_f64(number as f64 / rate);
-        request(deployment, &accounts, &Draw { seed, number }, at)
+        draw_request(deployment, &accounts, &Draw { seed, number }, at)
     });
     drawn.collect()
 }
 
-fn accounts(deployment: &Deployment) -> Vec<(Name, f64)> {
+fn weighted_accounts(deployment: &Deployment) -> Vec<(Name, f64)> {
     let accounts = deployment.document.accounts.iter();
-    let weight = |in_flight: u32| if in_flight == 0 { LARGE } else { 1.0 };
+    let weight = |in_flight: u32| if in_flight == 0 { LARGE_ACCOUNT_WEIGHT } else { 1.0 };
     accounts.map(|(name, account)| (name.clone(), weight(account.limit.in_flight))).collect()
 }
 
-fn request(
+fn draw_request(
     deployment: &Deployment,
     accounts: &[(Name, f64)],
     draw: &Draw,
     at: Duration,
 ) -> Option<Request> {
-    let session = session(draw);
-    // A session is one account's, so its account is drawn by the session's number.
-    let by = session.map_or(draw.number, |session| session.number);
-    let name = Draw { seed: draw.seed, number: by }.pick("account", accounts)?.clone();
+    let session = draw_session(draw);
+    // All requests of a session belong to one client account, so the session's number draws it.
+    let draw_number = session.map_or(draw.number, |session| session.number);
+    let name = Draw { seed: draw.seed, number: draw_number }.pick("account", accounts)?.clone();
     let account = deployment.document.accounts.get(&name)?;
     let service = account.services.first().filter(|_| session.is_none());
     let (kind, may_repeat) = match service {
@@ -157,11 +158,11 @@
     Some(Request { number: draw.number, at, account: name, kind, may_repeat, keyed, twice })
 }
 
-fn session(draw: &Draw) -> Option<Session> {
+fn draw_session(draw: &Draw) -> Option<Session> {
     if draw.share("in a session") >= 0.2 {
         return None;
     }
-    let place = (draw.share("which session") * SESSIONS as f64) as u64;
-    let number = draw.number / SESSION_SPAN * SESSIONS + place;
+    let index = (draw.share("which session") * OPEN_SESSIONS as f64) as u64;
+    let number = draw.number / SESSION_SPAN_REQUESTS * OPEN_SESSIONS + index;
     Some(Session { number, chosen: number.is_multiple_of(2) })
 }
--- a/crates/chestnutspur/src/command/entry.rs
+++ b/crates/chestnutspur/src/command/entry.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur entry`.
+//! `chestnutspur entry`: runs the data plane of one entry host.
 
 use std::path::Path;
 
@@ -10,15 +10,15 @@
 use crate::exit::Exit;
 use crate::{logging, process};
 
-/// Runs the data plane until it is asked to stop.
+/// Runs the data plane until SIGTERM or SIGINT.
 pub fn run(file: &Path) -> Exit {
-    match super::load(file) {
+    match super::load_settings(file) {
         Some(Settings::Entry(settings)) => {
             logging::start(&settings.log);
             process::supervise("entry", None, |metrics, stop| start(settings, metrics, stop))
         }
         Some(_) => {
-            eprintln!("{}: role: these are not settings of entry", file.display());
+            eprintln!("{}: role: must be \"entry\"", file.display());
             Exit::Usage
         }
         None => Exit::Usage,
--- a/crates/chestnutspur/src/command/experiment.rs
+++ b/crates/chestnutspur/src/command/experiment.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur experiment`.
+//! `chestnutspur experiment`: simulates a fleet under overload.
 
 use std::path::{Path, PathBuf};
 
@@ -9,22 +9,22 @@
 
 use crate::exit::Exit;
 
-/// Which scenario, and how the result is printed
+/// Arguments of `experiment`
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
-    /// Print one JSON line for each way
+    /// Print one JSON line for each policy (way)
     pub json: bool,
     /// Also draw served.svg and in-time.svg into this directory
     #[bpaf(argument("DIR"))]
     pub svg: Option<PathBuf>,
-    /// The scenario
+    /// JSON file with the scenario
     #[bpaf(positional("SCENARIO"))]
     pub scenario: PathBuf,
 }
 
-/// Plays a scenario and prints what came out.
+/// Simulates a scenario and prints its results; draws plots if asked to.
 pub fn run(arguments: &Arguments) -> Exit {
-    let Some(text) = super::read(&arguments.scenario) else { return Exit::Usage };
+    let Some(text) = super::read_file(&arguments.scenario) else { return Exit::Usage };
     let scenario = match Scenario::parse(&text) {
         Ok(scenario) => scenario,
         Err(faults) => {
@@ -37,21 +37,21 @@
         true => rows.iter().for_each(|row| println!("{}", serde_json::json!(row))),
         false => print!("{}", report::table(&scenario, &rows)),
     }
-    let drawn = arguments.svg.as_ref().map_or(Ok(()), |directory| draw(directory, &rows));
-    match drawn {
-        Ok(()) => Exit::Done,
+    let result = arguments.svg.as_ref().map_or(Ok(()), |directory| draw(directory, &rows));
+    match result {
+        Ok(()) => Exit::Success,
         Err(error) => {
             eprintln!("chestnutspur: {error}");
-            Exit::Refused
+            Exit::Failure
         }
     }
 }
 
 fn draw(directory: &Path, rows: &[Row]) -> Result<(), String> {
-    let unwritten = |error: std::io::Error| format!("{}: {error}", directory.display());
-    std::fs::create_dir_all(directory).map_err(unwritten)?;
+    let to_message = |error: std::io::Error| format!("{}: {error}", directory.display());
+    std::fs::create_dir_all(directory).map_err(to_message)?;
     for (name, shown) in [("served.svg", Shown::Served), ("in-time.svg", Shown::InTime)] {
-        std::fs::write(directory.join(name), plot::shares(rows, shown)?).map_err(unwritten)?;
+        std::fs::write(directory.join(name), plot::shares(rows, shown)?).map_err(to_message)?;
     }
     Ok(())
 }
--- a/crates/chestnutspur/src/command/explain.rs
+++ b/crates/chestnutspur/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur explain`: a request's life, from logs alone.
+//! `chestnutspur explain`: the history of one request, from logs alone.
 
 use std::io::BufRead;
 
@@ -7,31 +7,31 @@
 
 use crate::exit::Exit;
 
-/// What hosts came to believe this long before a request's first line may have decided it, in
-/// seconds.
-const BEFORE_S: f64 = 10.0;
-/// Members that every line has, or that are printed apart.
-const PLAIN: [&str; 6] = ["at", "host", "level", "part", "event", "request"];
+/// How long before a request's first line the changes that hosts log are shown too, in seconds: they
+/// may have decided where the request was sent.
+const LOOKBACK_S: f64 = 10.0;
+/// Members left out of the `name=value` list: each line has them, or they are printed before it.
+const OMITTED_MEMBERS: [&str; 6] = ["at", "host", "level", "part", "event", "request"];
 
-/// Reads logs from standard input and prints what became of a request.
+/// Reads logs from standard input and prints the lines that concern a request.
 pub fn run(request: &str) -> Exit {
-    let lines = read();
+    let lines = read_lines();
     match explain(&lines, request) {
         found if found.is_empty() => {
             eprintln!(
-                "chestnutspur: no line names request {request}; are the logs of all hosts there?"
+                "chestnutspur: no line names request {request}; are the logs of all hosts included?"
             );
-            Exit::Refused
+            Exit::Failure
         }
         found => {
             found.iter().for_each(|line| println!("{line}"));
-            Exit::Done
+            Exit::Success
         }
     }
 }
 
-/// Lines of standard input that hold JSON.
-pub fn read() -> Vec<Line> {
+/// Reads the log lines of standard input and skips lines that hold no JSON object.
+pub fn read_lines() -> Vec<Line> {
     let lines = std::io::stdin().lock().lines().map_while(Result::ok);
     lines.filter_map(|line| Line::read(&line)).collect()
 }
@@ -48,43 +48,45 @@
     let backends: Vec<&str> = own.iter().map(|line| line.text("backend")).collect();
     let services: Vec<&str> = own.iter().map(|line| line.text("service")).collect();
     let digests: Vec<&str> = own.iter().map(|line| line.text("digest")).collect();
-    // The same request under other ids, at any host: its other tries, and the servers lost with it.
+    // Requests with the same digest are the same request under another id, at any host: retries by
+    // the caller, and backend servers lost while they ran it.
     let is_same = |line: &Line| {
         let digest = line.text("digest");
         !digest.is_empty() && digests.contains(&digest)
     };
-    let concerns = |line: &&Line| {
-        let is_near = (first - BEFORE_S..=last).contains(&line.at());
-        let names = |member: &str, all: &[&str]| {
+    let is_relevant = |line: &&Line| {
+        let is_near = (first - LOOKBACK_S..=last).contains(&line.at());
+        let is_any = |member: &str, values: &[&str]| {
             let value = line.text(member);
-            !value.is_empty() && all.contains(&value)
+            !value.is_empty() && values.contains(&value)
         };
-        let is_belief = match line.text("part") {
-            "watch" => names("backend", &backends) || line.0.contains_key("list"),
-            "rollout" => names("service", &services),
+        let is_change = match line.text("part") {
+            "watch" => is_any("backend", &backends) || line.0.contains_key("list"),
+            "rollout" => is_any("service", &services),
             "process" => true,
             _ => false,
         };
-        let is_belief = is_near && is_belief && hosts.contains(&line.text("host"));
-        line.text("request") != request && (is_same(line) || is_belief)
+        let is_change = is_near && is_change && hosts.contains(&line.text("host"));
+        line.text("request") != request && (is_same(line) || is_change)
     };
-    let mut found: Vec<&Line> = own.iter().copied().chain(lines.iter().filter(concerns)).collect();
+    let mut found: Vec<&Line> =
+        own.iter().copied().chain(lines.iter().filter(is_relevant)).collect();
     found.sort_by(|a, b| a.at().total_cmp(&b.at()));
-    found.into_iter().map(|line| tell(line, first, request)).collect()
+    found.into_iter().map(|line| format_line(line, first, request)).collect()
 }
 
-fn tell(line: &Line, first: f64, request: &str) -> String {
-    let own = if line.text("request") == request { '>' } else { ' ' };
-    let rest = line.0.iter().filter(|(name, _)| !PLAIN.contains(&name.as_str()));
-    let rest = rest.map(|(name, value)| match value {
+fn format_line(line: &Line, first: f64, request: &str) -> String {
+    let marker = if line.text("request") == request { '>' } else { ' ' };
+    let members = line.0.iter().filter(|(name, _)| !OMITTED_MEMBERS.contains(&name.as_str()));
+    let members = members.map(|(name, value)| match value {
         Value::String(text) => format!("{name}={text}"),
         value => format!("{name}={value}"),
     });
     format!(
-        "{own} {:+9.3} s  {}  {}: {}",
+        "{marker} {:+9.3} s  {}  {}: {}",
         line.at() - first,
         line.text("host"),
         line.text("event"),
-        rest.collect::<Vec<_>>().join(" ")
+        members.collect::<Vec<_>>().join(" ")
     )
 }
--- a/crates/chestnutspur/src/command/load.rs
+++ b/crates/chestnutspur/src/command/load.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur load`: an open-loop load driver that compares targets within one run.
+//! `chestnutspur load`: an open-loop load generator that compares several targets within one run.
 
 mod driver;
 mod processor;
@@ -11,37 +11,38 @@
 use crate::exit::Exit;
 use crate::process;
 
-/// What to send, and where
+/// Arguments of `load`
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
-    /// Where requests go
+    /// Address of the first target
     #[bpaf(argument("ADDR"))]
     pub to: SocketAddr,
-    /// A further target; requests alternate between all targets. May be given several times
+    /// Address of a further target; requests alternate between all targets. May be given several times
     #[bpaf(argument("ADDR"))]
     pub compare: Vec<SocketAddr>,
     /// Requests a second for each target
     #[bpaf(argument("R"))]
     pub rate: f64,
-    /// How long, after a warm-up of a second that is not counted
+    /// Length of the measurement, which follows an uncounted warm-up of one second
     #[bpaf(argument("S"))]
     pub seconds: f64,
-    /// The account's key
+    /// Key of the client account
     #[bpaf(argument("KEY"), fallback(String::new()))]
     pub key: String,
-    /// The model or version to ask for
+    /// Model or version to request
     #[bpaf(argument("NAME"), fallback("dossier-small-3".to_owned()), display_fallback)]
     pub model: String,
-    /// The task, which is also the prompt's first word
+    /// Task of the requests; also the first word of each prompt
     #[bpaf(argument("NAME"), fallback("tag".to_owned()), display_fallback)]
     pub task: String,
-    /// Ask for streamed answers
+    /// Request streamed answers
     pub stream: bool,
-    /// Requests under way at most for each target; over it they count as failed
+    /// Maximum number of requests in flight for each target; a request above it is not sent and counts
+    /// as failed
     #[bpaf(argument("N"), fallback(1000), display_fallback)]
     pub in_flight: usize,
-    /// Process behind a target, in the order of the targets, to report its processor time; 0 for
-    /// none
+    /// Id of the process behind a target, to report its processor time; give one for each target, in
+    /// their order, and 0 where there is none
     #[bpaf(argument("PID"))]
     pub pid: Vec<u32>,
     /// Print one JSON line
@@ -53,8 +54,8 @@
         std::iter::once(self.to).chain(self.compare.iter().copied()).collect()
     }
 
-    /// The first thing wrong with the numbers.
-    fn fault(&self) -> Option<&'static str> {
+    /// Returns the first fault of the numeric arguments.
+    fn find_fault(&self) -> Option<&'static str> {
         match self {
             Self { rate, .. } if !(rate.is_finite() && *rate > 0.0) => {
                 Some("--rate must be above 0")
@@ -68,9 +69,9 @@
     }
 }
 
-/// Drives the load and prints what came of it; exit 1 if any request failed.
+/// Sends the load and prints a summary; exit code 1 if any request failed.
 pub fn run(arguments: &Arguments) -> Exit {
-    if let Some(fault) = arguments.fault() {
+    if let Some(fault) = arguments.find_fault() {
         eprintln!("chestnutspur: {fault}");
         return Exit::Usage;
     }
@@ -91,5 +92,5 @@
         false => print!("{summary}"),
     }
     let failed = summary.targets.iter().any(|target| target.failed > 0);
-    if failed { Exit::Refused } else { Exit::Done }
+    if failed { Exit::Failure } else { Exit::Success }
 }
--- a/crates/chestnutspur/src/command/load/driver.rs
+++ b/crates/chestnutspur/src/command/load/driver.rs
@@ -1,4 +1,4 @@
-//! Sends requests at their intended times, whether or not earlier ones were answered.
+//! Sends each request at its intended time, whether or not earlier ones were answered.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,27 +18,28 @@
 
 use super::{Arguments, processor};
 
-/// Not counted: connections are made and caches filled.
+/// Time before the measurement in which connections are opened and caches filled; its requests don't
+/// count.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// How long the last requests are waited for.
-const LAST: Duration = Duration::from_secs(10);
-/// Longest latency distinguished, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
-const DIGITS: u8 = 3;
+/// How long after the last request was sent its answer is waited for.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Highest latency that the histogram records; longer ones count as this.
+const LATENCY_MAX_US: u64 = 60_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Why there was no load.
+/// Why no load was sent.
 #[derive(Debug)]
 pub enum Error {
-    /// A key, task or model that no request can carry.
+    /// The key or task can't stand in a header.
     Request(http::Error),
-    /// The histogram's bounds.
+    /// The bounds of a latency histogram are invalid.
     Histogram(hdrhistogram::CreationError),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Request(error) => write!(f, "no request can be made of that: {error}"),
+            Self::Request(error) => write!(f, "the key or task can't be sent: {error}"),
             Self::Histogram(error) => write!(f, "histogram: {error}"),
         }
     }
@@ -56,15 +57,16 @@
     }
 }
 
-/// What came of one target.
+/// Measurements of one target.
 pub struct Result {
-    /// Where it is.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// Latencies of whole answers from the intended send time, in microseconds.
+    /// Latencies of complete 2xx answers since the intended send time, in microseconds.
     pub latency: Histogram<u64>,
-    /// Requests without a whole answer, or with another status than 2xx, by what went wrong.
+    /// Number of requests without a complete answer or with a status other than 2xx, by reason.
     pub failed: BTreeMap<String, u64>,
-    /// Processor time of its process over the counted time.
+    /// Processor time that the target's process used during the measurement; none if its process id
+    /// is unknown or can't be read.
     pub processor: Option<Duration>,
 }
 
@@ -73,13 +75,13 @@
     in_flight: AtomicUsize,
 }
 
-/// One request's end.
-struct End {
+/// The outcome of one request; `target` is an index.
+struct Completion {
     target: usize,
     latency: std::result::Result<Duration, String>,
 }
 
-/// Makes the load's requests; each has its own id and prompt.
+/// Builds the requests of a load, each with its own id and prompt.
 #[derive(Clone)]
 struct Template {
     head: request::Parts,
@@ -114,15 +116,15 @@
     }
 }
 
-/// Drives the whole load.
+/// Sends the warm-up and the measured load.
 ///
 /// # Errors
-/// When nothing could be sent at all.
+/// If no request can be built.
 pub async fn drive(arguments: &Arguments) -> std::result::Result<Vec<Result>, Error> {
     let template = Template::new(arguments)?;
     let mut results = Vec::new();
     for address in arguments.targets() {
-        let latency = Histogram::new_with_bounds(1, LONGEST_US, DIGITS)?;
+        let latency = Histogram::new_with_bounds(1, LATENCY_MAX_US, SIGNIFICANT_DIGITS)?;
         results.push(Result { address, latency, failed: BTreeMap::new(), processor: None });
     }
     let targets: Arc<[Target]> = arguments
@@ -132,54 +134,55 @@
         .collect();
     let counted = Duration::from_secs_f64(arguments.seconds);
     send(&template, &targets, WARM_UP, |_| {}).await;
-    let before: Vec<_> = arguments.pid.iter().map(|pid| processor::used(*pid)).collect();
-    send(&template, &targets, counted, |end| record(&mut results, &end)).await;
+    let before: Vec<_> = arguments.pid.iter().map(|pid| processor::cpu_time(*pid)).collect();
+    send(&template, &targets, counted, |completion| record(&mut results, &completion)).await;
     for ((result, pid), before) in results.iter_mut().zip(&arguments.pid).zip(before) {
-        let after = processor::used(*pid);
+        let after = processor::cpu_time(*pid);
         result.processor = after.zip(before).map(|(after, before)| after.saturating_sub(before));
     }
     Ok(results)
 }
 
-fn record(results: &mut [Result], end: &End) {
-    let Some(result) = results.get_mut(end.target) else { return };
-    match &end.latency {
+fn record(results: &mut [Result], completion: &Completion) {
+    let Some(result) = results.get_mut(completion.target) else { return };
+    match &completion.latency {
         Ok(latency) => {
             let us = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
             result.latency.saturating_record(us.max(1));
         }
-        Err(why) => *result.failed.entry(why.clone()).or_default() += 1,
+        Err(reason) => *result.failed.entry(reason.clone()).or_default() += 1,
     }
 }
 
-/// Sends for a time, and waits for the last ends.
+/// Sends requests for `length`, and passes each completion to `record`.
 async fn send(
     template: &Template,
     targets: &Arc<[Target]>,
     length: Duration,
-    mut record: impl FnMut(End),
+    mut record: impl FnMut(Completion),
 ) {
-    let (ends, mut ended) = mpsc::unbounded_channel();
+    let (completions, mut completed) = mpsc::unbounded_channel();
     let (template, targets) = (template.clone(), Arc::clone(targets));
     let runtime = tokio::runtime::Handle::current();
-    // The runtime's timer counts whole milliseconds, too coarse for what is measured here; a
-    // sleeping thread is woken within some tens of microseconds.
-    let pace = std::thread::spawn(move || pace(&runtime, &template, &targets, length, &ends));
-    let deadline = tokio::time::Instant::now() + length + LAST;
-    while let Ok(Some(end)) = tokio::time::timeout_at(deadline, ended.recv()).await {
-        record(end);
+    // The runtime's timer has a resolution of one millisecond, too coarse for the latencies
+    // measured here. A sleeping thread wakes up within some tens of microseconds.
+    let pacer =
+        std::thread::spawn(move || send_paced(&runtime, &template, &targets, length, &completions));
+    let deadline = tokio::time::Instant::now() + length + DRAIN_TIMEOUT;
+    while let Ok(Some(completion)) = tokio::time::timeout_at(deadline, completed.recv()).await {
+        record(completion);
     }
-    if pace.join().is_err() {
+    if pacer.join().is_err() {
         log::error!("load: the pacing thread failed");
     }
 }
 
-fn pace(
+fn send_paced(
     runtime: &tokio::runtime::Handle,
     template: &Template,
     targets: &Arc<[Target]>,
     length: Duration,
-    ends: &mpsc::UnboundedSender<End>,
+    completions: &mpsc::UnboundedSender<Completion>,
 ) {
     let count = targets.len() as u64;
     let interval = 1.0 / (template.arguments.rate * count as f64);
@@ -190,24 +193,24 @@
         std::thread::sleep(intended.saturating_duration_since(Instant::now()));
         let index = usize::try_from(number % count).unwrap_or_default();
         let request = template.request(number);
-        let (targets, ends) = (Arc::clone(targets), ends.clone());
+        let (targets, completions) = (Arc::clone(targets), completions.clone());
         let limit = template.arguments.in_flight;
         runtime.spawn(async move {
-            let answered = one(&targets[index], request, limit).await;
-            let latency = answered.map(|()| intended.elapsed());
-            // The collector is gone once it has waited long enough.
-            let _ = ends.send(End { target: index, latency });
+            let result = send_one(&targets[index], request, limit).await;
+            let latency = result.map(|()| intended.elapsed());
+            // The receiver is closed after the drain timeout.
+            let _ = completions.send(Completion { target: index, latency });
         });
     }
 }
 
-async fn one(
+async fn send_one(
     target: &Target,
     request: Request<Bytes>,
     limit: usize,
 ) -> std::result::Result<(), String> {
-    let under_way = target.in_flight.fetch_add(1, Ordering::Relaxed);
-    let answer = match under_way < limit {
+    let in_flight = target.in_flight.fetch_add(1, Ordering::Relaxed);
+    let answer = match in_flight < limit {
         true => Some(target.client.call(request).await),
         false => None,
     };
@@ -216,7 +219,7 @@
         Some(Ok(answer)) if answer.status().is_success() => Ok(()),
         Some(Ok(answer)) => Err(format!("status {}", answer.status().as_u16())),
         Some(Err(client::Error::Connect(error))) => Err(format!("no connection: {error}")),
-        Some(Err(client::Error::Http(_))) => Err("broken off".to_owned()),
-        None => Err("not sent: too many under way".to_owned()),
+        Some(Err(client::Error::Http(_))) => Err("connection broke".to_owned()),
+        None => Err("not sent: too many requests in flight".to_owned()),
     }
 }
--- a/crates/chestnutspur/src/command/load/summary.rs
+++ b/crates/chestnutspur/src/command/load/summary.rs
@@ -1,4 +1,4 @@
-//! What the load driver prints.
+//! The printed summary of a load.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,46 +9,46 @@
 use super::driver::Result;
 
 domain! {
-    /// One run.
+    /// Results of one run, as `--json` prints them.
     pub struct Summary {
-        /// Requests a second for each target, as asked for.
+        /// Requests a second to each target, as `--rate` asks for.
         pub rate: f64,
-        /// Seconds counted.
+        /// Length of the measurement in seconds, without the warm-up.
         pub seconds: f64,
-        /// Each target; all others are compared with the first.
+        /// Results by target, in the order of the command line. The first is the baseline of the others.
         pub targets: Vec<Target>,
     }
 
-    /// One target.
+    /// Results of one target.
     pub struct Target {
-        /// Where it is.
+        /// Address of the target.
         pub address: String,
-        /// Whole answers.
+        /// Number of complete 2xx answers.
         pub answered: u64,
-        /// Requests without one.
+        /// Number of requests without a complete 2xx answer.
         pub failed: u64,
-        /// What went wrong with those.
+        /// Number of failed requests by reason.
         pub failures: BTreeMap<String, u64>,
-        /// Median latency from the intended send time, in milliseconds.
+        /// Median latency since the intended send time, in milliseconds.
         pub p50_ms: f64,
-        /// 90 in 100 are no longer.
+        /// 90th percentile of the latency, in milliseconds.
         pub p90_ms: f64,
-        /// 99 in 100 are no longer.
+        /// 99th percentile of the latency, in milliseconds.
         pub p99_ms: f64,
-        /// The longest.
+        /// Maximum latency, in milliseconds.
         pub max_ms: f64,
-        /// Median latency above the first target's.
+        /// Median latency minus that of the first target, in milliseconds.
         pub added_p50_ms: f64,
-        /// Processor time of its process for each answer, in microseconds.
+        /// Processor time of the target's process per answer, in microseconds; none if unknown.
         pub processor_us: Option<f64>,
     }
 }
 
 impl Summary {
-    /// Of a run's results.
+    /// Summarizes the measurements of a run.
     #[must_use]
-    pub fn new(arguments: &Arguments, results: &[Result]) -> Self {
-        let mut targets: Vec<Target> = results.iter().map(Target::new).collect();
+    pub fn new(arguments: &Arguments, measurements: &[Result]) -> Self {
+        let mut targets: Vec<Target> = measurements.iter().map(Target::new).collect();
         let first = targets.first().map_or(0.0, |target| target.p50_ms);
         for target in &mut targets {
             target.added_p50_ms = target.p50_ms - first;
@@ -58,22 +58,23 @@
 }
 
 impl Target {
-    fn new(result: &Result) -> Self {
-        let latency = &result.latency;
+    fn new(measurement: &Result) -> Self {
+        let latency = &measurement.latency;
         let answered = latency.len();
         let ms = |us: u64| us as f64 / 1000.0;
-        let each = |time: std::time::Duration| time.as_secs_f64() * 1e6 / answered.max(1) as f64;
+        let per_answer_us =
+            |time: std::time::Duration| time.as_secs_f64() * 1e6 / answered.max(1) as f64;
         Self {
-            address: result.address.to_string(),
+            address: measurement.address.to_string(),
             answered,
-            failed: result.failed.values().sum(),
-            failures: result.failed.clone(),
+            failed: measurement.failed.values().sum(),
+            failures: measurement.failed.clone(),
             p50_ms: ms(latency.value_at_quantile(0.5)),
             p90_ms: ms(latency.value_at_quantile(0.9)),
             p99_ms: ms(latency.value_at_quantile(0.99)),
             max_ms: ms(latency.max()),
             added_p50_ms: 0.0,
-            processor_us: result.processor.map(each),
+            processor_us: measurement.processor.map(per_answer_us),
         }
     }
 }
--- a/crates/chestnutspur/src/command/node.rs
+++ b/crates/chestnutspur/src/command/node.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur node`.
+//! `chestnutspur node`: runs a complete entry host and reloads its settings.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::exit::Exit;
 use crate::{logging, process};
 
-/// Between two looks at the settings file: it may change without a signal.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval at which the settings file is read again: it may change without a SIGHUP.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a whole entry host until it is asked to stop.
+/// Runs an entry host until SIGTERM or SIGINT.
 pub fn run(file: &Path) -> Exit {
-    match super::load(file) {
+    match super::load_settings(file) {
         Some(Settings::Node(settings)) => {
             logging::start_json(&settings.log, &settings.name);
             let threads = usize::try_from(settings.threads).unwrap_or(1);
@@ -28,7 +28,7 @@
             })
         }
         Some(_) => {
-            eprintln!("{}: role: these are not settings of node", file.display());
+            eprintln!("{}: role: must be \"node\"", file.display());
             Exit::Usage
         }
         None => Exit::Usage,
@@ -44,16 +44,17 @@
     let hangup = signal(SignalKind::hangup()).map_err(|error| error.to_string())?;
     let listeners = Listeners::bind(&settings).await.map_err(|error| error.to_string())?;
     let (changes, changed) = mpsc::unbounded_channel();
-    tokio::spawn(follow(file, settings.clone(), hangup, changes));
+    tokio::spawn(watch_settings(file, settings.clone(), hangup, changes));
     let platform = (platform::Client::new(settings.platform), platform::Codec);
     node::run(settings, changed, listeners, platform, metrics, stop).await;
     Ok(())
 }
 
-/// Reads the settings again when they change. A file with faults changes nothing.
-async fn follow(
+/// Sends the settings to the node whenever the file changes them. A file with faults changes nothing,
+/// and is reported once.
+async fn watch_settings(
     file: PathBuf,
-    mut held: settings::Node,
+    mut current: settings::Node,
     mut hangup: tokio::signal::unix::Signal,
     changes: mpsc::UnboundedSender<settings::Node>,
 ) {
@@ -61,22 +62,22 @@
     loop {
         tokio::select! {
             _ = hangup.recv() => log::info!(target: "process", "SIGHUP, settings read again"),
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
         }
-        let now = match std::fs::read_to_string(&file) {
-            Ok(now) if now == text => continue,
-            Ok(now) => now,
+        let new_text = match std::fs::read_to_string(&file) {
+            Ok(new_text) if new_text == text => continue,
+            Ok(new_text) => new_text,
             Err(error) => {
                 log::warn!(target: "process", error:% = error; "settings can't be read");
                 continue;
             }
         };
-        text = now;
+        text = new_text;
         match settings::parse(&text) {
-            Ok(Settings::Node(read)) if read == held => {}
+            Ok(Settings::Node(read)) if read == current => {}
             Ok(Settings::Node(read)) => {
                 logging::start_json(&read.log, &read.name);
-                held = read.clone();
+                current = read.clone();
                 if changes.send(read).is_err() {
                     return;
                 }
--- a/crates/chestnutspur/src/command/replay.rs
+++ b/crates/chestnutspur/src/command/replay.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur replay`.
+//! `chestnutspur replay`: replays traces and checks the outcomes that they state.
 
 use std::path::{Path, PathBuf};
 
@@ -10,24 +10,24 @@
 
 use crate::exit::Exit;
 
-/// Which traces, and by which policy
+/// Arguments of `replay`
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
-    /// Replay with a policy to measure against: best, cheapest, split, likelihood, undetected,
+    /// Replay with another policy, as a baseline: best, cheapest, split, likelihood, undetected,
     /// random-server or least-reported [default: planned]
     #[bpaf(argument("NAME"), fallback("planned".to_owned()))]
     pub policy: String,
-    /// Replay with so many entry hosts instead of the trace's
+    /// Number of entry hosts, instead of the trace's own
     #[bpaf(argument("COUNT"))]
     pub entry_hosts: Option<u32>,
     /// Print one JSON line for each trace
     pub json: bool,
-    /// The traces
+    /// Files with traces
     #[bpaf(positional("TRACE"), some("at least one trace is needed"))]
     pub traces: Vec<PathBuf>,
 }
 
-/// Replays all traces and prints what came out; an outcome that was not held is exit 1.
+/// Replays all traces and prints a report of each; exit code 1 if a stated outcome was missed.
 pub fn run(arguments: &Arguments) -> Exit {
     let Some(variant) = Variant::by_name(&arguments.policy) else {
         eprintln!("chestnutspur: --policy must be one of {}", NAMES.join(", "));
@@ -38,22 +38,22 @@
         return Exit::Usage;
     }
     let options = Options { variant, entry_hosts: arguments.entry_hosts };
-    let one = |file: &PathBuf| one(file, &arguments.policy, options);
-    let reports: Option<Vec<Report>> = arguments.traces.iter().map(one).collect();
+    let replay = |file: &PathBuf| replay_file(file, &arguments.policy, options);
+    let reports: Option<Vec<Report>> = arguments.traces.iter().map(replay).collect();
     let Some(reports) = reports else { return Exit::Usage };
     match arguments.json {
         true => reports.iter().for_each(|report| println!("{}", serde_json::json!(report))),
         false => print!("{}", report::table(&reports)),
     }
     match reports.iter().all(|report| report.held) {
-        true => Exit::Done,
-        false => Exit::Refused,
+        true => Exit::Success,
+        false => Exit::Failure,
     }
 }
 
-fn one(file: &Path, policy: &str, options: Options) -> Option<Report> {
+fn replay_file(file: &Path, policy: &str, options: Options) -> Option<Report> {
     let name = file.display().to_string();
-    let text = super::read(file)?;
+    let text = super::read_file(file)?;
     match trace::parse(&name, &text) {
         Ok(trace) => Some(report::report(&name, policy, &trace, options)),
         Err(fault) => {
--- a/crates/chestnutspur/src/command/report.rs
+++ b/crates/chestnutspur/src/command/report.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur report`.
+//! `chestnutspur report`: reports on a running deployment.
 
 mod decisions;
 
@@ -14,68 +14,69 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-/// The reports there are
+/// Kinds of reports
 #[derive(Clone, Debug, Bpaf)]
 pub enum Report {
-    /// Error budgets of the service levels, burnt over short and long windows
+    /// Show how fast the error budgets of the service levels burn, over short and long windows
     #[bpaf(command)]
     Burn(#[bpaf(external(arguments))] Arguments),
-    /// What became of requests and why some were late, from logs on standard input
+    /// Show the outcomes of requests and why some were late, from logs on standard input
     ///
-    /// Takes the JSON lines of `node`, of all hosts together and in any order; what stands before a
-    /// line's brace is passed over. Sums by route, failure domain, prompt and time, and expected
-    /// against real times by model and backend server. Exit code 1 if no request ended in the logs.
+    /// Reads the JSON lines of `node`, from all hosts together and in any order; text before a line's
+    /// first brace is ignored. Prints sums by route, failure domain, prompt and time, and compares
+    /// expected with measured times by model and backend server. Exit code 1 if no request ended in
+    /// the logs.
     #[bpaf(command)]
     Decisions(#[bpaf(external(decisions::arguments))] decisions::Arguments),
 }
 
-/// Which control to ask, and what to make of its answer
+/// Arguments of `report burn`
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
-    /// A control's operators' address; it has the counts of all hosts in reach of it
+    /// Address of a control's operators' port; that control has the counts of all hosts it can reach
     #[bpaf(argument("ADDR"))]
     from: SocketAddr,
-    /// Also write a page with the plots
+    /// Also write an HTML page with the plots to this file
     #[bpaf(argument("FILE"))]
     html: Option<PathBuf>,
     /// Print one JSON line
     json: bool,
 }
 
-/// Prints one report.
+/// Runs one report.
 pub fn run(report: Report) -> Exit {
     match report {
-        Report::Burn(arguments) => process::block_on(show(arguments)),
+        Report::Burn(arguments) => process::block_on(run_burn(arguments)),
         Report::Decisions(arguments) => decisions::run(&arguments),
     }
 }
 
-async fn show(arguments: Arguments) -> Exit {
-    match read(&arguments).await {
-        Ok(()) => Exit::Done,
+async fn run_burn(arguments: Arguments) -> Exit {
+    match report_burn(&arguments).await {
+        Ok(()) => Exit::Success,
         Err(message) => {
             eprintln!("chestnutspur: {message}");
-            Exit::Refused
+            Exit::Failure
         }
     }
 }
 
-async fn read(arguments: &Arguments) -> Result<(), String> {
-    let answer = Call::get("/burn").send(arguments.from).await?;
-    let report: burn::Report = serde_json::from_slice(&answer.body)
-        .map_err(|error| format!("{}: not a report: {error}", arguments.from))?;
+async fn report_burn(arguments: &Arguments) -> Result<(), String> {
+    let response = Call::get("/burn").send(arguments.from).await?;
+    let report: burn::Report = serde_json::from_slice(&response.body)
+        .map_err(|error| format!("{}: not a burn report: {error}", arguments.from))?;
     match arguments.json {
-        true => command::print_json(&answer.body, true),
-        false => print!("{}", table(&report)),
+        true => command::print_json(&response.body, true),
+        false => print!("{}", format_table(&report)),
     }
     match &arguments.html {
-        Some(file) => write(file, &report, arguments.from).await,
+        Some(file) => write_page(file, &report, arguments.from).await,
         None => Ok(()),
     }
 }
 
-/// One line for each service level and window.
-fn table(report: &burn::Report) -> String {
+/// Formats one line for each service level and window.
+fn format_table(report: &burn::Report) -> String {
     let mut text = format!(
         "{:<20} {:<16} {:<12} {:>9} {:>9} {:>7} {:>7} {:>7} {:>7}  {}\n",
         "level", "account", "task", "objective", "within", "short", "burn", "long", "burn", "alert"
@@ -100,8 +101,8 @@
     text
 }
 
-/// A page that holds the plots themselves, so that it can be sent on.
-async fn write(file: &Path, report: &burn::Report, from: SocketAddr) -> Result<(), String> {
+/// Writes a page with the plots embedded, so that the file can be passed on by itself.
+async fn write_page(file: &Path, report: &burn::Report, from: SocketAddr) -> Result<(), String> {
     let mut page = String::from("<!doctype html>\n<meta charset=utf-8>\n<title>Burn</title>\n");
     for level in &report.levels {
         let path = format!("/burn.svg?level={}", level.name);
--- a/crates/chestnutspur/src/command/report/decisions.rs
+++ b/crates/chestnutspur/src/command/report/decisions.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur report decisions`: what became of requests, from logs alone.
+//! `chestnutspur report decisions`: outcomes of requests and causes of lateness, from logs alone.
 
 use std::path::{Path, PathBuf};
 
@@ -8,10 +8,11 @@
 use crate::command::explain;
 use crate::exit::Exit;
 
-/// What to make of the logs
+/// Arguments of `report decisions`
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
-    /// Also draw outcomes by time and expected against real times, as SVG files in a directory
+    /// Also plot outcomes over time, and expected against measured times, as SVG files in this
+    /// directory
     #[bpaf(argument("DIR"))]
     svg: Option<PathBuf>,
     /// Print one JSON line
@@ -20,16 +21,16 @@
 
 /// Reads logs from standard input and prints the report.
 pub fn run(arguments: &Arguments) -> Exit {
-    let report = Report::of(&explain::read());
+    let report = Report::of(&explain::read_lines());
     if report.all.requests == 0 {
-        eprintln!("chestnutspur: no request ended in these logs; are they those of `node`?");
-        return Exit::Refused;
+        eprintln!("chestnutspur: no request ended in these logs; are they logs of `node`?");
+        return Exit::Failure;
     }
     match show(arguments, &report) {
-        Ok(()) => Exit::Done,
+        Ok(()) => Exit::Success,
         Err(message) => {
             eprintln!("chestnutspur: {message}");
-            Exit::Refused
+            Exit::Failure
         }
     }
 }
@@ -46,14 +47,14 @@
 }
 
 fn draw(directory: &Path, report: &Report) -> Result<(), String> {
-    let failed = |error| format!("{}: {error}", directory.display());
-    std::fs::create_dir_all(directory).map_err(failed)?;
+    let to_message = |error| format!("{}: {error}", directory.display());
+    std::fs::create_dir_all(directory).map_err(to_message)?;
     let pictures = [
         ("outcomes.svg", plot::outcomes(report)?),
         ("calibration.svg", plot::calibration(report)?),
     ];
     for (name, picture) in pictures {
-        std::fs::write(directory.join(name), picture).map_err(failed)?;
+        std::fs::write(directory.join(name), picture).map_err(to_message)?;
     }
     Ok(())
 }
--- a/crates/chestnutspur/src/command/standin.rs
+++ b/crates/chestnutspur/src/command/standin.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur standin`: stand-ins as processes, to try a deployment by hand and for tests.
+//! `chestnutspur standin`: runs stand-ins as processes, for tests and for trying out a deployment.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,19 +14,20 @@
 use crate::exit::Exit;
 use crate::{command, logging, process};
 
-/// The stand-ins there are.
+/// Kinds of stand-ins
 #[derive(Clone, Debug, Bpaf)]
 pub enum Standin {
-    /// The platform: table, objects, host list. Takes PUT /hosts and PUT /faults, shows GET /records
+    /// The platform: table, objects and host list. Accepts PUT /hosts and PUT /faults; GET /records
+    /// returns what it recorded
     #[bpaf(command)]
     Platform {
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(argument("ADDR"), fallback(any_port()), display_fallback)]
         listen: SocketAddr,
-        /// Start with this deployment's configuration and hosts: nl-centraal or midlands
+        /// Deployment whose configuration and hosts it starts with: nl-centraal or midlands
         #[bpaf(argument("NAME"))]
         deployment: Option<String>,
-        /// JSON file with hosts, rows and faults; instead of --deployment
+        /// JSON file with hosts, rows and faults; ignored with --deployment
         #[bpaf(argument("FILE"))]
         settings: Option<PathBuf>,
         /// Configuration document to start with
@@ -36,13 +37,13 @@
         #[bpaf(argument("FILE"))]
         hosts: Option<PathBuf>,
     },
-    /// A model engine: chat completions in JSON and as a stream
+    /// A model engine, which answers chat completions as JSON or as a stream
     #[bpaf(command)]
     Engine(#[bpaf(external(backend))] Backend),
     /// The service that rates answers
     #[bpaf(command)]
     Rater {
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(argument("ADDR"), fallback(any_port()), display_fallback)]
         listen: SocketAddr,
         /// JSON file with faults
@@ -52,32 +53,32 @@
     /// A plain service that echoes its calls
     #[bpaf(command)]
     Service(#[bpaf(external(backend))] Backend),
-    /// A plain HTTP pass-through on the same libraries as entry, to compare latency with
+    /// A plain HTTP proxy on the same libraries as entry, as a baseline for its latency
     #[bpaf(command)]
     Passthrough {
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(argument("ADDR"), fallback(any_port()), display_fallback)]
         listen: SocketAddr,
-        /// Where to pass requests on to
+        /// Address that requests are forwarded to
         #[bpaf(argument("ADDR"))]
         to: SocketAddr,
     },
-    /// All backend servers and raters of a deployment, at the addresses of its host list
+    /// All backend servers and raters of a deployment, on the addresses in its host list
     #[bpaf(command)]
     Workers {
-        /// nl-centraal or midlands
+        /// Name of the deployment: nl-centraal or midlands
         #[bpaf(argument("NAME"))]
         deployment: String,
-        /// What quality is drawn by
+        /// Seed that the quality of answers is drawn from
         #[bpaf(argument("NUMBER"), fallback(1), display_fallback)]
         seed: u64,
     },
 }
 
-/// One backend server
+/// Arguments of a backend server
 #[derive(Clone, Debug, Bpaf)]
 pub struct Backend {
-    /// Where to listen
+    /// Address to listen on
     #[bpaf(argument("ADDR"), fallback(any_port()), display_fallback)]
     listen: SocketAddr,
     /// JSON file with settings
@@ -91,13 +92,13 @@
 
 /// Why a stand-in did not start.
 enum Error {
-    /// Said on standard error already.
+    /// The faults of a file, printed on standard error already.
     Reported,
-    /// The deployment can't be used.
+    /// The deployment is unknown or invalid.
     Deployment(deployment::Error),
-    /// An address can't be listened on, or signals not be waited for.
+    /// An address can't be bound, or signal handlers can't be installed.
     Io(std::io::Error),
-    /// An address of the host list is none.
+    /// The host list has an invalid address.
     Address(std::net::AddrParseError),
 }
 
@@ -119,12 +120,12 @@
     }
 }
 
-/// Runs stand-ins until SIGTERM or SIGINT.
+/// Runs a stand-in until SIGTERM or SIGINT.
 pub fn run(standin: Standin) -> Exit {
     logging::start("info");
     process::block_on(async {
         match serve(standin).await {
-            Ok(()) => return Exit::Done,
+            Ok(()) => return Exit::Success,
             Err(Error::Reported) => {}
             Err(Error::Deployment(error)) => eprintln!("chestnutspur: {error}"),
             Err(Error::Io(error)) => eprintln!("chestnutspur: {error}"),
@@ -139,53 +140,53 @@
         Standin::Platform { listen, deployment, settings, configuration, hosts } => {
             let mut settings = match deployment {
                 Some(name) => Deployment::named(&name)?.platform(),
-                None => read(settings.as_deref())?,
+                None => read_settings(settings.as_deref())?,
             };
             if let Some(file) = configuration {
-                settings.rows = deployment::rows(&document(&file)?);
+                settings.rows = deployment::rows(&read_document(&file)?);
             }
             if hosts.is_some() {
-                settings.hosts = read(hosts.as_deref())?;
+                settings.hosts = read_settings(hosts.as_deref())?;
             }
-            until_stopped(&platform::start(listen, settings)?).await
+            run_until_stopped(&platform::start(listen, settings)?).await
         }
         Standin::Engine(Backend { listen, settings }) => {
-            until_stopped(&engine::start(listen, read(settings.as_deref())?)?).await
+            run_until_stopped(&engine::start(listen, read_settings(settings.as_deref())?)?).await
         }
         Standin::Rater { listen, settings } => {
-            until_stopped(&rater::start(listen, read(settings.as_deref())?)?).await
+            run_until_stopped(&rater::start(listen, read_settings(settings.as_deref())?)?).await
         }
         Standin::Service(Backend { listen, settings }) => {
-            until_stopped(&service::start(listen, read(settings.as_deref())?)?).await
+            run_until_stopped(&service::start(listen, read_settings(settings.as_deref())?)?).await
         }
         Standin::Passthrough { listen, to } => {
-            until_stopped(&passthrough::start(listen, to)?).await
+            run_until_stopped(&passthrough::start(listen, to)?).await
         }
         Standin::Workers { deployment, seed } => {
-            workers(&Deployment::named(&deployment)?, seed).await
+            run_workers(&Deployment::named(&deployment)?, seed).await
         }
     }
 }
 
-/// Reads a settings file; none is the default.
-fn read<T: DeserializeOwned + Default>(file: Option<&Path>) -> Result<T, Error> {
+/// Reads a settings file; without a file the settings have their default values.
+fn read_settings<T: DeserializeOwned + Default>(file: Option<&Path>) -> Result<T, Error> {
     let Some(file) = file else { return Ok(T::default()) };
-    let text = command::read(file).ok_or(Error::Reported)?;
+    let text = command::read_file(file).ok_or(Error::Reported)?;
     serde_json::from_str(&text).map_err(|error| {
         eprintln!("{}: {error}", file.display());
         Error::Reported
     })
 }
 
-fn document(file: &Path) -> Result<Document, Error> {
-    let text = command::read(file).ok_or(Error::Reported)?;
+fn read_document(file: &Path) -> Result<Document, Error> {
+    let text = command::read_file(file).ok_or(Error::Reported)?;
     check::parse(&text).map_err(|faults| {
         command::print_faults(file, &faults);
         Error::Reported
     })
 }
 
-async fn until_stopped<H>(running: &Running<H>) -> Result<(), Error> {
+async fn run_until_stopped<H>(running: &Running<H>) -> Result<(), Error> {
     let stop = process::stop_on_signal()?;
     process::print_listening(&[("address", running.address)]);
     stop.cancelled().await;
@@ -194,7 +195,7 @@
     Ok(())
 }
 
-async fn workers(deployment: &Deployment, seed: u64) -> Result<(), Error> {
+async fn run_workers(deployment: &Deployment, seed: u64) -> Result<(), Error> {
     let stop = process::stop_on_signal()?;
     let mut engines = Vec::new();
     let mut services = Vec::new();
--- a/crates/chestnutspur/src/exit.rs
+++ b/crates/chestnutspur/src/exit.rs
@@ -1,21 +1,21 @@
-//! Exit codes.
+//! Exit codes of the subcommands.
 
-/// Exit code of a command.
+/// How a subcommand ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// 0: done, and everything that was to hold held.
-    Done,
-    /// 1: refused, or something did not hold.
-    Refused,
-    /// 2: the command line or a file is wrong; nothing was started.
+    /// Code 0: the command succeeded and every check that it makes passed.
+    Success,
+    /// Code 1: a request was refused, an operation failed or a check did not pass.
+    Failure,
+    /// Code 2: the command line or an input file has faults; nothing was started.
     Usage,
 }
 
 impl From<Exit> for std::process::ExitCode {
     fn from(exit: Exit) -> Self {
         match exit {
-            Exit::Done => Self::from(0),
-            Exit::Refused => Self::from(1),
+            Exit::Success => Self::from(0),
+            Exit::Failure => Self::from(1),
             Exit::Usage => Self::from(2),
         }
     }
--- a/crates/chestnutspur/src/http.rs
+++ b/crates/chestnutspur/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP call to a control's operators' port.
+//! HTTP calls to the operators' port of a control process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,65 +9,66 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Longest time one call may take; applying waits for hosts to adopt.
-const CALL: Duration = Duration::from_secs(30);
+/// Timeout of one call. Applying a configuration waits until the hosts have adopted it, so the
+/// timeout is long.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An answer, whole.
-pub struct Answer {
-    /// Its status.
+/// A response whose body was received completely.
+pub struct Response {
+    /// HTTP status, of any class: an error status is still a response.
     pub status: StatusCode,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// A call to make.
+/// A call that has not been sent yet.
 pub struct Call<'a> {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub path: &'a str,
-    /// Further headers.
+    /// Headers beside `host`, which [`Call::send`] sets.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body.
+    /// Request body; empty for a `GET`.
     pub body: Bytes,
 }
 
 impl<'a> Call<'a> {
-    /// A read.
+    /// Creates a `GET` call without further headers.
     #[must_use]
     pub fn get(path: &'a str) -> Self {
         Self { method: Method::GET, path, headers: Vec::new(), body: Bytes::new() }
     }
 
-    /// Makes it.
+    /// Sends the call on a new connection and reads the whole response.
     ///
     /// # Errors
-    /// A message for the operator.
-    pub async fn send(self, to: SocketAddr) -> Result<Answer, String> {
-        match tokio::time::timeout(CALL, self.exchange(to)).await {
-            Ok(result) => result.map_err(|error| format!("{to}: {error}")),
-            Err(_) => Err(format!("{to}: no answer within {} s", CALL.as_secs())),
+    /// A message for the operator if there is no complete response within the timeout.
+    pub async fn send(self, address: SocketAddr) -> Result<Response, String> {
+        match tokio::time::timeout(CALL_TIMEOUT, self.exchange(address)).await {
+            Ok(result) => result.map_err(|error| format!("{address}: {error}")),
+            Err(_) => Err(format!("{address}: no response within {} s", CALL_TIMEOUT.as_secs())),
         }
     }
 
-    async fn exchange(self, to: SocketAddr) -> Result<Answer, String> {
-        let text = |error: &dyn std::fmt::Display| error.to_string();
-        let stream = TcpStream::connect(to).await.map_err(|e| text(&e))?;
+    async fn exchange(self, address: SocketAddr) -> Result<Response, String> {
+        let to_message = |error: &dyn std::fmt::Display| error.to_string();
+        let stream = TcpStream::connect(address).await.map_err(|e| to_message(&e))?;
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|e| text(&e))?;
+            .map_err(|e| to_message(&e))?;
         tokio::spawn(connection);
         let mut request = Request::builder()
             .method(self.method)
             .uri(self.path)
-            .header(header::HOST, to.to_string());
+            .header(header::HOST, address.to_string());
         for (name, value) in self.headers {
             request = request.header(name, value);
         }
-        let request = request.body(Full::new(self.body)).map_err(|e| text(&e))?;
-        let response = sender.send_request(request).await.map_err(|e| text(&e))?;
+        let request = request.body(Full::new(self.body)).map_err(|e| to_message(&e))?;
+        let response = sender.send_request(request).await.map_err(|e| to_message(&e))?;
         let status = response.status();
-        let body = response.into_body().collect().await.map_err(|e| text(&e))?.to_bytes();
-        Ok(Answer { status, body })
+        let body = response.into_body().collect().await.map_err(|e| to_message(&e))?.to_bytes();
+        Ok(Response { status, body })
     }
 }
--- a/crates/chestnutspur/src/logging/json.rs
+++ b/crates/chestnutspur/src/logging/json.rs
@@ -1,4 +1,4 @@
-//! JSON lines through a bounded queue and one writer.
+//! A logger that passes JSON lines through a bounded queue to one writer thread.
 //!
 //! A request never waits for its log line. When the reader of standard output falls behind, the
 //! queue fills and further lines are dropped and counted; the count is logged as soon as a line can
@@ -13,38 +13,40 @@
 use log::{Log, Metadata, Record};
 use serde_json::{Map, Value as Json};
 
-/// Lines that wait to be written; at some 300 bytes each, about a megabyte.
-const QUEUE: usize = 4_096;
-/// Lines written at once.
+/// Lines that may wait for the writer. At about 300 bytes each they hold about a megabyte.
+const QUEUE_LINES_MAX: usize = 4_096;
+/// Size from which the writer adds no further line to a batch and writes it.
 const BATCH_BYTES: usize = 32 << 10;
 
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 struct Logger {
     host: String,
     lines: SyncSender<String>,
 }
 
-/// Starts the logger and its writer; does nothing if a logger is set already. Each line names the
-/// host, so that the logs of all hosts can be read together.
+/// Installs the logger and starts its writer thread; an installed logger stays in use. Each line
+/// names the host, so that the logs of all hosts can be merged.
 pub fn start(host: &str) {
-    let (lines, queue) = sync_channel(QUEUE);
+    let (lines, queue) = sync_channel(QUEUE_LINES_MAX);
     let writer = std::thread::Builder::new().name("log".to_owned());
-    if let Err(error) = writer.spawn(move || write(&queue)) {
+    if let Err(error) = writer.spawn(move || write_lines(&queue)) {
         eprintln!("chestnutspur: no thread to write logs: {error}");
         return;
     }
-    // Fails only if a logger is set already, and then logs go on.
+    // Fails only if a logger is installed already, which then stays in use.
     let _ = log::set_boxed_logger(Box::new(Logger { host: host.to_owned(), lines }));
 }
 
 impl Log for Logger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        // The macros of `log` ask for the level first, but tracing's bridge asks only here: the RPC
-        // library's spans would otherwise be written at any level.
+        // The macros of `log` check the maximum level themselves, but tracing's bridge relies on
+        // this method alone. Without the check here, the RPC library's spans would be written at
+        // any level.
         let is_wanted = metadata.level() <= log::max_level();
-        // These log each of their own steps, which says nothing of a request.
-        let is_noisy = ["tarpc", "hyper"].iter().any(|noisy| metadata.target().starts_with(noisy));
+        // These libraries log their internal steps, which tell nothing about a request.
+        let is_noisy =
+            ["tarpc", "hyper"].iter().any(|library| metadata.target().starts_with(library));
         is_wanted && !is_noisy
     }
 
@@ -52,9 +54,9 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        match self.lines.try_send(line(record, &self.host)) {
+        match self.lines.try_send(format_line(record, &self.host)) {
             Ok(()) | Err(TrySendError::Disconnected(_)) => {}
-            Err(TrySendError::Full(_)) => drop(DROPPED.fetch_add(1, Ordering::Relaxed)),
+            Err(TrySendError::Full(_)) => drop(DROPPED_LINES.fetch_add(1, Ordering::Relaxed)),
         }
     }
 
@@ -76,7 +78,7 @@
     }
 }
 
-fn line(record: &Record<'_>, host: &str) -> String {
+fn format_line(record: &Record<'_>, host: &str) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut members = Members(Map::new());
     members.0.insert("at".to_owned(), Json::from(now.as_secs_f64()));
@@ -92,7 +94,7 @@
     text
 }
 
-fn write(queue: &Receiver<String>) {
+fn write_lines(queue: &Receiver<String>) {
     let mut batch = String::new();
     while let Ok(first) = queue.recv() {
         batch.clear();
@@ -101,7 +103,7 @@
             let Ok(next) = queue.try_recv() else { break };
             batch.push_str(&next);
         }
-        let dropped = DROPPED.swap(0, Ordering::Relaxed);
+        let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             let dropped = serde_json::json!({
                 "level": "WARN", "part": "log", "event": "lines dropped", "count": dropped,
@@ -109,7 +111,7 @@
             batch.push_str(&format!("{dropped}\n"));
         }
         let mut out = std::io::stdout().lock();
-        // A closed standard output is no reason not to serve.
+        // The process keeps serving when standard output is closed.
         let _ = out.write_all(batch.as_bytes()).and_then(|()| out.flush());
     }
 }
--- a/crates/chestnutspur/src/main.rs
+++ b/crates/chestnutspur/src/main.rs
@@ -1,4 +1,4 @@
-//! The chestnutspur command: every process, and the operators' tools.
+//! The `chestnutspur` binary: the long-running processes and the operators' tools.
 
 mod command;
 mod exit;
@@ -18,9 +18,9 @@
             Exit::Usage
         }
         Err(failure) => {
-            // Help, version and completion are answers, not failures.
+            // bpaf returns the output of --help, --version and shell completion as a failure too.
             failure.print_message(100);
-            Exit::Done
+            Exit::Success
         }
     };
     exit.into()
--- a/crates/chestnutspur/src/process.rs
+++ b/crates/chestnutspur/src/process.rs
@@ -1,4 +1,4 @@
-//! What every long-running process needs: a runtime, metrics, and a stop by signal.
+//! Common parts of the long-running processes: runtime, metrics and shutdown on a signal.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -10,33 +10,35 @@
 
 use crate::exit::Exit;
 
-/// Bounds of the latency histograms' buckets, in seconds.
-const BUCKETS: [f64; 14] =
+/// Upper bounds of the buckets of all latency histograms, in seconds.
+const LATENCY_BUCKETS_S: [f64; 14] =
     [0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// Runs one future to its end, on as many threads as there are cores.
-pub fn block_on(job: impl Future<Output = Exit>) -> Exit {
-    block_on_threads(None, job)
+/// Runs a future to completion on as many threads as there are cores.
+pub fn block_on(future: impl Future<Output = Exit>) -> Exit {
+    block_on_threads(None, future)
 }
 
-fn block_on_threads(threads: Option<usize>, job: impl Future<Output = Exit>) -> Exit {
+fn block_on_threads(threads: Option<usize>, future: impl Future<Output = Exit>) -> Exit {
     let mut builder = tokio::runtime::Builder::new_multi_thread();
     if let Some(threads) = threads {
         builder.worker_threads(threads);
     }
     match builder.enable_all().build() {
-        Ok(runtime) => runtime.block_on(job),
+        Ok(runtime) => runtime.block_on(future),
         Err(error) => {
-            eprintln!("chestnutspur: no runtime: {error}");
-            Exit::Refused
+            eprintln!("chestnutspur: can't start the async runtime: {error}");
+            Exit::Failure
         }
     }
 }
 
-/// Runs a process's work, which ends by itself once it is asked to stop; `part` prefixes its logs.
-/// No threads means as many as there are cores.
+/// Runs a long-running process until its work returns, which it does after the token that it receives
+/// is cancelled by a signal.
+///
+/// `name` prefixes the logged error. Without a number of threads there are as many as cores.
 pub fn supervise<W>(
-    part: &str,
+    name: &str,
     threads: impl Into<Option<usize>>,
     work: impl FnOnce(PrometheusHandle, CancellationToken) -> W,
 ) -> Exit
@@ -44,17 +46,17 @@
     W: Future<Output = Result<(), String>>,
 {
     block_on_threads(threads.into(), async {
-        let prepared = metrics()
+        let prepared = install_metrics()
             .and_then(|metrics| Ok((metrics, stop_on_signal().map_err(|e| e.to_string())?)));
         let result = match prepared {
             Ok((metrics, stop)) => work(metrics, stop).await,
             Err(message) => Err(message),
         };
         match result {
-            Ok(()) => Exit::Done,
+            Ok(()) => Exit::Success,
             Err(message) => {
-                log::error!("{part}: {message}");
-                Exit::Refused
+                log::error!("{name}: {message}");
+                Exit::Failure
             }
         }
     })
@@ -63,18 +65,18 @@
 /// Installs the process's metrics recorder.
 ///
 /// # Errors
-/// A message, if one is installed already.
-pub fn metrics() -> Result<PrometheusHandle, String> {
+/// A message if a recorder is installed already.
+pub fn install_metrics() -> Result<PrometheusHandle, String> {
     PrometheusBuilder::new()
-        .set_buckets(&BUCKETS)
+        .set_buckets(&LATENCY_BUCKETS_S)
         .and_then(PrometheusBuilder::install_recorder)
         .map_err(|error| format!("metrics: {error}"))
 }
 
-/// A token that is cancelled by SIGTERM or SIGINT.
+/// Returns a token that SIGTERM or SIGINT cancels.
 ///
 /// # Errors
-/// When the handlers can't be installed.
+/// If the signal handlers can't be installed.
 pub fn stop_on_signal() -> std::io::Result<CancellationToken> {
     let stop = CancellationToken::new();
     let mut terminate = signal(SignalKind::terminate())?;
@@ -90,11 +92,12 @@
     Ok(stop)
 }
 
-/// Prints the addresses listened on, as one JSON line: with port 0 nobody knows them before.
+/// Prints the listening addresses as one JSON line. With port 0 the system chooses the port, so the
+/// starter learns it only from this line.
 pub fn print_listening(addresses: &[(&str, SocketAddr)]) {
     let addresses: BTreeMap<_, _> = addresses.iter().copied().collect();
     let line = serde_json::json!({ "listening": addresses });
     let mut out = std::io::stdout().lock();
-    // A closed standard output is no reason not to serve.
+    // The process keeps serving when standard output is closed.
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
