--- a/crates/chestnutspur/benches/capacity.rs
+++ b/crates/chestnutspur/benches/capacity.rs
@@ -1,8 +1,8 @@
-//! What control costs a node, as the number of controls grows: bytes, processor time, memory, and
-//! the time until a change is in force everywhere.
+//! Resource use of `control` for each host as the number of controls grows: traffic, processor
+//! time, memory, and the time until a change is in force on all hosts.
 //!
-//! Run with `cargo bench -p chestnutspur --bench capacity`. Bytes are counted by a proxy in front
-//! of each control and of the platform, so they are what TCP carried, without its own headers.
+//! Run with `cargo bench -p chestnutspur --bench capacity`. A proxy in front of each control and of
+//! the platform counts the bytes, so they are the payload of TCP without its headers.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -20,14 +20,17 @@
 use support::{ANY, configuration};
 use wire::host::{Host, HostState, Role};
 
-/// Numbers of controls; named on the command line they replace these.
-const SIZES: [usize; 4] = [4, 8, 16, 32];
-const FAILURE_DOMAINS: usize = 8;
-const REST: Duration = Duration::from_secs(15);
-const CHANGES: u64 = 20;
-/// Changes of the host list.
-const HOST_CHANGES: usize = 15;
-const ENOUGH: Duration = Duration::from_secs(30);
+/// Numbers of controls to measure; numbers on the command line replace them.
+const CONTROL_COUNTS: [usize; 4] = [4, 8, 16, 32];
+const FAILURE_DOMAIN_COUNT: usize = 8;
+/// Length of a measurement without changes.
+const IDLE_DURATION: Duration = Duration::from_secs(15);
+/// Number of configuration changes, one a second.
+const CHANGE_COUNT: u64 = 20;
+/// Number of changes of the host list, one a second.
+const HOST_CHANGE_COUNT: usize = 15;
+/// Timeout for a change to come into force on a host.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Fleet {
     platform: Running<Platform>,
@@ -35,7 +38,7 @@
     controls: Vec<(Process, Proxy)>,
 }
 
-/// Sums over all controls.
+/// Resources used so far, summed over all controls.
 #[derive(Clone, Copy)]
 struct Usage {
     at: Instant,
@@ -76,8 +79,8 @@
     }
 
     fn memory_mb(&self) -> f64 {
-        let most = self.controls.iter().map(|(control, _)| control.memory_kb()).max();
-        most.unwrap_or(0) as f64 / 1024.0
+        let peak_kb = self.controls.iter().map(|(control, _)| control.memory_kb()).max();
+        peak_kb.unwrap_or(0) as f64 / 1024.0
     }
 
     async fn apply(&self, generation: u64) {
@@ -93,18 +96,21 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
 
-    /// Time until each control has the generation in force, from now.
-    async fn in_force(&self, generation: u64) -> Vec<Duration> {
+    /// Waits until every control has the generation in force; returns the time that each one took.
+    async fn wait_in_force(&self, generation: u64) -> Vec<Duration> {
         let start = Instant::now();
         let waits = self.controls.iter().map(|(control, _)| async move {
             let operators = control.address("operators");
             loop {
                 let reply = Call::get("/configuration").send(operators).await;
-                let held = reply.and_then(|reply| reply.json()["generation"].as_u64());
-                if held.is_some_and(|held| held >= generation) {
+                let reached = reply.and_then(|reply| reply.json()["generation"].as_u64());
+                if reached.is_some_and(|reached| reached >= generation) {
                     return start.elapsed();
                 }
-                assert!(start.elapsed() < ENOUGH, "generation {generation} never came");
+                assert!(
+                    start.elapsed() < IN_FORCE_TIMEOUT,
+                    "generation {generation} is not in force in time"
+                );
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         });
@@ -125,7 +131,7 @@
 }
 
 fn domain(index: usize) -> Name {
-    Name::from(format!("domain-{}", index % FAILURE_DOMAINS))
+    Name::from(format!("domain-{}", index % FAILURE_DOMAIN_COUNT))
 }
 
 fn spawn(directory: &Path, index: usize, proxy: &Proxy, to_platform: &Proxy) -> Process {
@@ -141,7 +147,7 @@
 fn per_node(size: usize, before: &Usage, after: &Usage) -> String {
     let seconds = (after.at - before.at).as_secs_f64();
     let nodes = size as f64;
-    // Each byte between controls leaves one node and reaches another: it counts at both.
+    // Each byte between controls counts for both the sending and the receiving host.
     let peers = 2.0 * (after.peer_bytes - before.peer_bytes) as f64 / nodes / seconds;
     let platform = (after.platform_bytes - before.platform_bytes) as f64 / nodes / seconds;
     let calls = (after.platform_calls - before.platform_calls) as f64 / seconds;
@@ -149,18 +155,19 @@
     format!("{peers:.0} | {platform:.0} | {calls:.1} | {core:.2} %")
 }
 
-/// Time in which each control has heard from every other: a round of gossip slows down with their
-/// number. Until then several controls of a failure domain read the platform for it.
-fn settled(size: usize) -> Duration {
+/// Returns the time within which each control has received gossip from every other. Until then
+/// several controls of a failure domain read the platform on its behalf. The gossip interval grows
+/// with the number of controls.
+fn settling_time(size: usize) -> Duration {
     let interval_ms = (250 * size as u64 / 6).clamp(250, 2_000);
     Duration::from_millis(3_000 + interval_ms * size as u64)
 }
 
-async fn at_rest(fleet: &Fleet, state: &str) {
+async fn measure_idle(fleet: &Fleet, state: &str) {
     let size = fleet.controls.len();
-    tokio::time::sleep(settled(size)).await;
+    tokio::time::sleep(settling_time(size)).await;
     let before = fleet.usage();
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(IDLE_DURATION).await;
     let usage = per_node(size, &before, &fleet.usage());
     println!("| {size} | {state} | {usage} | {:.0} | |", fleet.memory_mb());
 }
@@ -168,40 +175,41 @@
 async fn measure(size: usize) {
     let fleet = Fleet::start(size).await;
     fleet.apply(0).await;
-    fleet.in_force(1).await;
-    at_rest(&fleet, "rest").await;
+    fleet.wait_in_force(1).await;
+    measure_idle(&fleet, "rest").await;
     let before = fleet.usage();
-    let mut spread = Vec::new();
-    for change in 1..=CHANGES {
+    let mut delays = Vec::new();
+    for change in 1..=CHANGE_COUNT {
         let next = tokio::time::Instant::now() + Duration::from_secs(1);
-        // Times count from before the change is sent, so acceptance is inside them.
-        let (times, ()) = tokio::join!(fleet.in_force(change + 1), fleet.apply(change));
-        spread.extend(times);
+        // The times start before the change is sent, so they include its acceptance.
+        let (times, ()) = tokio::join!(fleet.wait_in_force(change + 1), fleet.apply(change));
+        delays.extend(times);
         tokio::time::sleep_until(next).await;
     }
     let after = fleet.usage();
-    spread.sort();
-    let worst = spread.last().copied().unwrap_or_default().as_millis();
-    let median = spread[spread.len() / 2].as_millis();
+    delays.sort();
+    let worst = delays.last().copied().unwrap_or_default().as_millis();
+    let median = delays[delays.len() / 2].as_millis();
     println!(
-        "| {size} | a change a second | {} | {:.0} | {median} / {worst} ms |",
+        "| {size} | one change each second | {} | {:.0} | {median} / {worst} ms |",
         per_node(size, &before, &after),
         fleet.memory_mb()
     );
-    assert_eq!(fleet.platform.accepted().len() as u64, CHANGES + 1);
+    assert_eq!(fleet.platform.accepted().len() as u64, CHANGE_COUNT + 1);
 }
 
-/// What the host list costs: at rest, and when one of many backend servers goes each second.
+/// Measures the cost of a long host list: without changes, and while one of many backend servers
+/// starts to leave each second.
 async fn measure_hosts(size: usize, workers: usize) {
     let fleet = Fleet::start(size).await;
     let mut hosts = fleet.platform.hosts();
     hosts.extend((0..workers).map(worker));
     fleet.platform.set_hosts(hosts.clone());
     fleet.apply(0).await;
-    fleet.in_force(1).await;
-    at_rest(&fleet, &format!("rest, {workers} workers")).await;
+    fleet.wait_in_force(1).await;
+    measure_idle(&fleet, &format!("rest, {workers} workers")).await;
     let before = fleet.usage();
-    for change in 0..HOST_CHANGES {
+    for change in 0..HOST_CHANGE_COUNT {
         hosts[size + change].state = HostState::Leaving;
         fleet.platform.set_hosts(hosts.clone());
         tokio::time::sleep(Duration::from_secs(1)).await;
@@ -209,21 +217,21 @@
     let after = fleet.usage();
     let usage = per_node(size, &before, &after);
     println!(
-        "| {size} | a worker of {workers} goes a second | {usage} | {:.0} | |",
+        "| {size} | one of {workers} workers leaves each second | {usage} | {:.0} | |",
         fleet.memory_mb()
     );
 }
 
-/// What a cut costs the others: nobody gets through to the controls of one failure domain.
+/// Measures the cost for the other controls when those of one failure domain are unreachable.
 async fn measure_cut(size: usize) {
     let fleet = Fleet::start(size).await;
     fleet.apply(0).await;
-    fleet.in_force(1).await;
-    at_rest(&fleet, "rest, before the cut").await;
-    for (_, proxy) in fleet.controls.iter().step_by(FAILURE_DOMAINS) {
+    fleet.wait_in_force(1).await;
+    measure_idle(&fleet, "rest, before the cut").await;
+    for (_, proxy) in fleet.controls.iter().step_by(FAILURE_DOMAIN_COUNT) {
         proxy.set_mode(Mode::Silent);
     }
-    at_rest(&fleet, "one of 8 failure domains silent").await;
+    measure_idle(&fleet, "one of 8 failure domains silent").await;
 }
 
 fn worker(index: usize) -> Host {
@@ -246,8 +254,8 @@
          platform calls/s, all | core, a node | MB, most | in force, median / worst |"
     );
     println!("|---|---|---|---|---|---|---|---|");
-    let named: Vec<usize> = std::env::args().filter_map(|text| text.parse().ok()).collect();
-    let sizes = if named.is_empty() { SIZES.to_vec() } else { named };
+    let arguments: Vec<usize> = std::env::args().filter_map(|text| text.parse().ok()).collect();
+    let sizes = if arguments.is_empty() { CONTROL_COUNTS.to_vec() } else { arguments };
     for size in sizes {
         runtime.block_on(measure(size));
     }
--- a/crates/chestnutspur/benches/cut_off.rs
+++ b/crates/chestnutspur/benches/cut_off.rs
@@ -1,7 +1,7 @@
-//! What share of requests is answered while something is cut off, by kind of request.
+//! Share of requests that are answered during a fault, by kind of request.
 //!
 //! Run with `cargo bench -p chestnutspur --bench cut_off`; the table is in the project's
-//! measurements. Shares are of callers' requests, refusals by their code.
+//! measurements. Shares are fractions of the callers' requests; refusals are counted by their code.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -15,12 +15,12 @@
 use support::call::{Call, Reply};
 use support::{Deployment, Plan, burst};
 
-/// Requests of each kind and fault.
-const REQUESTS: usize = 240;
-/// Requests at a time.
-const AT_ONCE: usize = 24;
-/// Time that a fault has lasted when the requests begin.
-const SETTLED: Duration = Duration::from_secs(6);
+/// Number of requests of each kind during each fault.
+const REQUEST_COUNT: usize = 240;
+/// Number of requests sent at the same time.
+const BURST_SIZE: usize = 24;
+/// Time between the beginning of a fault and the first request.
+const SETTLING_TIME: Duration = Duration::from_secs(6);
 
 const KINDS: [&str; 5] =
     ["repeatable", "may not repeat", "with key", "session token", "session name"];
@@ -56,15 +56,15 @@
         }
     }
 
-    fn bring_about(self, deployment: &mut Deployment) {
+    fn inject(self, deployment: &mut Deployment) {
         match self {
             Self::None => {}
             Self::PlatformDown => {
                 let faults = Faults { down: Down::Cut, ..Faults::default() };
                 deployment.platform.set_faults(faults);
             }
-            Self::DomainFromPlatform => deployment.set_paths(Mode::Silent, |user, part| {
-                *part == support::Part::Platform && matches!(user, support::User::Control(0 | 1))
+            Self::DomainFromPlatform => deployment.set_paths(Mode::Silent, |from, to| {
+                *to == support::Target::Platform && matches!(from, support::Source::Control(0 | 1))
             }),
             Self::DomainFromAll => deployment.cut_domain("north", true, Mode::Silent),
             Self::HostLost => {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The hosts that callers' balancer would still use.
+    /// Returns the hosts that the callers' balancer still uses during the fault.
     fn hosts(self) -> &'static [usize] {
         match self {
             Self::HostLost => &[1, 2, 3],
@@ -98,7 +98,7 @@
 
 fn outcome(reply: Option<&Reply>) -> String {
     match reply {
-        Some(reply) if reply.status == 200 && reply.whole => "answered".to_owned(),
+        Some(reply) if reply.status == 200 && reply.is_whole => "answered".to_owned(),
         Some(reply) if reply.status == 200 => "broken".to_owned(),
         Some(reply) => format!("{} (ran {})", reply.code(), reply.ran()),
         None => "no answer".to_owned(),
@@ -111,19 +111,20 @@
     let begin = Call::chat("tag", "begin").header("chestnutspur-session", "new");
     let token = begin.send(deployment.callers(1)).await.expect("a session");
     let token = token.header("chestnutspur-session");
-    deployment.shards_held().await;
-    fault.bring_about(&mut deployment);
-    tokio::time::sleep(SETTLED).await;
+    deployment.wait_for_shard_holders().await;
+    fault.inject(&mut deployment);
+    tokio::time::sleep(SETTLING_TIME).await;
     for kind in KINDS {
         let to: Vec<_> = fault.hosts().iter().map(|&host| deployment.callers(host)).collect();
         let mut counts = BTreeMap::<String, usize>::new();
-        for start in (0..REQUESTS).step_by(AT_ONCE) {
-            let calls = (start..start + AT_ONCE).map(|index| call(kind, &token, index)).collect();
+        for start in (0..REQUEST_COUNT).step_by(BURST_SIZE) {
+            let calls =
+                (start..start + BURST_SIZE).map(|index| call(kind, &token, index)).collect();
             for reply in burst(&to, calls).await {
                 *counts.entry(outcome(reply.as_ref())).or_default() += 1;
             }
         }
-        let answered = counts.remove("answered").unwrap_or(0) as f64 / REQUESTS as f64;
+        let answered = counts.remove("answered").unwrap_or(0) as f64 / REQUEST_COUNT as f64;
         let refused: Vec<_> = counts.iter().map(|(code, n)| format!("{code}: {n}")).collect();
         println!(
             "| {} | {kind} | {:.1} % | {} |",
--- a/crates/chestnutspur/src/command.rs
+++ b/crates/chestnutspur/src/command.rs
@@ -30,8 +30,8 @@
 pub enum Command {
     /// Run the data plane of one entry host: relays callers' requests to backend servers
     ///
-    /// Prints one JSON line with its listening addresses, then logs on standard error until SIGTERM.
-    /// Then it finishes the requests in flight and exits with code 0.
+    /// Prints one JSON line with its listening addresses, then logs on standard error until
+    /// SIGTERM. Then it finishes the requests in flight and exits with code 0.
     #[bpaf(command)]
     Entry {
         /// JSON file with the process's settings
@@ -40,8 +40,8 @@
     },
     /// Run the controllers of one entry host: configuration, shards, bills and console
     ///
-    /// Prints one JSON line with its listening addresses, then logs on standard error until SIGTERM.
-    /// Then it hands its shards and bills over to other controls and exits with code 0.
+    /// Prints one JSON line with its listening addresses, then logs on standard error until
+    /// SIGTERM. Then it hands its shards and bills over to other controls and exits with code 0.
     #[bpaf(command)]
     Control {
         /// JSON file with the process's settings
@@ -50,8 +50,8 @@
     },
     /// Run a complete entry host that routes requests as the platform's store says
     ///
-    /// Logs JSON lines on standard output until SIGTERM. Then it finishes the requests in flight and
-    /// exits with code 0. Reloads its settings when the file changes or on SIGHUP.
+    /// Logs JSON lines on standard output until SIGTERM. Then it finishes the requests in flight
+    /// and exits with code 0. Reloads its settings when the file changes or on SIGHUP.
     #[bpaf(command)]
     Node {
         /// JSON file with the process's settings
@@ -60,10 +60,10 @@
     },
     /// Print the history of one request, in order, from logs on standard input
     ///
-    /// Reads the JSON lines of `node`, from all hosts together and in any order; text before a line's
-    /// first brace is ignored. Beside the request's own lines it prints the changes that its hosts
-    /// logged meanwhile about the backend servers that received the request, about the roll-out of
-    /// its service and about the store. Exit code 1 if no line names the request.
+    /// Reads the JSON lines of `node`, from all hosts together and in any order; text before a
+    /// line's first brace is ignored. Beside the request's own lines it prints the changes that its
+    /// hosts logged meanwhile about the backend servers that received the request, about the
+    /// roll-out of its service and about the store. Exit code 1 if no line names the request.
     #[bpaf(command)]
     Explain {
         /// Id of the request
@@ -72,8 +72,8 @@
     },
     /// Check a settings file, a configuration document or a routing table
     ///
-    /// The file's members tell which of them it is. Prints every fault with its path in the file; exit
-    /// code 2 if there is any.
+    /// The file's members tell which of them it is. Prints every fault with its path in the file;
+    /// exit code 2 if there is any.
     #[bpaf(command)]
     Check {
         /// File to check
@@ -94,15 +94,15 @@
     Report(#[bpaf(external(report::report))] report::Report),
     /// Run a whole deployment on loopback with faults, and audit the results
     ///
-    /// Sends requests of mixed tasks to all entry hosts. Half way through, the cheapest version turns
-    /// bad; later the platform is down for a while. The audit uses the records of the stand-ins for
-    /// backend servers and platform. Exit code 1 if a count that must be 0 is not.
+    /// Sends requests of mixed tasks to all entry hosts. Half way through, the cheapest version
+    /// turns bad; later the platform is down for a while. The audit uses the records of the
+    /// stand-ins for backend servers and platform. Exit code 1 if a count that must be 0 is not.
     #[bpaf(command)]
     Demo(#[bpaf(external(demo::arguments))] demo::Arguments),
     /// Send requests at a steady rate to one or several targets and compare their latency
     ///
-    /// The load is open-loop: each request is sent at its intended time, whether or not earlier ones
-    /// were answered, and its latency counts from the intended time.
+    /// The load is open-loop: each request is sent at its intended time, whether or not earlier
+    /// ones were answered, and its latency counts from the intended time.
     #[bpaf(command)]
     Load(#[bpaf(external(load::arguments))] load::Arguments),
     /// Run a stand-in for the platform, a backend server or another part, as a process
@@ -110,10 +110,10 @@
     Standin(#[bpaf(external(standin::standin))] standin::Standin),
     /// Simulate a fleet under overload, and compare decision policies
     ///
-    /// Simulates each policy (way) of the scenario with each seed. Prints the outcomes of requests and,
-    /// for the worst run, how many seconds after the cause of the overload ended all requests were
-    /// served again. Exit code 2 if the scenario has faults; each is printed with its path in the
-    /// file.
+    /// Simulates each policy (way) of the scenario with each seed. Prints the outcomes of requests
+    /// and, for the worst run, how many seconds after the cause of the overload ended all requests
+    /// were served again. Exit code 2 if the scenario has faults; each is printed with its path in
+    /// the file.
     #[bpaf(command)]
     Experiment(#[bpaf(external(experiment::arguments))] experiment::Arguments),
     /// Replay recorded traces and check the outcomes that they state
--- a/crates/chestnutspur/src/command/apply.rs
+++ b/crates/chestnutspur/src/command/apply.rs
@@ -45,7 +45,7 @@
     let token = match &arguments.token_file {
         Some(file) => command::read_file(file)?,
         None => std::env::var("CHESTNUTSPUR_TOKEN")
-            .map_err(|_| eprintln!("chestnutspur: the operator's token is missing: give --token-file or set CHESTNUTSPUR_TOKEN"))
+            .map_err(|_| eprintln!("chestnutspur: set --token-file or CHESTNUTSPUR_TOKEN"))
             .ok()?,
     };
     Some(token.trim().to_owned())
--- a/crates/chestnutspur/src/command/check.rs
+++ b/crates/chestnutspur/src/command/check.rs
@@ -8,8 +8,8 @@
 
 use crate::exit::Exit;
 
-/// Checks a file. Its members tell its kind: settings have a `role`, the platform's routing table has
-/// `routes`, and a configuration document has neither.
+/// Checks a file. Its members tell its kind: settings have a `role`, the platform's routing table
+/// has `routes`, and a configuration document has neither.
 pub fn run(file: &Path) -> Exit {
     let Some(text) = super::read_file(file) else { return Exit::Usage };
     let value = serde_json::from_str::<serde_json::Value>(&text).unwrap_or_default();
--- a/crates/chestnutspur/src/command/demo.rs
+++ b/crates/chestnutspur/src/command/demo.rs
@@ -74,7 +74,8 @@
     if arguments.plan {
         return print_plan(arguments);
     }
-    // The injected faults make the processes log many warnings, which would hide the progress lines.
+    // The injected faults make the processes log many warnings, which would hide the progress
+    // lines.
     logging::start("error");
     process::block_on(async {
         match run_demo(arguments).await {
--- a/crates/chestnutspur/src/command/demo/drive.rs
+++ b/crates/chestnutspur/src/command/demo/drive.rs
@@ -34,8 +34,8 @@
 pub struct Exchange {
     /// The planned request.
     pub request: Request,
-    /// Name of the session that the request was sent in, unique in the run; none outside a session. When
-    /// a session has ended, its caller continues in another one.
+    /// Name of the session that the request was sent in, unique in the run; none outside a session.
+    /// When a session has ended, its caller continues in another one.
     pub session: Option<Name>,
     /// How the request ended for its caller.
     pub outcome: Outcome,
--- a/crates/chestnutspur/src/command/demo/fleet.rs
+++ b/crates/chestnutspur/src/command/demo/fleet.rs
@@ -208,8 +208,8 @@
         Ok(operators)
     }
 
-    /// Waits for the last bills, then stops all processes gracefully. Entries stop first, because they
-    /// still need the controls.
+    /// Waits for the last bills, then stops all processes gracefully. Entries stop first, because
+    /// they still need the controls.
     pub async fn stop(&mut self, journal: &Journal) {
         let answered: BTreeSet<Name> = journal.answered().collect();
         let deadline = tokio::time::Instant::now() + BILLS_TIMEOUT;
--- a/crates/chestnutspur/src/command/demo/summary.rs
+++ b/crates/chestnutspur/src/command/demo/summary.rs
@@ -24,7 +24,8 @@
         pub answered: u64,
         /// Number of refusals, and of calls that failed visibly: broken connections and timeouts.
         pub refused: u64,
-        /// Number of responses that looked complete but were not the complete answer to their request.
+        /// Number of responses that looked complete but were not the complete answer to their
+        /// request.
         pub wrong_answers: u64,
         /// Number of runs beyond the first of requests that may run only once.
         pub doubled_runs: u64,
@@ -36,8 +37,8 @@
         pub bills_missing: u64,
         /// Number of requests with more than one bill.
         pub bills_doubled: u64,
-        /// Billed cost of all answered chat completions, divided by what they would have cost on the most
-        /// expensive version.
+        /// Billed cost of all answered chat completions, divided by what they would have cost on
+        /// the most expensive version.
         pub cost_ratio_to_best: f64,
         /// Number of runs on the version that turned bad, after it turned bad.
         pub exposure: u64,
--- a/crates/chestnutspur/src/command/demo/traffic.rs
+++ b/crates/chestnutspur/src/command/demo/traffic.rs
@@ -15,7 +15,8 @@
 const LARGE_ACCOUNT_WEIGHT: f64 = 6.0;
 /// Number of sessions that are open at a time.
 const OPEN_SESSIONS: u64 = 8;
-/// Number of requests, inside and outside sessions, after which other sessions replace the open ones.
+/// Number of requests, inside and outside sessions, after which other sessions replace the open
+/// ones.
 const SESSION_SPAN_REQUESTS: u64 = 200;
 
 domain! {
@@ -44,7 +45,8 @@
     pub struct Session {
         /// Number of the session, unique in the plan.
         pub number: u64,
-        /// Whether the caller names the session; otherwise it uses the token that the entry returns.
+        /// Whether the caller names the session; otherwise it uses the token that the entry
+        /// returns.
         pub chosen: bool,
     }
 
--- a/crates/chestnutspur/src/command/explain.rs
+++ b/crates/chestnutspur/src/command/explain.rs
@@ -7,8 +7,8 @@
 
 use crate::exit::Exit;
 
-/// How long before a request's first line the changes that hosts log are shown too, in seconds: they
-/// may have decided where the request was sent.
+/// How long before a request's first line the changes that hosts log are shown too, in seconds:
+/// they may have decided where the request was sent.
 const LOOKBACK_S: f64 = 10.0;
 /// Members left out of the `name=value` list: each line has them, or they are printed before it.
 const OMITTED_MEMBERS: [&str; 6] = ["at", "host", "level", "part", "event", "request"];
--- a/crates/chestnutspur/src/command/load.rs
+++ b/crates/chestnutspur/src/command/load.rs
@@ -17,7 +17,8 @@
     /// Address of the first target
     #[bpaf(argument("ADDR"))]
     pub to: SocketAddr,
-    /// Address of a further target; requests alternate between all targets. May be given several times
+    /// Address of a further target; requests alternate between all targets. May be given several
+    /// times
     #[bpaf(argument("ADDR"))]
     pub compare: Vec<SocketAddr>,
     /// Requests a second for each target
@@ -37,12 +38,12 @@
     pub task: String,
     /// Request streamed answers
     pub stream: bool,
-    /// Maximum number of requests in flight for each target; a request above it is not sent and counts
-    /// as failed
+    /// Maximum number of requests in flight for each target; a request above it is not sent and
+    /// counts as failed
     #[bpaf(argument("N"), fallback(1000), display_fallback)]
     pub in_flight: usize,
-    /// Id of the process behind a target, to report its processor time; give one for each target, in
-    /// their order, and 0 where there is none
+    /// Id of the process behind a target, to report its processor time; give one for each target,
+    /// in their order, and 0 where there is none
     #[bpaf(argument("PID"))]
     pub pid: Vec<u32>,
     /// Print one JSON line
--- a/crates/chestnutspur/src/command/load/driver.rs
+++ b/crates/chestnutspur/src/command/load/driver.rs
@@ -18,8 +18,8 @@
 
 use super::{Arguments, processor};
 
-/// Time before the measurement in which connections are opened and caches filled; its requests don't
-/// count.
+/// Time before the measurement in which connections are opened and caches filled; its requests
+/// don't count.
 const WARM_UP: Duration = Duration::from_secs(1);
 /// How long after the last request was sent its answer is waited for.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/chestnutspur/src/command/load/summary.rs
+++ b/crates/chestnutspur/src/command/load/summary.rs
@@ -15,7 +15,8 @@
         pub rate: f64,
         /// Length of the measurement in seconds, without the warm-up.
         pub seconds: f64,
-        /// Results by target, in the order of the command line. The first is the baseline of the others.
+        /// Results by target, in the order of the command line. The first is the baseline of the
+        /// others.
         pub targets: Vec<Target>,
     }
 
--- a/crates/chestnutspur/src/command/node.rs
+++ b/crates/chestnutspur/src/command/node.rs
@@ -50,8 +50,8 @@
     Ok(())
 }
 
-/// Sends the settings to the node whenever the file changes them. A file with faults changes nothing,
-/// and is reported once.
+/// Sends the settings to the node whenever the file changes them. A file with faults changes
+/// nothing, and is reported once.
 async fn watch_settings(
     file: PathBuf,
     mut current: settings::Node,
--- a/crates/chestnutspur/src/command/report.rs
+++ b/crates/chestnutspur/src/command/report.rs
@@ -22,10 +22,10 @@
     Burn(#[bpaf(external(arguments))] Arguments),
     /// Show the outcomes of requests and why some were late, from logs on standard input
     ///
-    /// Reads the JSON lines of `node`, from all hosts together and in any order; text before a line's
-    /// first brace is ignored. Prints sums by route, failure domain, prompt and time, and compares
-    /// expected with measured times by model and backend server. Exit code 1 if no request ended in
-    /// the logs.
+    /// Reads the JSON lines of `node`, from all hosts together and in any order; text before a
+    /// line's first brace is ignored. Prints sums by route, failure domain, prompt and time, and
+    /// compares expected with measured times by model and backend server. Exit code 1 if no request
+    /// ended in the logs.
     #[bpaf(command)]
     Decisions(#[bpaf(external(decisions::arguments))] decisions::Arguments),
 }
@@ -33,7 +33,8 @@
 /// Arguments of `report burn`
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
-    /// Address of a control's operators' port; that control has the counts of all hosts it can reach
+    /// Address of a control's operators' port; that control has the counts of all hosts it can
+    /// reach
     #[bpaf(argument("ADDR"))]
     from: SocketAddr,
     /// Also write an HTML page with the plots to this file
--- a/crates/chestnutspur/src/process.rs
+++ b/crates/chestnutspur/src/process.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Runs a long-running process until its work returns, which it does after the token that it receives
-/// is cancelled by a signal.
+/// Runs a long-running process until its work returns, which it does after the token that it
+/// receives is cancelled by a signal.
 ///
 /// `name` prefixes the logged error. Without a number of threads there are as many as cores.
 pub fn supervise<W>(
--- a/crates/chestnutspur/tests/allowed.rs
+++ b/crates/chestnutspur/tests/allowed.rs
@@ -1,4 +1,4 @@
-//! A request runs only where its account allows, and never on a withdrawn version.
+//! A request runs only on versions that its client account allows, and never on a withdrawn one.
 
 mod support;
 
@@ -6,7 +6,7 @@
 
 use serde_json::json;
 use support::call::Call;
-use support::{Deployment, Plan, burst, until};
+use support::{Deployment, Plan, burst, wait_until};
 
 fn versions(deployment: &Deployment) -> BTreeSet<String> {
     deployment.runs().iter().map(|run| run.version.to_string()).collect()
@@ -14,8 +14,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn allowed_versions_only_whatever_is_asked_for() {
-    // The second account may use large-1 alone. It asks for the model, for the cheaper version by
-    // name and for no known one: nothing of it may reach another version.
+    // The second account may use only large-1. Its callers name the model, the cheaper version and
+    // an unknown model; none of these requests may reach another version.
     let deployment = Deployment::start("allowed", Plan::default()).await;
     let to: Vec<_> = (0..4).map(|host| deployment.callers(host)).collect();
     let second = |index: usize| {
@@ -36,9 +36,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn withdrawn_version_gets_nothing_new_once_in_force() {
-    // Callers see large-1 answer where small-1 did. An operator withdraws small-1 while one
-    // control is paused; its entry must follow another control, and from the moment that the
-    // change is in force on every entry no engine may see one more run of small-1.
+    // An operator withdraws small-1 while one control is paused, whose entry must follow another
+    // control instead. Once the change is in force on every entry, no engine may get another run of
+    // small-1; the requests are answered by large-1.
     let deployment = Deployment::start("withdrawn", Plan::default()).await;
     let to: Vec<_> = (0..4).map(|host| deployment.callers(host)).collect();
     let calls = |count| (0..count).map(|index| Call::chat("tag", &format!("p{index}"))).collect();
@@ -51,7 +51,7 @@
     let reply = deployment.apply(1, &document, "withdraw").await;
     assert_eq!(reply.status, 200, "{}", reply.text());
     for host in 0..4 {
-        until("the withdrawal in force", async || {
+        wait_until("the withdrawal in force", async || {
             let reply = Call::get("/ready").send(deployment.hosts[host].entry.address("operators"));
             reply.await.is_some_and(|reply| reply.json()["generation"] == 2)
         })
--- a/crates/chestnutspur/tests/demo.rs
+++ b/crates/chestnutspur/tests/demo.rs
@@ -1,4 +1,4 @@
-//! What the demo and the examples promise.
+//! `chestnutspur demo`, and the settings files of the examples.
 
 use std::process::{Command, Output};
 
@@ -47,9 +47,9 @@
     assert_eq!(checked, 2 + 14 + 12);
 }
 
-/// What the caller of the demo sees: one object with the agreed keys, and exit 0, although a
-/// version turns bad half way and the platform is down for a fifth of the run. An audited number
-/// that is not 0 makes it exit 1, and names itself on standard error.
+/// The demo prints one object with exactly these keys and exits with code 0, although a version
+/// turns bad half way through and the platform is down for a fifth of the run. An audited count
+/// that is not 0 would be named on standard error and lead to exit code 1.
 #[test]
 fn demo_keeps_its_promises_on_both_deployments() {
     let keys = [
--- a/crates/chestnutspur/tests/experiment.rs
+++ b/crates/chestnutspur/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur experiment`, as people call it.
+//! `chestnutspur experiment`, run from the command line.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -10,12 +10,12 @@
     Command::new(program).arg("experiment").args(arguments).output().unwrap()
 }
 
-/// The committed scenario, made small, in a file of its own.
+/// Writes a smaller version of the example scenario, changed by `change`, to a file of this name.
 fn scenario(name: &str, change: impl FnOnce(&mut Value)) -> PathBuf {
-    let committed =
+    let example =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/experiment/lost-30-hosts.json");
     let mut value: Value =
-        serde_json::from_str(&std::fs::read_to_string(committed).unwrap()).unwrap();
+        serde_json::from_str(&std::fs::read_to_string(example).unwrap()).unwrap();
     value["hosts"] = 4.into();
     value["engines"]["count"] = 8.into();
     value["load_per_s"] = 50.into();
@@ -35,7 +35,7 @@
     let text = experiment(&[file, "--svg", directory.to_str().unwrap()]);
     assert!(text.status.success());
     let table = String::from_utf8(text.stdout).unwrap();
-    // A heading, the names of columns, and seven ways.
+    // One heading, the column names and seven policies (ways).
     assert_eq!(table.lines().count(), 9, "{table}");
     for name in ["served.svg", "in-time.svg"] {
         assert!(std::fs::read_to_string(directory.join(name)).unwrap().contains("</svg>"));
@@ -56,9 +56,9 @@
     let faulty = experiment(&[file.to_str().unwrap()]);
     assert_eq!(faulty.status.code(), Some(2));
     assert!(faulty.stdout.is_empty());
-    let said = String::from_utf8(faulty.stderr).unwrap();
-    assert!(said.contains("engines.slots: must be more than 0"), "{said}");
-    assert!(said.contains("seed: unknown member"), "{said}");
+    let errors = String::from_utf8(faulty.stderr).unwrap();
+    assert!(errors.contains("engines.slots: must be more than 0"), "{errors}");
+    assert!(errors.contains("seed: unknown member"), "{errors}");
 }
 
 #[test]
--- a/crates/chestnutspur/tests/leaving.rs
+++ b/crates/chestnutspur/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving backend servers, and our own processes told to stop.
+//! Backend servers that leave, and `entry` and `control` processes that are told to stop.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use standin::fault::Down;
 use standin::platform::fault;
 use support::call::Call;
-use support::{Deployment, Plan, burst, until};
+use support::{Deployment, Plan, burst, wait_until};
 use wire::host::HostState;
 
 fn calls(label: &str, count: usize) -> Vec<Call> {
@@ -18,14 +18,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_server_gets_nothing_new_once_known() {
-    // One engine is marked as leaving by the host list, one says so in its load while the
-    // platform is down. Callers notice nothing; a few seconds after the first sign neither gets
-    // any new work.
+    // The host list marks one engine as leaving, and another one reports that it is draining while
+    // the platform is down. All requests are answered, and a few seconds later neither engine gets
+    // new work.
     let deployment = Deployment::start("leaving", Plan::default()).await;
     let to: Vec<_> = (0..4).map(|host| deployment.callers(host)).collect();
     burst(&to, calls("before", 40)).await;
     deployment.set_state("engine-0", HostState::Leaving);
-    until("the host list everywhere", async || {
+    wait_until("the host list everywhere", async || {
         let before = deployment.engines[0].0.runs().len();
         burst(&to, calls("list", 40)).await;
         deployment.engines[0].0.runs().len() == before
@@ -33,7 +33,7 @@
     .await;
     deployment.platform.set_faults(fault::Faults { down: Down::Cut, ..Default::default() });
     deployment.engines[2].0.set_faults(Faults { draining: true, ..Faults::default() });
-    // The bound that the users' "after a few seconds" is held to.
+    // The requirement says "after a few seconds"; this test allows three.
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = [0, 2].map(|engine: usize| deployment.engines[engine].0.runs().len());
     let replies = burst(&to, calls("after", 80)).await;
@@ -44,9 +44,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_entry_finishes_its_streams_and_bills() {
-    // An entry is told to stop while streams run through it and the platform is down. New
-    // connections are turned away at once, every stream ends whole, the process exits 0, and
-    // once the platform is back each answer has its bill.
+    // An entry receives SIGTERM while it relays streams and the platform is down. It stops being
+    // ready, each stream is completed and the process exits with code 0. Once the platform is back,
+    // each answer is billed.
     let slow = engine::Version { tokens: 40, between_tokens_ms: 30, ..Default::default() };
     let mut plan = Plan::default();
     for version in plan.engine.versions.values_mut() {
@@ -57,29 +57,28 @@
     let streams: Vec<_> = (0..12)
         .map(|index| tokio::spawn(Call::stream("tag", &format!("stream {index}")).send(to)))
         .collect();
-    until("the streams", async || deployment.runs().len() == 12).await;
+    wait_until("the streams", async || deployment.runs().len() == 12).await;
     deployment.platform.set_faults(fault::Faults { down: Down::Cut, ..Default::default() });
     deployment.hosts[0].entry.signal("TERM");
     let operators = deployment.hosts[0].entry.address("operators");
-    until("not ready", async || {
+    wait_until("not ready", async || {
         Call::get("/ready").send(operators).await.is_none_or(|reply| reply.status == 503)
     })
     .await;
     for stream in streams {
         let reply = stream.await.expect("task").expect("a header");
-        assert!(reply.whole && reply.text().contains("[DONE]"), "{}", reply.text());
+        assert!(reply.is_whole && reply.text().contains("[DONE]"), "{}", reply.text());
     }
-    let status = deployment.hosts[0].entry.exit().await;
+    let status = deployment.hosts[0].entry.wait_for_exit().await;
     assert!(status.success(), "{status}");
     deployment.platform.set_faults(fault::Faults::default());
-    until("every bill", async || deployment.platform.bills().ids().len() == 12).await;
+    wait_until("every bill", async || deployment.platform.bills().ids().len() == 12).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_control_hands_over_before_it_exits() {
-    // A control is told to stop while keyed requests come in. It hands its shards to their
-    // deputies and exits 0; the failure domain goes on granting keys without waiting for anybody
-    // to find out that it is gone.
+    // A control receives SIGTERM. It hands its shards to their deputies and exits with code 0, so
+    // the failure domain grants keys again without first having to detect that the control is gone.
     let mut deployment = Deployment::start("leaving-control", Plan::default()).await;
     let to = [deployment.callers(1)];
     let keyed = |label: &str, count: usize| -> Vec<Call> {
@@ -94,9 +93,9 @@
     assert!(replies.iter().flatten().all(|reply| reply.status == 200));
     deployment.hosts[0].control.signal("TERM");
     let start = Instant::now();
-    let status = deployment.hosts[0].control.exit().await;
+    let status = deployment.hosts[0].control.wait_for_exit().await;
     assert!(status.success(), "{status}");
-    until("keys granted", async || {
+    wait_until("keys granted", async || {
         let label = format!("after {}", start.elapsed().as_millis());
         let replies = burst(&to, keyed(&label, 12)).await;
         replies.iter().flatten().filter(|reply| reply.status == 200).count() == 12
--- a/crates/chestnutspur/tests/logs.rs
+++ b/crates/chestnutspur/tests/logs.rs
@@ -1,4 +1,4 @@
-//! What a `node` process writes to its log.
+//! Levels of the lines that a `node` process logs.
 
 mod support;
 
@@ -10,13 +10,13 @@
 use serde_json::{Value, json};
 use support::process::directory;
 
-/// Between two looks at what is not there yet.
-const LOOK: Duration = Duration::from_millis(20);
-/// Questions put to the node; a library logs several lines for each of its own.
-const QUESTIONS: usize = 5;
+/// Interval between two attempts to reach the starting node.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of RPCs sent to the node; the RPC library logs several lines for each of them.
+const RPC_COUNT: usize = 5;
 
-/// A free address for both protocols of the peers.
-fn free() -> SocketAddr {
+/// Returns an address that is free for both protocols between peers, TCP and UDP.
+fn free_address() -> SocketAddr {
     loop {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -30,16 +30,16 @@
     json!({
         "role": "node", "name": "node-1", "failure_domain": "a", "log": level,
         "listen": "127.0.0.1:0", "operators": "127.0.0.1:0",
-        // No store is there: the node goes on without.
-        "platform": free(), "peers": peers,
+        // Nothing listens at the store's address: the node starts without the store.
+        "platform": free_address(), "peers": peers,
     })
 }
 
-/// Levels of all lines that a node logs while other hosts ask it for news.
-async fn levels(name: &str, level: &str) -> Vec<String> {
+/// Returns the levels of all lines that a node logs while another host requests updates from it.
+async fn logged_levels(name: &str, level: &str) -> Vec<String> {
     let directory = directory(name);
     let file = directory.join("node.json");
-    let peers = free();
+    let peers = free_address();
     std::fs::write(&file, settings(level, peers).to_string()).unwrap();
     let log = directory.join("node.log");
     let mut node = std::process::Command::new(env!("CARGO_BIN_EXE_chestnutspur"))
@@ -48,7 +48,7 @@
         .spawn()
         .unwrap();
     let mut answered = 0;
-    while answered < QUESTIONS {
+    while answered < RPC_COUNT {
         match exchange::request_update(
             peers,
             (List::Operators, 0.into(), 0.into()),
@@ -57,10 +57,10 @@
         .await
         {
             Ok(_) => answered += 1,
-            Err(_) => tokio::time::sleep(LOOK).await,
+            Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
-    // What was logged before the answers is written by then.
+    // The writer thread needs this time to write the lines logged before the responses.
     tokio::time::sleep(Duration::from_millis(200)).await;
     let _ = node.kill();
     let _ = node.wait();
@@ -71,10 +71,10 @@
 
 #[tokio::test]
 async fn lines_below_the_level_are_not_written() {
-    // On call, nearly half of the lines of a day with large tables were TRACE lines of the RPC
-    // library (`-> RPC;`) although the level was info: they came from tracing's bridge, which asks
-    // only the logger whether it is enabled, and the logger did not look at the level.
-    let levels = levels("logs-info", "info").await;
+    // Guards against TRACE lines of the RPC library (`-> RPC;`) at level info, which were nearly
+    // half of a day's lines with large tables. They come through tracing's bridge, which relies on
+    // the logger's `enabled` alone, so `enabled` must check the level.
+    let levels = logged_levels("logs-info", "info").await;
     assert!(levels.iter().any(|level| level == "INFO"), "{levels:?}");
     let is_wanted = |level: &String| ["INFO", "WARN", "ERROR"].contains(&level.as_str());
     assert!(levels.iter().all(is_wanted), "{levels:?}");
@@ -82,8 +82,8 @@
 
 #[tokio::test]
 async fn lines_of_a_wanted_level_are_written() {
-    // The same node at level warn says nothing of its start, and still that the store is lost.
-    let levels = levels("logs-warn", "warn").await;
+    // At level warn a node does not log its start, but still warns that the store is unreachable.
+    let levels = logged_levels("logs-warn", "warn").await;
     assert!(!levels.is_empty());
     assert!(levels.iter().all(|level| ["WARN", "ERROR"].contains(&level.as_str())), "{levels:?}");
 }
--- a/crates/chestnutspur/tests/path.rs
+++ b/crates/chestnutspur/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, through processes of their own.
+//! A call from caller to engine and back, through real processes.
 
 mod support;
 
@@ -18,7 +18,7 @@
 
     for call in [Call::chat("tag", "tag this"), Call::stream("tag", "tag this")] {
         let reply = call.send(deployment.callers(0)).await.expect("an answer");
-        assert_eq!((reply.status, reply.whole), (200, true), "{}", reply.text());
+        assert_eq!((reply.status, reply.is_whole), (200, true), "{}", reply.text());
         let answer = Answer::parse(&reply.answer()).expect("an engine's answer");
         assert_eq!(*answer.digest, *standin::draw::digest("tag this"));
     }
@@ -31,7 +31,7 @@
     assert_eq!(deployment.runs().len(), 3);
 }
 
-/// Starts a stand-in by the command line.
+/// Starts a stand-in as a process, through the command line.
 fn standin(directory: &Path, kind: &str, settings: &Value) -> (Process, SocketAddr) {
     let file = directory.join(format!("{kind}.json"));
     std::fs::write(&file, settings.to_string()).expect("settings");
@@ -73,10 +73,10 @@
         .await
         .expect("an answer");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    entry.ready().await;
+    entry.wait_until_ready().await;
 
-    // With one control alone no second one can hold a bill, and none is in any other host's
-    // reach: the answer still comes, and the engine's own records tell of one run.
+    // There is only one control, so no second one can hold a copy of the bill. The answer arrives
+    // nevertheless, and the engine's own records show one run.
     let reply =
         Call::chat("tag", "tag this").send(entry.address("callers")).await.expect("a header");
     let answer = Answer::parse(&reply.answer()).unwrap_or_else(|| panic!("{}", reply.text()));
--- a/crates/chestnutspur/tests/report.rs
+++ b/crates/chestnutspur/tests/report.rs
@@ -1,4 +1,4 @@
-//! `chestnutspur report decisions` and `explain`, as operators call them.
+//! `chestnutspur report decisions` and `chestnutspur explain`, run from the command line.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -6,11 +6,11 @@
 use serde_json::{Value, json};
 
 fn report(arguments: &[&str], logs: &str) -> Output {
-    fed(&[&["report", "decisions"], arguments].concat(), logs)
+    run_with_logs(&[&["report", "decisions"], arguments].concat(), logs)
 }
 
-/// Runs a command that reads logs.
-fn fed(arguments: &[&str], logs: &str) -> Output {
+/// Runs a command with logs on its standard input.
+fn run_with_logs(arguments: &[&str], logs: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_chestnutspur"))
         .args(arguments)
         .stdin(Stdio::piped())
@@ -81,7 +81,7 @@
         ),
         line(9.0, "host-2", "request held", json!({"request": "last", "digest": "d1"})),
     ];
-    let explained = fed(&["explain", "last"], &logs.concat());
+    let explained = run_with_logs(&["explain", "last"], &logs.concat());
     let text = String::from_utf8(explained.stdout).unwrap();
     assert_eq!(text.lines().count(), 4, "{text}");
     assert!(text.contains("b4") && !text.contains("b5"), "{text}");
--- a/crates/chestnutspur/tests/soak/callers.rs
+++ b/crates/chestnutspur/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they keep connections open and use them until they break.
+//! Callers that reuse their connections until these break.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,22 +17,22 @@
 
 use crate::fleet::{Fleet, HOST, KEY};
 
-/// Callers of each node.
-const EACH: usize = 4;
-/// Between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(8);
-/// How long callers wait.
-const PATIENCE_MS: u64 = 2_500;
-/// What callers ask.
-const ASKED: &str = "what is asked";
-/// What ends each backend server that runs it.
-pub const DEADLY: &str = "what no server stands";
-/// The part of prompts under which they end.
-pub const DEADLY_PART: &str = "dead01";
-/// Events of each answer.
-pub const EVENTS: u64 = 5;
+/// Number of callers of each node.
+const CALLERS_PER_NODE: usize = 4;
+/// Pause of a caller between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(8);
+/// Deadline of each request, sent in its header.
+const DEADLINE_MS: u64 = 2_500;
+/// Body of ordinary requests.
+const BODY: &str = "what is asked";
+/// Body that crashes each backend server that runs a request with it.
+pub const CRASH_BODY: &str = "what no server stands";
+/// Prompt part that crashes each backend server that runs a request with it.
+pub const CRASH_PART: &str = "dead01";
+/// Number of events in each answer.
+pub const EVENT_COUNT: u64 = 5;
 
-/// What a request may be done with.
+/// How a request may be repeated, as its route says.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
     Once,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// What may be done with it.
-    pub fn routed(self) -> wire::routing::Kind {
+    /// Returns the kind of the route that requests of this kind use.
+    pub fn route_kind(self) -> wire::routing::Kind {
         match self {
             Self::Once => wire::routing::Kind::Once,
             Self::Safe => wire::routing::Kind::Idempotent,
@@ -66,123 +66,132 @@
 pub enum Outcome {
     Answered {
         status: u16,
-        whole: bool,
+        /// Whether the body was received up to its end.
+        is_whole: bool,
+        /// Ids of the received events, in order.
         ids: Vec<u64>,
-        own: bool,
+        /// Whether the response has the id of this request.
+        is_own: bool,
     },
-    /// Sent, and the connection closed without an answer.
+    /// The request was sent, and the connection closed without a response.
     Lost,
-    /// No connection; nothing was sent.
+    /// There was no connection, so nothing was sent.
     Unsent,
-    /// No answer for as long as the caller waits.
+    /// The caller's timeout passed before the end of the response.
     Late,
 }
 
-/// A request as its caller saw it.
+/// A request and its outcome, as its caller observed them.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Observation {
     pub id: String,
     pub kind: Kind,
     pub node: SocketAddr,
     pub outcome: Outcome,
-    pub began: Instant,
-    pub took: Duration,
+    pub sent_at: Instant,
+    pub latency: Duration,
 }
 
-/// Callers under way.
+/// Running callers.
 pub struct Callers {
     stop: CancellationToken,
-    tasks: Vec<JoinHandle<Vec<Seen>>>,
+    tasks: Vec<JoinHandle<Vec<Observation>>>,
 }
 
-/// What backend servers answer with: events, which read well as a plain body too.
+/// Returns the answer of backend servers: events, which callers also accept as a plain body.
 pub fn script() -> Script {
-    Script { events: EVENTS, pause: Duration::from_millis(15), ..Script::default() }
+    Script { events: EVENT_COUNT, pause: Duration::from_millis(15), ..Script::default() }
 }
 
-/// Starts callers of all nodes.
+/// Starts the callers of all nodes.
 pub fn start(fleet: &Fleet) -> Callers {
     let stop = CancellationToken::new();
     let targets = fleet.nodes.iter().map(|node| node.callers);
-    let each = targets.flat_map(|target| (0..EACH).map(move |number| (target, number)));
-    let tasks = each.map(|(target, number)| tokio::spawn(call(target, number, stop.clone())));
+    let callers =
+        targets.flat_map(|target| (0..CALLERS_PER_NODE).map(move |number| (target, number)));
+    let tasks =
+        callers.map(|(target, number)| tokio::spawn(run_caller(target, number, stop.clone())));
     Callers { tasks: tasks.collect(), stop: stop.clone() }
 }
 
 impl Callers {
-    /// Lets the requests under way end; all that were seen.
-    pub async fn stop(self) -> Vec<Seen> {
+    /// Stops the callers once their requests in flight have ended, and returns all observations.
+    pub async fn stop(self) -> Vec<Observation> {
         self.stop.cancel();
-        let mut all = Vec::new();
+        let mut observations = Vec::new();
         for task in self.tasks {
-            all.extend(task.await.expect("caller"));
+            observations.extend(task.await.expect("caller"));
         }
-        all
+        observations
     }
 }
 
-async fn call(target: SocketAddr, number: usize, stop: CancellationToken) -> Vec<Seen> {
-    let mut seen = Vec::new();
-    let mut kept = None;
+async fn run_caller(
+    target: SocketAddr,
+    number: usize,
+    stop: CancellationToken,
+) -> Vec<Observation> {
+    let mut observations = Vec::new();
+    let mut connection = None;
     while !stop.is_cancelled() {
-        let kind = Kind::ALL[(number + seen.len()) % Kind::ALL.len()];
-        let one = ask(target, kind, &mut kept).await;
-        if matches!(one.outcome, Outcome::Unsent) {
-            // The node is down; it is started again in a moment.
-            tokio::time::sleep(PAUSE * 5).await;
+        let kind = Kind::ALL[(number + observations.len()) % Kind::ALL.len()];
+        let observation = send(target, kind, &mut connection).await;
+        if matches!(observation.outcome, Outcome::Unsent) {
+            // The node is down and about to be restarted.
+            tokio::time::sleep(REQUEST_INTERVAL * 5).await;
         }
-        seen.push(one);
-        tokio::time::sleep(PAUSE).await;
+        observations.push(observation);
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
-    seen
+    observations
 }
 
-/// One request on a connection of its own.
-pub async fn once(target: SocketAddr, kind: Kind) -> Seen {
-    ask(target, kind, &mut None).await
+/// Sends one request on a new connection.
+pub async fn send_once(target: SocketAddr, kind: Kind) -> Observation {
+    send(target, kind, &mut None).await
 }
 
-/// What ends the backend servers that run it.
+/// What crashes the backend servers that run a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Deadly {
-    /// One request, always the same.
+pub enum Crash {
+    /// The whole request, which is always the same.
     Request,
-    /// A part of prompts, in requests of which no two are alike.
-    Part,
+    /// A part of the prompt; the requests differ otherwise.
+    PromptPart,
 }
 
-/// A request under which backend servers end, once.
-pub async fn strike(target: SocketAddr, deadly: Deadly) {
+/// Sends one request that crashes the backend servers that run it.
+pub async fn send_crash_request(target: SocketAddr, crash: Crash) {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-    let sent = match deadly {
-        Deadly::Request => Sent { id: "deadly", path: "/stream/x", body: DEADLY, parts: None },
-        Deadly::Part => Sent {
+    let spec = match crash {
+        Crash::Request => Spec { id: "deadly", path: "/stream/x", body: CRASH_BODY, parts: None },
+        Crash::PromptPart => Spec {
             id: &format!("deadly-{number}"),
             path: &format!("/stream/{number}"),
-            body: ASKED,
-            parts: Some(format!("a1:100,{DEADLY_PART}:100,f00d{number:x}:50")),
+            body: BODY,
+            parts: Some(format!("a1:100,{CRASH_PART}:100,f00d{number:x}:50")),
         },
     };
-    let mut kept = None;
-    let exchanged = exchange(target, &sent, &mut kept);
-    // Whatever comes of it, what it does to servers counts.
-    let _ = tokio::time::timeout(Duration::from_millis(PATIENCE_MS), exchanged).await;
+    let mut connection = None;
+    let response = exchange(target, &spec, &mut connection);
+    // The outcome is ignored: only the effect on backend servers matters.
+    let _ = tokio::time::timeout(Duration::from_millis(DEADLINE_MS), response).await;
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
-async fn ask(target: SocketAddr, kind: Kind, kept: &mut Option<Sender>) -> Seen {
+async fn send(target: SocketAddr, kind: Kind, connection: &mut Option<Sender>) -> Observation {
     static NUMBER: AtomicU64 = AtomicU64::new(0);
     let id = format!("r{}", NUMBER.fetch_add(1, Ordering::Relaxed));
-    let began = Instant::now();
-    let within = Duration::from_millis(PATIENCE_MS + 500);
+    let sent_at = Instant::now();
+    let timeout = Duration::from_millis(DEADLINE_MS + 500);
     let path = format!("/{}/x", kind.name());
-    let sent = Sent { id: &id, path: &path, body: ASKED, parts: None };
-    let exchanged = exchange(target, &sent, kept);
-    let outcome = tokio::time::timeout(within, exchanged).await;
+    let spec = Spec { id: &id, path: &path, body: BODY, parts: None };
+    let response = exchange(target, &spec, connection);
+    let outcome = tokio::time::timeout(timeout, response).await;
     let outcome = outcome.unwrap_or(Outcome::Late);
-    Seen { id, kind, node: target, outcome, began, took: began.elapsed() }
+    Observation { id, kind, node: target, outcome, sent_at, latency: sent_at.elapsed() }
 }
 
 async fn connect(target: SocketAddr) -> Option<Sender> {
@@ -192,48 +201,49 @@
     Some(sender)
 }
 
-/// A request as it is sent.
-struct Sent<'a> {
+/// The parts of a request that differ between requests.
+struct Spec<'a> {
     id: &'a str,
     path: &'a str,
     body: &'static str,
-    /// Of its prompt.
+    /// Parts of the prompt, as the header lists them; none sends no header.
     parts: Option<String>,
 }
 
-async fn exchange(target: SocketAddr, sent: &Sent<'_>, kept: &mut Option<Sender>) -> Outcome {
-    let sender = match kept.take().filter(SendRequest::is_ready) {
+async fn exchange(target: SocketAddr, spec: &Spec<'_>, connection: &mut Option<Sender>) -> Outcome {
+    let sender = match connection.take().filter(SendRequest::is_ready) {
         Some(sender) => Some(sender),
         None => connect(target).await,
     };
     let Some(mut sender) = sender else { return Outcome::Unsent };
-    let mut request = Request::post(sent.path)
+    let mut request = Request::post(spec.path)
         .header("host", HOST)
         .header("authorization", format!("Bearer {KEY}"))
-        .header(names::REQUEST_ID, sent.id)
-        .header(names::DEADLINE_MS, PATIENCE_MS);
-    if let Some(parts) = &sent.parts {
+        .header(names::REQUEST_ID, spec.id)
+        .header(names::DEADLINE_MS, DEADLINE_MS);
+    if let Some(parts) = &spec.parts {
         request = request.header(names::PROMPT_PARTS, parts);
     }
-    let request = request.body(Full::from(sent.body));
+    let request = request.body(Full::from(spec.body));
     let response = match sender.try_send_request(request.expect("request")).await {
         Ok(response) => response,
         Err(mut error) => {
-            let unsent = error.take_message().is_some();
-            return if unsent { Outcome::Unsent } else { Outcome::Lost };
+            let is_unsent = error.take_message().is_some();
+            return if is_unsent { Outcome::Unsent } else { Outcome::Lost };
         }
     };
     let (head, body) = response.into_parts();
-    let own = head.headers.get(names::REQUEST_ID).is_some_and(|echo| echo == sent.id);
+    let is_own = head.headers.get(names::REQUEST_ID).is_some_and(|echo| echo == spec.id);
     let status = head.status.as_u16();
-    let (text, whole) = read(body).await;
-    if whole && head.headers.get("connection").is_none_or(|value| value != "close") {
-        *kept = Some(sender);
+    let (text, is_whole) = read(body).await;
+    if is_whole && head.headers.get("connection").is_none_or(|value| value != "close") {
+        *connection = Some(sender);
     }
     let ids = text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok());
-    Outcome::Answered { status, whole, ids: ids.collect(), own }
+    Outcome::Answered { status, is_whole, ids: ids.collect(), is_own }
 }
 
+/// Reads a body up to its end or its break; returns the received text and whether it is complete.
 async fn read(mut body: hyper::body::Incoming) -> (String, bool) {
     let mut bytes = Vec::new();
     loop {
@@ -245,24 +255,24 @@
     }
 }
 
-/// Whether a node says that it is ready.
+/// Returns whether a node reports that it is ready.
 pub async fn is_ready(operators: SocketAddr) -> bool {
-    matches!(look(operators, "/ready").await, Some((200, _)))
+    matches!(get(operators, "/ready").await, Some((200, _)))
 }
 
-/// Version of the table that a node has in force, if it answers.
-pub async fn table(operators: SocketAddr) -> Option<u64> {
-    let (_, body) = look(operators, "/status").await?;
+/// Returns the version of the routing table that a node has in force, if the node responds.
+pub async fn table_version(operators: SocketAddr) -> Option<u64> {
+    let (_, body) = get(operators, "/status").await?;
     serde_json::from_slice::<serde_json::Value>(&body).ok()?["table"].as_u64()
 }
 
-async fn look(operators: SocketAddr, path: &str) -> Option<(u16, Bytes)> {
-    let asked = async {
+async fn get(operators: SocketAddr, path: &str) -> Option<(u16, Bytes)> {
+    let response = async {
         let mut sender = connect(operators).await?;
         let request = Request::get(path).header("host", "node").body(Full::default()).ok()?;
         let response = sender.send_request(request).await.ok()?;
         let status = response.status().as_u16();
         Some((status, response.into_body().collect().await.ok()?.to_bytes()))
     };
-    tokio::time::timeout(Duration::from_millis(500), asked).await.ok()?
+    tokio::time::timeout(Duration::from_millis(500), response).await.ok()?
 }
--- a/crates/chestnutspur/tests/soak/faults.rs
+++ b/crates/chestnutspur/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed: single, in series, overlapping.
+//! Faults drawn from a seed: single ones, series and overlapping ones.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,29 +11,29 @@
 
 use wire::routing::Warmup;
 
-use crate::callers::{self, Deadly};
+use crate::callers::{self, Crash};
 use crate::fleet::{Fleet, domain};
 
-/// What kind of trouble a seed brings.
+/// Kind of faults that a seed injects.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trouble {
+pub enum Scenario {
     /// Connections and processes fail.
     Network,
-    /// The store fails, and tables change meanwhile.
+    /// The store fails while routing tables change.
     Store,
-    /// Only what operators plan: restarts, changes, servers that leave.
+    /// Only planned operations: restarts, changes, and servers that leave.
     Planned,
-    /// Failure domains are evacuated, and servers start again that have to warm up.
+    /// Failure domains are evacuated, and restarted servers have to warm up.
     Evacuations,
-    /// Servers say in their answers that they leave, or ask for a pause.
+    /// Servers announce in their answers that they leave, or ask for a pause.
     Statements,
-    /// Open connections fall silent for good while new ones work; tables change and servers leave.
+    /// Open connections fall silent for good, while new ones work; tables change and servers leave.
     Silences,
-    /// The store comes back from a copy; what was written since is written again after a while.
+    /// The store is restored from a backup; the lost changes are written again after a while.
     Copies,
 }
 
-impl Trouble {
+impl Scenario {
     const ALL: [Self; 7] = [
         Self::Network,
         Self::Store,
@@ -44,8 +44,9 @@
         Self::Copies,
     ];
 
-    /// What a seed brings. Small seeds stay as they were when a kind of trouble was added.
-    pub fn of(seed: u64) -> Self {
+    /// Returns the scenario of a seed. Small seeds kept theirs when scenarios were added, so that
+    /// old failures stay reproducible.
+    pub fn from_seed(seed: u64) -> Self {
         match seed {
             0..1_000 => Self::ALL[(seed % 3) as usize],
             1_000..2_000 => Self::Evacuations,
@@ -58,77 +59,82 @@
     }
 }
 
-/// What backend servers end of in a seed's play.
-pub fn deadly(seed: u64) -> Deadly {
+/// Returns what crashes backend servers in a seed's run.
+pub fn crash(seed: u64) -> Crash {
     match seed {
-        3_000..4_000 => Deadly::Part,
-        10_000.. if seed % 2 == 1 => Deadly::Part,
-        _ => Deadly::Request,
+        3_000..4_000 => Crash::PromptPart,
+        10_000.. if seed % 2 == 1 => Crash::PromptPart,
+        _ => Crash::Request,
     }
 }
 
-/// What servers take there until they are warm.
+/// Warm-up of restarted servers in [`Scenario::Evacuations`].
 const WARMUP: Warmup = Warmup { ms: 2_000, per_second: 4.0 };
 
-/// How servers warm up in a seed's play, if they have to.
+/// Returns how servers warm up in a seed's run; none if they needn't.
 pub fn warmup(seed: u64) -> Option<Warmup> {
-    (Trouble::of(seed) == Trouble::Evacuations).then_some(WARMUP)
+    (Scenario::from_seed(seed) == Scenario::Evacuations).then_some(WARMUP)
 }
 
-/// A failure domain that was evacuated.
+/// The evacuation of a failure domain.
 #[derive(Clone, Copy, Debug)]
-pub struct Evacuated {
+pub struct Evacuation {
     pub domain: &'static str,
+    /// When the evacuation was ordered.
     pub at: Instant,
-    pub back_at: Instant,
+    /// When the order was withdrawn.
+    pub ended_at: Instant,
 }
 
-/// A backend server that started again and had to warm up.
+/// The restart of a backend server that has to warm up.
 #[derive(Clone, Debug)]
-pub struct Cold {
+pub struct ColdStart {
     pub number: usize,
-    /// The id of its start; what was meant for the start before does not count.
+    /// The server's id after the restart. Requests meant for the id before don't count.
     pub id: String,
     pub at: Instant,
 }
 
-/// A backend server that left.
+/// The time during which a backend server was leaving.
 #[derive(Clone, Copy, Debug)]
-pub struct Left {
+pub struct Departure {
     pub number: usize,
+    /// When the server began to leave.
     pub at: Instant,
-    pub back_at: Instant,
+    /// When the server was restarted under another id.
+    pub ended_at: Instant,
 }
 
-/// What was done.
+/// Faults that were injected in a run, and their effects on processes and tables.
 #[derive(Debug)]
-pub struct Played {
-    pub trouble: Trouble,
+pub struct History {
+    pub scenario: Scenario,
     pub steps: Vec<String>,
-    pub left: Vec<Left>,
-    /// Servers that said in their answers that they leave.
-    pub said: Vec<Left>,
-    pub evacuated: Vec<Evacuated>,
-    pub cold: Vec<Cold>,
-    /// When nodes were started again, by where callers reach them.
-    pub restarted: Vec<(SocketAddr, Instant)>,
-    /// Nodes that did not end in time after SIGTERM.
-    pub stuck: Vec<usize>,
-    /// Tables that were not in force in time.
+    /// Departures that the store's list of backend servers announced.
+    pub listed_departures: Vec<Departure>,
+    /// Departures that only the servers themselves announced, in their answers.
+    pub announced_departures: Vec<Departure>,
+    pub evacuations: Vec<Evacuation>,
+    pub cold_starts: Vec<ColdStart>,
+    /// When nodes were restarted, with their callers' addresses.
+    pub node_restarts: Vec<(SocketAddr, Instant)>,
+    /// Nodes that did not exit in time after SIGTERM.
+    pub stuck_nodes: Vec<usize>,
+    /// Routing tables that were not in force on all nodes in time.
     pub late_tables: Vec<String>,
 }
 
-/// After the last silence, and after a change, the newest table is in force within this time.
-const IN_FORCE: Duration = Duration::from_millis(3_000);
-/// Routes more of a long table.
-const MANY_ROUTES: usize = 3_000;
-/// Bytes a second of a narrow link; it takes two seconds for a long table.
-const NARROW: u64 = 400_000;
+/// Time limit for the newest table to be in force on all nodes, from the last change or silence.
+const IN_FORCE_MAX: Duration = Duration::from_millis(3_000);
+/// Number of unused routes that a long table has.
+const EXTRA_ROUTE_COUNT: usize = 3_000;
+/// Bytes per second of a slow link, which takes two seconds for a long table.
+const SLOW_LINK_BYTES_PER_S: u64 = 400_000;
 
-/// A seed's draws.
-struct Draws(u64);
+/// Pseudorandom numbers of a seed.
+struct Rng(u64);
 
-impl Draws {
+impl Rng {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = mix(self.0);
         self.0 % bound
@@ -143,89 +149,89 @@
     }
 }
 
-/// Brings faults about for a time.
-pub async fn run(fleet: &mut Fleet, seed: u64, length: Duration) -> Played {
-    let trouble = Trouble::of(seed);
-    let mut draws = Draws(seed ^ 0x50a4);
-    let mut played = Played {
-        trouble,
+/// Injects faults for a given time and returns what was done.
+pub async fn run(fleet: &mut Fleet, seed: u64, length: Duration) -> History {
+    let scenario = Scenario::from_seed(seed);
+    let mut rng = Rng(seed ^ 0x50a4);
+    let mut history = History {
+        scenario,
         steps: Vec::new(),
-        left: Vec::new(),
-        said: Vec::new(),
-        evacuated: Vec::new(),
-        cold: Vec::new(),
-        restarted: Vec::new(),
-        stuck: Vec::new(),
+        listed_departures: Vec::new(),
+        announced_departures: Vec::new(),
+        evacuations: Vec::new(),
+        cold_starts: Vec::new(),
+        node_restarts: Vec::new(),
+        stuck_nodes: Vec::new(),
         late_tables: Vec::new(),
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut version = 1;
-    while began.elapsed() < length {
-        let at = began.elapsed().as_millis();
-        let step = match trouble {
-            Trouble::Network => network(fleet, &mut draws).await,
-            Trouble::Store => store(fleet, &mut draws, &mut version).await,
-            Trouble::Planned => planned(fleet, &mut draws, &mut version, &mut played).await,
-            Trouble::Evacuations => evacuations(fleet, &mut draws, &mut played).await,
-            Trouble::Statements => statements(fleet, &mut draws, &mut played).await,
-            Trouble::Silences => silences(fleet, &mut draws, &mut version, &mut played).await,
-            Trouble::Copies => copies(fleet, &mut draws, &mut version, &mut played).await,
+    while started_at.elapsed() < length {
+        let at = started_at.elapsed().as_millis();
+        let step = match scenario {
+            Scenario::Network => network(fleet, &mut rng).await,
+            Scenario::Store => store(fleet, &mut rng, &mut version).await,
+            Scenario::Planned => planned(fleet, &mut rng, &mut version, &mut history).await,
+            Scenario::Evacuations => evacuations(fleet, &mut rng, &mut history).await,
+            Scenario::Statements => statements(fleet, &mut rng, &mut history).await,
+            Scenario::Silences => silences(fleet, &mut rng, &mut version, &mut history).await,
+            Scenario::Copies => copies(fleet, &mut rng, &mut version, &mut history).await,
         };
-        played.steps.push(format!("{at} ms: {step}"));
+        history.steps.push(format!("{at} ms: {step}"));
     }
-    played
+    history
 }
 
-async fn network(fleet: &mut Fleet, draws: &mut Draws) -> String {
-    let backend = draws.index(fleet.backend_proxies.len());
-    let node = draws.index(fleet.nodes.len());
-    let lasts = draws.ms(50, 900);
+async fn network(fleet: &mut Fleet, rng: &mut Rng) -> String {
+    let backend = rng.index(fleet.backend_proxies.len());
+    let node = rng.index(fleet.nodes.len());
+    let duration = rng.ms(50, 900);
     let proxy = &fleet.backend_proxies[backend];
-    match draws.below(10) {
+    match rng.below(10) {
         0 => proxy.reset_existing(),
         1 => proxy.silence_existing(),
         mode @ 2..=4 => {
             proxy.set_mode([Mode::Cut, Mode::Silent, Mode::DropAnswer][mode as usize - 2]);
-            // The next fault may come while this one lasts.
-            if draws.below(2) == 0 {
-                tokio::time::sleep(lasts).await;
+            // In half of the cases the fault lasts on while the next one is injected.
+            if rng.below(2) == 0 {
+                tokio::time::sleep(duration).await;
                 fleet.backend_proxies[backend].set_mode(Mode::Pass);
             }
-            return format!("backend {backend} mode {mode} {lasts:?}");
+            return format!("backend {backend} mode {mode} {duration:?}");
         }
-        5 => proxy.set_delay(draws.ms(0, 60)),
+        5 => proxy.set_delay(rng.ms(0, 60)),
         6 => {
             fleet.nodes[node].kill();
-            tokio::time::sleep(lasts).await;
-            fleet.nodes[node].start_again();
-            return format!("node {node} killed for {lasts:?}");
+            tokio::time::sleep(duration).await;
+            fleet.nodes[node].ensure_started();
+            return format!("node {node} killed for {duration:?}");
         }
         7 => {
             fleet.nodes[node].signal("STOP");
-            tokio::time::sleep(lasts).await;
+            tokio::time::sleep(duration).await;
             fleet.nodes[node].signal("CONT");
-            return format!("node {node} paused for {lasts:?}");
+            return format!("node {node} paused for {duration:?}");
         }
         8 => {
-            fleet.strike(node).await;
-            return format!("deadly request at node {node}");
+            fleet.send_crash_request(node).await;
+            return format!("crash request at node {node}");
         }
         _ => {
-            let rate = [None, Some(0.5), Some(2.0), Some(20.0)][draws.index(4)];
+            let rate = [None, Some(0.5), Some(2.0), Some(20.0)][rng.index(4)];
             fleet.backends[backend].name_limit(rate);
             return format!("backend {backend} limit {rate:?}");
         }
     }
-    tokio::time::sleep(lasts / 4).await;
-    format!("backend {backend} connections {lasts:?}")
+    tokio::time::sleep(duration / 4).await;
+    format!("backend {backend} connections {duration:?}")
 }
 
-async fn store(fleet: &mut Fleet, draws: &mut Draws, version: &mut u64) -> String {
-    let lasts = draws.ms(50, 1_500);
-    let node = draws.index(fleet.nodes.len());
+async fn store(fleet: &mut Fleet, rng: &mut Rng, version: &mut u64) -> String {
+    let duration = rng.ms(50, 1_500);
+    let node = rng.index(fleet.nodes.len());
     let faults =
         [Faults::unavailable(), Faults::silenced(), Faults::losing_answers(), Faults::late(700)];
-    let what = match draws.below(9) {
+    let what = match rng.below(9) {
         fault @ 0..=3 => {
             fleet.store.set_faults(faults[fault as usize].clone());
             format!("store {:?}", faults[fault as usize].clone())
@@ -239,49 +245,49 @@
             "history dropped".to_owned()
         }
         6 => {
-            fleet.more_routes = MANY_ROUTES;
+            fleet.extra_routes = EXTRA_ROUTE_COUNT;
             "long tables from now on".to_owned()
         }
         7 => {
-            fleet.store_proxies[node].set_rate(Some(NARROW));
-            format!("node {node}'s link to the store narrow")
+            fleet.store_proxies[node].set_rate(Some(SLOW_LINK_BYTES_PER_S));
+            format!("node {node}'s link to the store slow")
         }
         _ => {
             fleet.nodes[node].kill();
-            fleet.nodes[node].start_again();
+            fleet.nodes[node].ensure_started();
             format!("node {node} killed")
         }
     };
     change_table(fleet, version);
-    tokio::time::sleep(lasts).await;
-    if draws.below(2) == 0 {
+    tokio::time::sleep(duration).await;
+    if rng.below(2) == 0 {
         fleet.store.set_faults(Faults::default());
     }
-    format!("{what} for {lasts:?}")
+    format!("{what} for {duration:?}")
 }
 
 async fn planned(
     fleet: &mut Fleet,
-    draws: &mut Draws,
+    rng: &mut Rng,
     version: &mut u64,
-    played: &mut Played,
+    history: &mut History,
 ) -> String {
-    let node = draws.index(fleet.nodes.len());
-    let backend = draws.index(fleet.backends.len());
-    match draws.below(4) {
+    let node = rng.index(fleet.nodes.len());
+    let backend = rng.index(fleet.backends.len());
+    match rng.below(4) {
         0 => {
             fleet.nodes[node].signal("TERM");
             change_table(fleet, version);
-            if !fleet.nodes[node].ended(Duration::from_secs(8)).await {
-                played.stuck.push(node);
+            if !fleet.nodes[node].wait_for_exit(Duration::from_secs(8)).await {
+                history.stuck_nodes.push(node);
             }
-            played.restarted.push((fleet.nodes[node].callers, Instant::now()));
-            fleet.nodes[node].start_again();
+            history.node_restarts.push((fleet.nodes[node].callers, Instant::now()));
+            fleet.nodes[node].ensure_started();
             tokio::time::sleep(Duration::from_millis(400)).await;
             format!("node {node} stopped and started")
         }
         1 => {
-            let window = 9_000 + draws.below(2_000);
+            let window = 9_000 + rng.below(2_000);
             let store = fleet.store_proxies[node].address;
             fleet.nodes[node].write_settings(store, node, window);
             fleet.nodes[node].signal("HUP");
@@ -289,182 +295,195 @@
         }
         2 => {
             change_table(fleet, version);
-            tokio::time::sleep(draws.ms(10, 300)).await;
+            tokio::time::sleep(rng.ms(10, 300)).await;
             "table changed".to_owned()
         }
         _ => {
             let at = Instant::now();
-            fleet.list(backend, "draining");
+            fleet.put_backend(backend, "draining");
             tokio::time::sleep(Duration::from_millis(2_600)).await;
-            played.left.push(Left { number: backend, at, back_at: Instant::now() });
-            fleet.start_backend_again(backend);
+            history.listed_departures.push(Departure {
+                number: backend,
+                at,
+                ended_at: Instant::now(),
+            });
+            fleet.restart_backend(backend);
             tokio::time::sleep(Duration::from_millis(100)).await;
             format!("backend {backend} left")
         }
     }
 }
 
-async fn evacuations(fleet: &mut Fleet, draws: &mut Draws, played: &mut Played) -> String {
-    let node = draws.index(fleet.nodes.len());
-    let backend = draws.index(fleet.backends.len());
-    match draws.below(3) {
+async fn evacuations(fleet: &mut Fleet, rng: &mut Rng, history: &mut History) -> String {
+    let node = rng.index(fleet.nodes.len());
+    let backend = rng.index(fleet.backends.len());
+    match rng.below(3) {
         0 => {
             let (domain, at) = (domain(backend), Instant::now());
             fleet.evacuate(domain, true);
-            // A node that starts in the middle has to know of it.
-            tokio::time::sleep(draws.ms(10, 1_000)).await;
+            // A node that starts during an evacuation has to learn of it.
+            tokio::time::sleep(rng.ms(10, 1_000)).await;
             fleet.nodes[node].kill();
-            fleet.nodes[node].start_again();
-            tokio::time::sleep(draws.ms(2_000, 3_000)).await;
-            played.evacuated.push(Evacuated { domain, at, back_at: Instant::now() });
+            fleet.nodes[node].ensure_started();
+            tokio::time::sleep(rng.ms(2_000, 3_000)).await;
+            history.evacuations.push(Evacuation { domain, at, ended_at: Instant::now() });
             fleet.evacuate(domain, false);
             format!("{domain} evacuated, node {node} killed in the middle")
         }
         1 => {
-            let lasts = draws.ms(50, 900);
+            let duration = rng.ms(50, 900);
             fleet.backend_proxies[backend].set_mode(Mode::Closed);
-            tokio::time::sleep(lasts).await;
+            tokio::time::sleep(duration).await;
             let at = Instant::now();
             fleet.backend_proxies[backend].set_mode(Mode::Pass);
-            fleet.start_backend_again(backend);
-            played.cold.push(Cold { number: backend, id: fleet.id(backend), at });
-            format!("backend {backend} started again, cold, after {lasts:?}")
+            fleet.restart_backend(backend);
+            history.cold_starts.push(ColdStart {
+                number: backend,
+                id: fleet.backend_id(backend),
+                at,
+            });
+            format!("backend {backend} started again, cold, after {duration:?}")
         }
         _ => {
-            let lasts = draws.ms(50, 500);
+            let duration = rng.ms(50, 500);
             fleet.nodes[node].kill();
-            tokio::time::sleep(lasts).await;
-            fleet.nodes[node].start_again();
-            format!("node {node} killed for {lasts:?}")
+            tokio::time::sleep(duration).await;
+            fleet.nodes[node].ensure_started();
+            format!("node {node} killed for {duration:?}")
         }
     }
 }
 
-async fn statements(fleet: &mut Fleet, draws: &mut Draws, played: &mut Played) -> String {
-    let node = draws.index(fleet.nodes.len());
-    let backend = draws.index(fleet.backends.len());
-    match draws.below(4) {
+async fn statements(fleet: &mut Fleet, rng: &mut Rng, history: &mut History) -> String {
+    let node = rng.index(fleet.nodes.len());
+    let backend = rng.index(fleet.backends.len());
+    match rng.below(4) {
         0 => {
-            // The list says nothing of it, or can't be read.
-            if draws.below(2) == 0 {
+            // Half of the time the store is unavailable; otherwise its list still says ready.
+            if rng.below(2) == 0 {
                 fleet.store.set_faults(Faults::unavailable());
             }
             let at = Instant::now();
             fleet.backends[backend].leave(true);
-            tokio::time::sleep(draws.ms(2_500, 4_000)).await;
-            played.said.push(Left { number: backend, at, back_at: Instant::now() });
+            tokio::time::sleep(rng.ms(2_500, 4_000)).await;
+            history.announced_departures.push(Departure {
+                number: backend,
+                at,
+                ended_at: Instant::now(),
+            });
             fleet.backends[backend].leave(false);
             fleet.store.set_faults(Faults::default());
-            fleet.start_backend_again(backend);
+            fleet.restart_backend(backend);
             format!("backend {backend} said that it leaves")
         }
         1 => {
             fleet.nodes[node].kill();
-            fleet.nodes[node].start_again();
-            played.restarted.push((fleet.nodes[node].callers, Instant::now()));
+            fleet.nodes[node].ensure_started();
+            history.node_restarts.push((fleet.nodes[node].callers, Instant::now()));
             format!("node {node} killed")
         }
         2 => {
-            // The entry lapses and is back; what the server said still holds.
-            fleet.store.remove(names::table::BACKENDS, &fleet.id(backend));
-            tokio::time::sleep(draws.ms(50, 600)).await;
-            fleet.list(backend, "ready");
+            // The server's entry expires and returns; the server's announcement stays valid.
+            fleet.store.remove(names::table::BACKENDS, &fleet.backend_id(backend));
+            tokio::time::sleep(rng.ms(50, 600)).await;
+            fleet.put_backend(backend, "ready");
             format!("backend {backend} lapsed")
         }
         _ => {
-            let lasts = draws.ms(500, 2_500);
-            fleet.backends[backend].set(Act::Pause(["0.8", "1.5", "3"][draws.index(3)]));
-            tokio::time::sleep(lasts).await;
+            let duration = rng.ms(500, 2_500);
+            fleet.backends[backend].set(Act::Pause(["0.8", "1.5", "3"][rng.index(3)]));
+            tokio::time::sleep(duration).await;
             fleet.backends[backend].set(Act::Stream(callers::script()));
-            format!("backend {backend} asked for pauses for {lasts:?}")
+            format!("backend {backend} asked for pauses for {duration:?}")
         }
     }
 }
 
-/// Connections fall silent, those to the store and to servers, of some nodes or all, once or twice; the table
-/// changes, and a server may leave beside it.
+/// Silences the open connections of some nodes to the store and of some backend servers, once or
+/// twice. Meanwhile the table changes, and a server may leave.
 async fn silences(
     fleet: &mut Fleet,
-    draws: &mut Draws,
+    rng: &mut Rng,
     version: &mut u64,
-    played: &mut Played,
+    history: &mut History,
 ) -> String {
-    let backend = draws.index(fleet.backends.len());
-    let silence = |fleet: &Fleet, draws: &mut Draws| {
+    let backend = rng.index(fleet.backends.len());
+    let silence = |fleet: &Fleet, rng: &mut Rng| {
         let nodes = fleet.store_proxies.iter();
-        nodes.filter(|_| draws.below(4) > 0).for_each(|proxy| proxy.silence_existing());
+        nodes.filter(|_| rng.below(4) > 0).for_each(|proxy| proxy.silence_existing());
         let servers = fleet.backend_proxies.iter();
-        servers.filter(|_| draws.below(2) == 0).for_each(|proxy| proxy.silence_existing());
+        servers.filter(|_| rng.below(2) == 0).for_each(|proxy| proxy.silence_existing());
     };
-    silence(fleet, draws);
-    let before = draws.ms(0, 1_500);
+    silence(fleet, rng);
+    let before = rng.ms(0, 1_500);
     tokio::time::sleep(before).await;
     let at = Instant::now();
     change_table(fleet, version);
-    let leaves = draws.below(2) == 0;
-    if leaves {
-        fleet.list(backend, "draining");
+    let is_leaving = rng.below(2) == 0;
+    if is_leaving {
+        fleet.put_backend(backend, "draining");
     }
-    tokio::time::sleep(draws.ms(0, 300)).await;
-    if draws.below(2) == 0 {
-        silence(fleet, draws);
+    tokio::time::sleep(rng.ms(0, 300)).await;
+    if rng.below(2) == 0 {
+        silence(fleet, rng);
     }
-    played.late_tables.extend(fleet.table_in_force(IN_FORCE).await);
-    if leaves {
+    history.late_tables.extend(fleet.wait_for_table(IN_FORCE_MAX).await);
+    if is_leaving {
         tokio::time::sleep(Duration::from_millis(2_600).saturating_sub(at.elapsed())).await;
-        fleet.start_backend_again(backend);
+        fleet.restart_backend(backend);
     }
-    format!("connections silent {before:?} before a change, backend {backend} leaves: {leaves}")
+    format!("connections silent {before:?} before a change, backend {backend} leaves: {is_leaving}")
 }
 
-/// The table changes, and a server leaves shortly before the store comes back from a copy or shortly behind that.
+/// Changes the table, then restores the store from a backup made before the change. A server leaves
+/// shortly before the restore or shortly after it.
 async fn copies(
     fleet: &mut Fleet,
-    draws: &mut Draws,
+    rng: &mut Rng,
     version: &mut u64,
-    played: &mut Played,
+    history: &mut History,
 ) -> String {
-    let node = draws.index(fleet.nodes.len());
-    let backend = draws.index(fleet.backends.len());
-    let left_before = draws.below(2) == 0;
-    let is_killed = draws.below(4) == 0;
+    let node = rng.index(fleet.nodes.len());
+    let backend = rng.index(fleet.backends.len());
+    let has_left_before = rng.below(2) == 0;
+    let is_killed = rng.below(4) == 0;
     let backup = fleet.store.backup();
     change_table(fleet, version);
     let mut at = Instant::now();
-    if left_before {
-        fleet.list(backend, "draining");
+    if has_left_before {
+        fleet.put_backend(backend, "draining");
     }
-    tokio::time::sleep(draws.ms(1_300, 2_000)).await;
+    tokio::time::sleep(rng.ms(1_300, 2_000)).await;
     fleet.store.set_faults(Faults::unavailable());
-    tokio::time::sleep(draws.ms(20, 600)).await;
+    tokio::time::sleep(rng.ms(20, 600)).await;
     fleet.store.restore(backup);
     fleet.store.set_faults(Faults::default());
     if is_killed {
         fleet.nodes[node].kill();
-        fleet.nodes[node].start_again();
+        fleet.nodes[node].ensure_started();
     }
-    let rewritten = draws.ms(0, 900);
+    let rewritten = rng.ms(0, 900);
     tokio::time::sleep(rewritten).await;
     fleet.put_table(*version);
     for number in 0..fleet.backends.len() {
-        let is_leaving = left_before && number == backend;
-        fleet.list(number, if is_leaving { "draining" } else { "ready" });
+        let is_leaving = has_left_before && number == backend;
+        fleet.put_backend(number, if is_leaving { "draining" } else { "ready" });
     }
-    if !left_before {
+    if !has_left_before {
         at = Instant::now();
-        fleet.list(backend, "draining");
+        fleet.put_backend(backend, "draining");
     }
     change_table(fleet, version);
-    played.late_tables.extend(fleet.table_in_force(IN_FORCE).await);
+    history.late_tables.extend(fleet.wait_for_table(IN_FORCE_MAX).await);
     tokio::time::sleep(Duration::from_millis(2_600).saturating_sub(at.elapsed())).await;
-    // A node that starts while the store lacks the leave can't know of it.
-    if !(left_before && is_killed) {
-        played.left.push(Left { number: backend, at, back_at: Instant::now() });
+    // A node that starts while the restored store lacks the departure can't know of it.
+    if !(has_left_before && is_killed) {
+        history.listed_departures.push(Departure { number: backend, at, ended_at: Instant::now() });
     }
-    fleet.start_backend_again(backend);
+    fleet.restart_backend(backend);
     format!(
-        "store back from a copy, written again after {rewritten:?}, backend {backend} left before: \
-         {left_before}, node {node} killed: {is_killed}"
+        "store restored from a backup, written again after {rewritten:?}, backend {backend} left \
+         before: {has_left_before}, node {node} killed: {is_killed}"
     )
 }
 
--- a/crates/chestnutspur/tests/soak/fleet.rs
+++ b/crates/chestnutspur/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of one play: node processes, stand-ins, a proxy before each of them.
+//! The fleet of one run: node processes and stand-ins, with proxies on the paths between them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,71 +16,71 @@
 use standin::server::{Running, start};
 use wire::routing::{Account, Limits, Route, Service, Table, Target, Warmup};
 
-use crate::callers::{self, Deadly, Kind, Outcome};
+use crate::callers::{self, Crash, Kind, Outcome};
 use crate::{faults, ports};
 
 pub const HOST: &str = "callers.example";
 pub const KEY: &str = "key-of-office";
-const NODES: usize = 3;
-/// Servers that a request may be sent to.
+const NODE_COUNT: usize = 3;
+/// Number of backend servers that a request may be sent to.
 pub const ATTEMPTS_MAX: u32 = 3;
-const BACKENDS: usize = 4;
-/// Until a server that has ended is back.
-const AWAY: Duration = Duration::from_millis(200);
-/// Nodes in touch with the store know of a third server's end by then.
-const CONTACT: Duration = Duration::from_millis(3_000);
-/// Servers that may end under the same request after that.
-const RETRIES_MAX: usize = 3;
-
-/// One node process.
+const BACKEND_COUNT: usize = 4;
+/// Time from the crash of a backend server to its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
+/// Time within which all nodes that reach the store know that a third server has crashed.
+const PROPAGATION_TIME: Duration = Duration::from_millis(3_000);
+/// Number of further servers that may crash from the same cause after that time.
+const FURTHER_CRASHES_MAX: usize = 3;
+
+/// A node and its process, which may be down.
 pub struct Node {
-    /// Where callers come in.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Readiness.
+    /// Address for operators, which reports readiness and status.
     pub operators: SocketAddr,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
 }
 
-/// All that takes part.
+/// The processes, stand-ins and proxies of one run.
 pub struct Fleet {
     pub directory: PathBuf,
     pub store: Running<Platform>,
-    /// Between each node and the store.
+    /// Proxies between each node and the store.
     pub store_proxies: Vec<Proxy>,
     pub backends: Vec<Arc<Running<Routed>>>,
-    /// How often each backend server was started; each start has an id of its own.
-    pub starts: Vec<u32>,
-    /// Before each backend server.
+    /// Number of restarts of each backend server. The server has another id after each restart.
+    pub restarts: Vec<u32>,
+    /// Proxies in front of the backend servers.
     pub backend_proxies: Vec<Proxy>,
     pub nodes: Vec<Node>,
-    /// Routes that tables have more, from now on.
-    pub more_routes: usize,
-    /// What backend servers take until they are warm, if they have to warm up.
+    /// Number of unused routes in the tables that are put from now on.
+    pub extra_routes: usize,
+    /// How restarted backend servers warm up; none if they needn't.
     pub warmup: Option<Warmup>,
-    /// What backend servers end of.
-    pub deadly: Deadly,
-    /// The version of the newest table.
+    /// What crashes backend servers.
+    pub crash: Crash,
+    /// Version of the newest routing table.
     version: u64,
 }
 
-/// Where a node or backend server stands.
+/// Returns the failure domain of a node or backend server.
 pub fn domain(number: usize) -> &'static str {
     if number.is_multiple_of(2) { "a" } else { "b" }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().expect("address")
 }
 
-/// The table of routes of a version, with so many routes more that nobody asks for.
-pub fn table(version: u64, more: usize, warmup: Option<Warmup>) -> Value {
+/// Returns a routing table with a number of extra routes that no caller uses.
+pub fn routing_table(version: u64, extra_routes: usize, warmup: Option<Warmup>) -> Value {
     let route = |kind: Kind| Route {
         name: Name::from(kind.name()),
         host: Name::from(HOST),
         prefix: Name::from(format!("/{}/", kind.name())),
-        kind: kind.routed(),
+        kind: kind.route_kind(),
         attempts_max: ATTEMPTS_MAX,
         timeout_ms: 3_000,
         objective_ms: 300,
@@ -101,7 +101,7 @@
     };
     let table = Table {
         version,
-        routes: Kind::ALL.map(route).into_iter().chain((0..more).map(unused)).collect(),
+        routes: Kind::ALL.map(route).into_iter().chain((0..extra_routes).map(unused)).collect(),
         services: vec![service],
         accounts: vec![account],
         limits: Limits::default(),
@@ -110,73 +110,73 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until all nodes are ready.
+    /// Starts all parts and waits until all nodes are ready.
     pub async fn start(seed: u64) -> Self {
-        // Settings files of two soaks at once must not be the same: nodes that start again would read
-        // the other's.
+        // Soaks that run at the same time must not share settings files: a restarted node would
+        // read those of the other soak.
         let name = format!("soak-{seed}-{}", std::process::id());
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         let _ = std::fs::remove_dir_all(&directory);
         std::fs::create_dir_all(&directory).expect("directory");
-        let store = start(any(), Platform::default()).expect("store");
+        let store = start(any_port(), Platform::default()).expect("store");
         let mut fleet = Self {
             directory,
             store,
             store_proxies: Vec::new(),
             backends: Vec::new(),
-            starts: vec![0; BACKENDS],
+            restarts: vec![0; BACKEND_COUNT],
             backend_proxies: Vec::new(),
             nodes: Vec::new(),
-            more_routes: 0,
+            extra_routes: 0,
             warmup: faults::warmup(seed),
-            deadly: faults::deadly(seed),
+            crash: faults::crash(seed),
             version: 0,
         };
         fleet.put_table(1);
-        for number in 0..BACKENDS {
+        for number in 0..BACKEND_COUNT {
             let act = Act::Stream(callers::script());
-            let backend = start(any(), Routed::new(act)).expect("backend server");
-            backend.end_by(callers::DEADLY);
-            backend.end_by_parts(&[callers::DEADLY_PART]);
+            let backend = start(any_port(), Routed::new(act)).expect("backend server");
+            backend.end_by(callers::CRASH_BODY);
+            backend.end_by_parts(&[callers::CRASH_PART]);
             fleet.backend_proxies.push(proxy_to(backend.address).await);
             fleet.backends.push(Arc::new(backend));
-            fleet.list(number, "ready");
+            fleet.put_backend(number, "ready");
         }
-        for number in 0..NODES {
+        for number in 0..NODE_COUNT {
             fleet.store_proxies.push(proxy_to(fleet.store.address).await);
             let node = Node::start(&fleet, number);
             fleet.nodes.push(node);
         }
-        for number in 0..NODES {
+        for number in 0..NODE_COUNT {
             fleet.until_ready(number).await;
         }
         fleet
     }
 
-    /// Puts a table of routes in force.
+    /// Writes a routing table to the store.
     pub fn put_table(&mut self, version: u64) {
-        let table = table(version, self.more_routes, self.warmup);
+        let table = routing_table(version, self.extra_routes, self.warmup);
         self.store.put(names::table::OPERATORS, names::key::CONFIGURATION, &table);
         self.version = version;
     }
 
-    /// Lists a backend server as ready or leaving.
-    pub fn list(&self, number: usize, state: &str) {
+    /// Writes the entry of a backend server to the store's list, with the given state.
+    pub fn put_backend(&self, number: usize, state: &str) {
         let entry = json!({
             "service": "desk", "address": self.backend_proxies[number].address.to_string(),
             "zone": domain(number), "version": "v1", "slots": 32, "state": state,
-            "coldRemainingMs": self.warmup_ms(number),
+            "coldRemainingMs": self.cold_remaining_ms(number),
         });
-        self.store.put(names::table::BACKENDS, &self.id(number), &entry);
+        self.store.put(names::table::BACKENDS, &self.backend_id(number), &entry);
     }
 
-    /// Only those that have been started again are cold.
-    fn warmup_ms(&self, number: usize) -> u64 {
-        let warmup = self.warmup.filter(|_| self.starts[number] > 0);
+    /// Returns the remaining warm-up in a backend server's entry. Only restarted servers are cold.
+    fn cold_remaining_ms(&self, number: usize) -> u64 {
+        let warmup = self.warmup.filter(|_| self.restarts[number] > 0);
         warmup.map_or(0, |warmup| warmup.ms)
     }
 
-    /// Orders that a failure domain be evacuated, or takes that back.
+    /// Orders the evacuation of a failure domain, or withdraws the order.
     pub fn evacuate(&self, domain: &str, is_ordered: bool) {
         let key = format!("{}{domain}", names::key::EVACUATION);
         match is_ordered {
@@ -185,81 +185,85 @@
         }
     }
 
-    /// The id of a backend server's start.
-    pub fn id(&self, number: usize) -> String {
-        format!("b{number}-{}", self.starts[number])
+    /// Returns the current id of a backend server, which changes with each restart.
+    pub fn backend_id(&self, number: usize) -> String {
+        format!("b{number}-{}", self.restarts[number])
     }
 
-    /// A backend server's entry is removed, and it starts anew.
-    pub fn start_backend_again(&mut self, number: usize) {
-        self.store.remove(names::table::BACKENDS, &self.id(number));
-        self.starts[number] += 1;
-        self.list(number, "ready");
+    /// Replaces a backend server's entry by one under another id, as a restart does.
+    pub fn restart_backend(&mut self, number: usize) {
+        self.store.remove(names::table::BACKENDS, &self.backend_id(number));
+        self.restarts[number] += 1;
+        self.put_backend(number, "ready");
     }
 
-    /// What is deadly comes to a node. Servers that run it end, and are back under another id.
-    pub async fn strike(&mut self, node: usize) {
-        let strike = tokio::spawn(callers::strike(self.nodes[node].callers, self.deadly));
-        let mut is_over = false;
-        while !is_over {
-            // Those that it reached last have yet to end when its caller has an answer.
-            is_over = strike.is_finished();
-            for number in 0..BACKENDS {
+    /// Sends a node a request that crashes the servers that run it, and restarts these under other
+    /// ids.
+    pub async fn send_crash_request(&mut self, node: usize) {
+        let request =
+            tokio::spawn(callers::send_crash_request(self.nodes[node].callers, self.crash));
+        let mut is_finished = false;
+        while !is_finished {
+            // The servers that it reached last may crash only after its caller has a response, so
+            // one more round follows.
+            is_finished = request.is_finished();
+            for number in 0..BACKEND_COUNT {
                 let ending = self.backends[number].ending();
                 if tokio::time::timeout(Duration::from_millis(2), ending).await.is_ok() {
                     self.backend_proxies[number].set_mode(Mode::Closed);
-                    tokio::time::sleep(AWAY).await;
-                    self.start_backend_again(number);
+                    tokio::time::sleep(RESTART_DELAY).await;
+                    self.restart_backend(number);
                     self.backend_proxies[number].set_mode(Mode::Pass);
                 }
             }
         }
     }
 
-    /// When it reached servers.
-    fn struck(&self) -> Vec<Instant> {
+    /// Returns the times at which crash requests reached backend servers.
+    fn crash_times(&self) -> Vec<Instant> {
         let arrivals = self.backends.iter().flat_map(|backend| backend.arrivals());
         let has_part = |arrival: &Arrival| {
             let parts = arrival.headers.get(names::PROMPT_PARTS).map(|parts| parts.as_bytes());
-            parts.is_some_and(|parts| String::from_utf8_lossy(parts).contains(callers::DEADLY_PART))
+            parts.is_some_and(|parts| String::from_utf8_lossy(parts).contains(callers::CRASH_PART))
         };
-        let deadly =
-            arrivals.filter(|arrival| arrival.body == callers::DEADLY || has_part(arrival));
-        let mut struck: Vec<Instant> = deadly.map(|arrival| arrival.at).collect();
-        struck.sort();
-        struck
+        let crash_requests =
+            arrivals.filter(|arrival| arrival.body == callers::CRASH_BODY || has_part(arrival));
+        let mut times: Vec<Instant> = crash_requests.map(|arrival| arrival.at).collect();
+        times.sort();
+        times
     }
 
-    /// After the faults a request, or a part of prompts, under which three servers have ended is held everywhere.
-    pub async fn holds_deadly(&mut self) -> Option<String> {
-        let known_after = match self.deadly {
-            Deadly::Request => 3,
-            Deadly::Part => 5,
+    /// Checks, after the faults, that all nodes hold back a request or prompt part that has crashed
+    /// enough servers to be known. Returns the violation, if any.
+    pub async fn check_crash_requests_held(&mut self) -> Option<String> {
+        let known_after = match self.crash {
+            Crash::Request => 3,
+            Crash::PromptPart => 5,
         };
-        let before = self.struck().len();
+        let before = self.crash_times().len();
         if before < known_after {
             return None;
         }
-        tokio::time::sleep(CONTACT).await;
-        for node in (0..NODES).chain(0..NODES) {
-            self.strike(node).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
+        for node in (0..NODE_COUNT).chain(0..NODE_COUNT) {
+            self.send_crash_request(node).await;
         }
-        let more = self.struck().len() - before;
-        (more > RETRIES_MAX)
-            .then(|| format!("{more} servers more ended under one {:?}", self.deadly))
+        let more = self.crash_times().len() - before;
+        (more > FURTHER_CRASHES_MAX)
+            .then(|| format!("{more} more servers crashed from one {:?}", self.crash))
     }
 
     async fn until_ready(&self, number: usize) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !callers::is_ready(self.nodes[number].operators).await {
-            let late = began.elapsed() > Duration::from_secs(20);
-            assert!(!late, "node {number} is not ready; logs in {}", self.directory.display());
+            let is_late = started_at.elapsed() > Duration::from_secs(20);
+            assert!(!is_late, "node {number} is not ready; logs in {}", self.directory.display());
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Ends all faults and starts what is down.
-    pub async fn heal(&mut self) {
+    /// Ends all faults, restarts nodes that are down and waits until all are ready.
+    pub async fn clear_faults(&mut self) {
         self.store.set_faults(Faults::default());
         self.backends.iter().for_each(|backend| {
             backend.name_limit(None);
@@ -269,56 +273,62 @@
             proxy.set_mode(Mode::Pass);
             proxy.set_delay(Duration::ZERO);
         }
-        for number in 0..NODES {
+        for number in 0..NODE_COUNT {
             self.nodes[number].signal("CONT");
-            self.nodes[number].start_again();
+            self.nodes[number].ensure_started();
         }
-        for number in 0..NODES {
+        for number in 0..NODE_COUNT {
             self.until_ready(number).await;
         }
     }
 
-    /// After the faults the newest table is in force everywhere.
-    pub async fn has_newest_table(&self) -> Option<String> {
-        // A long table takes two seconds on a narrow link, and one more may have come behind it.
-        self.table_in_force(Duration::from_secs(10)).await
+    /// Checks, after the faults, that the newest table comes into force on all nodes. Returns the
+    /// violation, if any.
+    pub async fn check_newest_table(&self) -> Option<String> {
+        // A long table takes two seconds on a slow link, and another one may follow it.
+        self.wait_for_table(Duration::from_secs(10)).await
     }
 
-    /// Waits until the newest table is in force everywhere; what is amiss if it isn't within a time.
-    pub async fn table_in_force(&self, within: Duration) -> Option<String> {
-        let until = Instant::now() + within;
+    /// Waits until the newest table is in force on all nodes. Returns the violation if it takes
+    /// longer than the timeout.
+    pub async fn wait_for_table(&self, timeout: Duration) -> Option<String> {
+        let deadline = Instant::now() + timeout;
         loop {
-            let mut held = Vec::new();
+            let mut versions = Vec::new();
             for node in &self.nodes {
-                held.push(callers::table(node.operators).await);
+                versions.push(callers::table_version(node.operators).await);
             }
-            match held.iter().all(|table| *table == Some(self.version)) {
+            match versions.iter().all(|table| *table == Some(self.version)) {
                 true => return None,
-                false if Instant::now() > until => {
-                    return Some(format!("table {} is not in force: {held:?}", self.version));
+                false if Instant::now() > deadline => {
+                    return Some(format!("table {} is not in force: {versions:?}", self.version));
                 }
                 false => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         }
     }
 
-    /// After the faults every request is served again.
-    pub async fn serves_again(&self) -> Option<String> {
-        // Connections that were lost meanwhile may be suspected for some seconds.
-        let until = Instant::now() + Duration::from_secs(10);
+    /// Checks, after the faults, that all nodes serve requests of all kinds. Returns the violation,
+    /// if any.
+    pub async fn check_serving(&self) -> Option<String> {
+        // Backend servers whose connections broke may stay under suspicion for some seconds.
+        let end = Instant::now() + Duration::from_secs(10);
         loop {
             let mut unserved = Vec::new();
             for (number, node) in self.nodes.iter().enumerate() {
                 for kind in Kind::ALL {
-                    let seen = callers::once(node.callers, kind).await;
-                    if !matches!(seen.outcome, Outcome::Answered { status: 200, whole: true, .. }) {
-                        unserved.push(format!("node {number}: {seen:?}"));
+                    let observation = callers::send_once(node.callers, kind).await;
+                    if !matches!(
+                        observation.outcome,
+                        Outcome::Answered { status: 200, is_whole: true, .. }
+                    ) {
+                        unserved.push(format!("node {number}: {observation:?}"));
                     }
                 }
             }
             match unserved.is_empty() {
                 true => return None,
-                false if Instant::now() > until => return Some(format!("unserved: {unserved:?}")),
+                false if Instant::now() > end => return Some(format!("unserved: {unserved:?}")),
                 false => tokio::time::sleep(Duration::from_millis(200)).await,
             }
         }
@@ -326,7 +336,7 @@
 }
 
 async fn proxy_to(target: SocketAddr) -> Proxy {
-    let proxy = proxy::start(any()).await.expect("proxy");
+    let proxy = proxy::start(any_port()).await.expect("proxy");
     proxy.set_target(target);
     proxy
 }
@@ -341,11 +351,11 @@
             child: None,
         };
         node.write_settings(fleet.store_proxies[number].address, number, 10_000);
-        node.start_again();
+        node.ensure_started();
         node
     }
 
-    /// Writes the settings file; other values than before are a change.
+    /// Writes the settings file. Another window than before is a change that the node must adopt.
     pub fn write_settings(&self, store: SocketAddr, number: usize, window_ms: u64) {
         let settings = json!({
             "role": "node", "name": format!("node-{number}"),
@@ -358,8 +368,8 @@
         std::fs::write(&self.settings, settings.to_string()).expect("settings");
     }
 
-    /// Starts the process unless it runs.
-    pub fn start_again(&mut self) {
+    /// Starts the process unless it is running.
+    pub fn ensure_started(&mut self) {
         if let Some(child) = &mut self.child
             && matches!(child.try_wait(), Ok(None))
         {
@@ -376,7 +386,7 @@
         self.child = Some(child);
     }
 
-    /// Sends a signal by name, if it runs.
+    /// Sends a signal, named as `kill` names it, if the process is running.
     pub fn signal(&mut self, signal: &str) {
         let Some(child) = &mut self.child else { return };
         if matches!(child.try_wait(), Ok(None)) {
@@ -386,7 +396,7 @@
         }
     }
 
-    /// Ends it without a word, and waits for that.
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -394,10 +404,10 @@
         }
     }
 
-    /// Waits until it has ended by itself; false if it did not within a time.
-    pub async fn ended(&mut self, within: Duration) -> bool {
-        let until = Instant::now() + within;
-        while Instant::now() < until {
+    /// Waits until the process exits by itself; returns false if it takes longer than the timeout.
+    pub async fn wait_for_exit(&mut self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             match self.child.as_mut().map(Child::try_wait) {
                 Some(Ok(None)) => tokio::time::sleep(Duration::from_millis(20)).await,
                 _ => return true,
--- a/crates/chestnutspur/tests/soak/ports.rs
+++ b/crates/chestnutspur/tests/soak/ports.rs
@@ -1,27 +1,29 @@
-//! Ports for processes that are restarted: each must get its own again.
+//! Fixed ports for processes that are restarted: each must be able to bind its own port again.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// The first port given out. All are below those that the system gives to outgoing connections: a
-/// port of theirs that is free while its process is down can be taken by any connection.
-const FIRST: u16 = 10_240;
-/// Ports of one block; the first one of them is held as the sign that the block is in use.
-const BLOCK: u16 = 64;
-/// Blocks, up to the port 30,720.
-const BLOCKS: u16 = 320;
+/// Start of the port range. The range lies below the ports that the system assigns to outgoing
+/// connections: any connection could take one of those while its process is down.
+const FIRST_PORT: u16 = 10_240;
+/// Number of ports in a block. A test process listens on the first port of a block to reserve it.
+const BLOCK_SIZE: u16 = 64;
+/// Number of blocks; the range ends at port 30,720.
+const BLOCK_COUNT: u16 = 320;
 
-/// The blocks of this process, each with the listener that holds it.
-static HELD: Mutex<Vec<TcpListener>> = Mutex::new(Vec::new());
-static GIVEN: AtomicUsize = AtomicUsize::new(0);
+/// Listeners that reserve the blocks of this process.
+static RESERVED: Mutex<Vec<TcpListener>> = Mutex::new(Vec::new());
+/// Number of ports handed out so far.
+static ISSUED: AtomicUsize = AtomicUsize::new(0);
 
-/// An address that no other test process gives out, and no connection takes.
+/// Returns an address that no other test process hands out and no outgoing connection takes.
 pub fn next() -> SocketAddr {
     loop {
-        let given = GIVEN.fetch_add(1, Ordering::Relaxed);
-        let (block, offset) = (given / usize::from(BLOCK - 1), given % usize::from(BLOCK - 1));
-        let port = block_at(block) + 1 + offset as u16;
+        let issued = ISSUED.fetch_add(1, Ordering::Relaxed);
+        let (block, offset) =
+            (issued / usize::from(BLOCK_SIZE - 1), issued % usize::from(BLOCK_SIZE - 1));
+        let port = first_port(block) + 1 + offset as u16;
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
         if TcpListener::bind(address).is_ok() {
             return address;
@@ -29,15 +31,16 @@
     }
 }
 
-/// The first port of a block of this process.
-fn block_at(block: usize) -> u16 {
-    let mut held = HELD.lock().unwrap_or_else(PoisonError::into_inner);
-    while held.len() <= block {
-        // Processes begin at different blocks, so that they seldom ask for the same ones.
-        let start = (std::process::id() % u32::from(BLOCKS)) as u16;
-        let blocks = (0..BLOCKS).map(|step| FIRST + (start + step) % BLOCKS * BLOCK);
+/// Returns the first port of the nth block of this process, and reserves further blocks if needed.
+fn first_port(block: usize) -> u16 {
+    let mut reserved = RESERVED.lock().unwrap_or_else(PoisonError::into_inner);
+    while reserved.len() <= block {
+        // Test processes start at different blocks, so that they seldom try the same ones.
+        let start = (std::process::id() % u32::from(BLOCK_COUNT)) as u16;
+        let blocks =
+            (0..BLOCK_COUNT).map(|step| FIRST_PORT + (start + step) % BLOCK_COUNT * BLOCK_SIZE);
         let free = blocks.map(|port| TcpListener::bind((Ipv4Addr::LOCALHOST, port)));
-        held.push(free.flatten().next().expect("a free block of ports"));
+        reserved.push(free.flatten().next().expect("a free block of ports"));
     }
-    held[block].local_addr().expect("bound").port()
+    reserved[block].local_addr().expect("bound").port()
 }
--- a/crates/chestnutspur/tests/standin.rs
+++ b/crates/chestnutspur/tests/standin.rs
@@ -8,7 +8,7 @@
 use standin::client::{Client, request};
 use standin::platform::Records;
 
-/// A process that ends with the test.
+/// A process that is killed when the test ends.
 struct Process(Child);
 
 impl Drop for Process {
@@ -18,7 +18,7 @@
     }
 }
 
-/// Starts a stand-in and reads the address it prints.
+/// Starts a stand-in and returns the listening address that it prints.
 fn start(arguments: &[&str]) -> (Process, SocketAddr) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_chestnutspur"))
         .arg("standin")
--- a/crates/chestnutspur/tests/support/call.rs
+++ b/crates/chestnutspur/tests/support/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call of a test, on a connection of its own.
+//! HTTP calls of a test, each on its own connection.
 
 use std::net::SocketAddr;
 
@@ -9,53 +9,53 @@
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 
-/// A call to make.
+/// A call that has not been sent yet.
 pub struct Call {
     request: hyper::http::request::Builder,
     body: String,
 }
 
-/// An answer; `whole` says whether its body came to its end.
+/// A response, possibly with an incomplete body.
 #[derive(Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: hyper::HeaderMap,
-    /// What came of the body.
+    /// The received part of the body.
     pub body: Vec<u8>,
-    /// Whether it ended as HTTP wants.
-    pub whole: bool,
+    /// Whether the body is complete: it ended as HTTP requires, not with its connection.
+    pub is_whole: bool,
 }
 
 impl Reply {
-    /// The body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as JSON.
+    /// Returns the body as JSON; null if it is none.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// A header's text.
+    /// Returns a header's text; empty if it is absent.
     pub fn header(&self, name: &str) -> String {
         let value = self.headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     }
 
-    /// `error.code` of a refusal.
+    /// Returns `error.code` of a refusal; empty for other responses.
     pub fn code(&self) -> String {
         self.json()["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// `error.ran` of a refusal.
+    /// Returns `error.ran` of a refusal; empty for other responses.
     pub fn ran(&self) -> String {
         self.json()["error"]["ran"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// The answer's text: of a chat completion, or all pieces of a stream.
+    /// Returns the text of a chat completion, or of all chunks of a streamed one.
     pub fn answer(&self) -> String {
         let text = self.text();
         let pieces = text.lines().filter_map(|line| line.strip_prefix("data: "));
@@ -71,29 +71,29 @@
 }
 
 impl Call {
-    /// Any call.
+    /// Creates a call with any method, path and body.
     pub fn new(method: Method, path: &str, body: impl Into<String>) -> Self {
         let request = Request::builder().method(method).uri(path).header("host", "test");
         Self { request, body: body.into() }
     }
 
-    /// A read.
+    /// Creates a `GET` call.
     pub fn get(path: &str) -> Self {
         Self::new(Method::GET, path, "")
     }
 
-    /// A JSON write.
+    /// Creates a `PUT` call with a JSON body.
     pub fn put(path: &str, body: String) -> Self {
         Self::new(Method::PUT, path, body).header("content-type", "application/json")
     }
 
-    /// A chat completion of the first account.
+    /// Creates a chat completion call of the first client account.
     pub fn chat(task: &str, prompt: &str) -> Self {
         let body = json!({"model": "letters", "messages": [{"role": "user", "content": prompt}]});
         Self::chat_body(task, &body)
     }
 
-    /// The same, streamed.
+    /// Creates a streamed chat completion call of the first client account.
     pub fn stream(task: &str, prompt: &str) -> Self {
         let messages = json!([{"role": "user", "content": prompt}]);
         let body = json!({"model": "letters", "stream": true, "messages": messages});
@@ -115,9 +115,10 @@
         self
     }
 
-    /// Sends it and reads what comes; none if no header came.
-    pub async fn send(self, to: SocketAddr) -> Option<Reply> {
-        let stream = TcpStream::connect(to).await.ok()?;
+    /// Sends the call and reads the response, up to where its body breaks off. Returns none without
+    /// a response header.
+    pub async fn send(self, address: SocketAddr) -> Option<Reply> {
+        let stream = TcpStream::connect(address).await.ok()?;
         let io = TokioIo::new(stream);
         let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
         tokio::spawn(connection);
@@ -125,17 +126,17 @@
         let response = sender.send_request(self.request.body(body).ok()?).await.ok()?;
         let (parts, mut incoming) = response.into_parts();
         let mut body = Vec::new();
-        let mut whole = true;
+        let mut is_whole = true;
         while let Some(frame) = incoming.frame().await {
             match frame.map(hyper::body::Frame::into_data) {
                 Ok(Ok(data)) => body.extend_from_slice(&data),
                 Ok(Err(_)) => {}
                 Err(_) => {
-                    whole = false;
+                    is_whole = false;
                     break;
                 }
             }
         }
-        Some(Reply { status: parts.status.as_u16(), headers: parts.headers, body, whole })
+        Some(Reply { status: parts.status.as_u16(), headers: parts.headers, body, is_whole })
     }
 }
--- a/crates/chestnutspur/tests/support/configuration.rs
+++ b/crates/chestnutspur/tests/support/configuration.rs
@@ -1,14 +1,14 @@
-//! The document that the tests start from.
+//! The configuration document that the tests start from.
 
 use serde_json::{Value, json};
 use sha2::Digest;
 
-/// SHA-256 in hexadecimal.
+/// Returns the SHA-256 of a text in hexadecimal.
 pub fn sha256(text: &str) -> String {
     sha2::Sha256::digest(text).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Two accounts, one model in three versions, one plain service.
+/// Returns a document with two client accounts, one model in three versions and one plain service.
 pub fn document() -> Value {
     let version = |cost: f64, quality: f64, state: &str| {
         json!({
--- a/crates/chestnutspur/tests/support/mod.rs
+++ b/crates/chestnutspur/tests/support/mod.rs
@@ -1,8 +1,8 @@
 //! A small deployment of real `entry` and `control` processes between stand-ins.
 //!
-//! Every path that a fault can cut runs through a proxy of its own, so the processes never learn
-//! an address behind it. Verdicts come from the stand-ins' records.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Each path that a fault can cut leads through its own proxy, and the processes know only the
+//! proxies' addresses. Tests check what the stand-ins recorded.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 pub mod call;
 pub mod configuration;
@@ -28,56 +28,56 @@
 
 use process::Process;
 
-/// Any free port of the loopback address.
+/// The loopback address with port 0: the system chooses a free port.
 pub const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// Longest wait for a condition; a test that needs all of it has failed.
-pub const PATIENCE: Duration = Duration::from_secs(40);
-/// Shards of each failure domain.
-const SHARDS: usize = 4;
-/// Shared by all processes of a test.
+/// Timeout for a condition to become true; a test that reaches it fails.
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(40);
+/// Number of shards of each failure domain.
+const SHARD_COUNT: usize = 4;
+/// Key with which all processes of a test authenticate each other.
 const PEER_KEY: &str = "a key for tests and nothing else";
 
-/// Which part a path leads to.
+/// Process that a path leads to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Part {
-    /// The platform.
+pub enum Target {
+    /// The platform's stand-in.
     Platform,
-    /// The control of that host.
+    /// The control of the host with this index.
     Control(usize),
 }
 
-/// Who uses a path.
+/// Process that uses a path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum User {
-    /// The entry of that host.
+pub enum Source {
+    /// The entry of the host with this index.
     Entry(usize),
-    /// The control of that host.
+    /// The control of the host with this index.
     Control(usize),
 }
 
-/// One entry host.
+/// The two processes of one entry host.
 pub struct HostPair {
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub failure_domain: &'static str,
-    /// Its data plane.
+    /// The host's data plane.
     pub entry: Process,
-    /// Its controllers.
+    /// The host's controllers.
     pub control: Process,
 }
 
-/// What to start.
+/// Description of a deployment to start.
 pub struct Plan {
     /// The failure domain of each entry host.
     pub hosts: Vec<&'static str>,
     /// The failure domain of each engine.
     pub engines: Vec<&'static str>,
-    /// Changes to a control's settings.
+    /// Members that replace those of each control's settings.
     pub control: Value,
-    /// Changes to an entry's settings.
+    /// Members that replace those of each entry's settings.
     pub entry: Value,
-    /// The document, but for its generation.
+    /// Configuration document to apply; its generation is set when it is sent.
     pub document: Value,
-    /// How engines serve each version.
+    /// Settings of each engine, with the versions that it serves.
     pub engine: engine::Settings,
 }
 
@@ -100,48 +100,48 @@
     }
 }
 
-/// Everything that was started.
+/// A running deployment.
 pub struct Deployment {
     /// The platform's stand-in.
     pub platform: Running<Platform>,
-    /// Model engines, each behind a proxy.
+    /// Model engines with the proxies in front of them.
     pub engines: Vec<(Running<Engine>, Proxy)>,
-    /// A plain service, behind a proxy.
+    /// A plain service with the proxy in front of it.
     pub service: (Running<Service>, Proxy),
     /// The service that rates answers.
     pub rater: Running<Rater>,
-    /// Entry hosts.
+    /// Entry hosts, in the order of the plan.
     pub hosts: Vec<HostPair>,
-    /// Proxies on the paths between our processes and to the platform.
-    pub paths: BTreeMap<(User, Part), Proxy>,
+    /// Proxies on the paths between entries, controls and the platform.
+    pub paths: BTreeMap<(Source, Target), Proxy>,
     directory: PathBuf,
     plan: Plan,
 }
 
 impl Deployment {
-    /// Starts everything, puts the document in force and waits until every entry is ready.
+    /// Starts all parts, applies the configuration document and waits until every entry is ready.
     pub async fn start(name: &str, plan: Plan) -> Self {
-        let deployment = Self::without_configuration(name, plan).await;
+        let deployment = Self::start_unconfigured(name, plan).await;
         let document = deployment.plan.document.clone();
         let reply = deployment.apply(0, &document, "first").await;
         assert_eq!(reply.status, 200, "{}", reply.text());
-        deployment.ready().await;
+        deployment.wait_until_ready().await;
         deployment
     }
 
-    /// Starts everything; no document has been applied.
-    pub async fn without_configuration(name: &str, plan: Plan) -> Self {
+    /// Starts all parts without applying a configuration document.
+    pub async fn start_unconfigured(name: &str, plan: Plan) -> Self {
         let directory = process::directory(name);
         let platform = platform::start(ANY, platform::Settings::default()).expect("platform");
         let mut engines = Vec::new();
         for _ in &plan.engines {
             let engine = engine::start(ANY, plan.engine.clone()).expect("engine");
-            let proxy = behind(engine.address).await;
+            let proxy = proxy_to(engine.address).await;
             engines.push((engine, proxy));
         }
         let settings = service::Settings { name: "portal".into(), ..Default::default() };
         let service = service::start(ANY, settings).expect("service");
-        let service_proxy = behind(service.address).await;
+        let service_proxy = proxy_to(service.address).await;
         let rater = rater::start(ANY, rater::Faults::default()).expect("rater");
         let paths = Self::paths(plan.hosts.len(), platform.address).await;
         let mut deployment = Self {
@@ -165,21 +165,21 @@
         deployment
     }
 
-    async fn paths(hosts: usize, platform: SocketAddr) -> BTreeMap<(User, Part), Proxy> {
+    async fn paths(hosts: usize, platform: SocketAddr) -> BTreeMap<(Source, Target), Proxy> {
         let mut paths = BTreeMap::new();
         for from in 0..hosts {
-            paths.insert((User::Control(from), Part::Platform), behind(platform).await);
+            paths.insert((Source::Control(from), Target::Platform), proxy_to(platform).await);
             for to in 0..hosts {
-                for user in [User::Entry(from), User::Control(from)] {
+                for source in [Source::Entry(from), Source::Control(from)] {
                     let proxy = proxy::start(ANY).await.expect("proxy");
-                    paths.insert((user, Part::Control(to)), proxy);
+                    paths.insert((source, Target::Control(to)), proxy);
                 }
             }
         }
         paths
     }
 
-    /// The host list with every backend server live.
+    /// Returns the host list with every backend server live.
     pub fn backend_hosts(&self) -> Vec<Host> {
         let versions: Vec<Name> = self.plan.engine.versions.keys().cloned().collect();
         let host = |name: String, role, address: SocketAddr, domain: &str, pool: &str| Host {
@@ -206,7 +206,7 @@
         hosts
     }
 
-    /// Changes a backend server's state in the host list.
+    /// Sets the state of a backend server in the host list.
     pub fn set_state(&self, name: &str, state: HostState) {
         let mut hosts = self.platform.hosts();
         for host in hosts.iter_mut().filter(|host| &*host.name == name) {
@@ -215,27 +215,28 @@
         self.platform.set_hosts(hosts);
     }
 
-    fn peers(&self, user: User) -> Vec<Value> {
-        let own = match user {
-            User::Entry(index) | User::Control(index) => index,
+    fn peers(&self, source: Source) -> Vec<Value> {
+        let own = match source {
+            Source::Entry(index) | Source::Control(index) => index,
         };
         let mut order: Vec<usize> = (0..self.plan.hosts.len()).collect();
-        // Own host first, then own failure domain, as operators are told to write it.
+        // The own host comes first, then the own failure domain: the order that operators are told
+        // to use in settings.
         order.sort_by_key(|&to| (to != own, self.plan.hosts[to] != self.plan.hosts[own]));
         order
             .into_iter()
-            .filter(|&to| user != User::Control(to))
+            .filter(|&to| source != Source::Control(to))
             .map(|to| {
                 json!({
                     "name": format!("host-{to}"),
                     "failure_domain": self.plan.hosts[to],
-                    "address": self.paths[&(user, Part::Control(to))].address,
+                    "address": self.paths[&(source, Target::Control(to))].address,
                 })
             })
             .collect()
     }
 
-    /// Starts the control of a host, again if need be, and leads all paths to it.
+    /// Starts or restarts the control of a host and points the proxies of all paths to it.
     pub fn spawn_control(&self, index: usize) -> Process {
         let mut settings = json!({
             "role": "control",
@@ -243,26 +244,26 @@
             "failure_domain": self.plan.hosts[index],
             "listen": ANY,
             "operators": ANY,
-            "platform": self.paths[&(User::Control(index), Part::Platform)].address,
-            "peers": self.peers(User::Control(index)),
+            "platform": self.paths[&(Source::Control(index), Target::Platform)].address,
+            "peers": self.peers(Source::Control(index)),
             "peer_key": {"text": PEER_KEY},
             "operator_token_hashes": [configuration::sha256("operator token")],
             "poll_ms": 200,
             "gossip_ms": 100,
-            "shards": SHARDS,
+            "shards": SHARD_COUNT,
         });
         merge(&mut settings, &self.plan.control);
         let name = format!("control-{index}");
         let process = Process::spawn(&self.directory, &name, "control", &settings);
         for ((_, to), proxy) in &self.paths {
-            if *to == Part::Control(index) {
+            if *to == Target::Control(index) {
                 proxy.set_target(process.address("peers"));
             }
         }
         process
     }
 
-    /// Starts the entry of a host, again if need be.
+    /// Starts or restarts the entry of a host.
     pub fn spawn_entry(&self, index: usize) -> Process {
         let mut settings = json!({
             "role": "entry",
@@ -270,40 +271,42 @@
             "failure_domain": self.plan.hosts[index],
             "listen": ANY,
             "operators": ANY,
-            "controls": self.peers(User::Entry(index)),
+            "controls": self.peers(Source::Entry(index)),
             "peer_key": {"text": PEER_KEY},
         });
         merge(&mut settings, &self.plan.entry);
         Process::spawn(&self.directory, &format!("entry-{index}"), "entry", &settings)
     }
 
-    /// Sets the mode of every path that fits.
-    pub fn set_paths(&self, mode: Mode, fits: impl Fn(User, &Part) -> bool) {
-        for ((user, part), proxy) in &self.paths {
-            if fits(*user, part) {
+    /// Sets the mode of every path for which `is_selected` returns true.
+    pub fn set_paths(&self, mode: Mode, is_selected: impl Fn(Source, &Target) -> bool) {
+        for ((source, target), proxy) in &self.paths {
+            if is_selected(*source, target) {
                 proxy.set_mode(mode);
             }
         }
     }
 
-    /// Cuts a failure domain off from every other, and from the platform if asked to.
-    pub fn cut_domain(&self, domain: &str, platform_too: bool, mode: Mode) {
-        let inside = |index: usize| self.plan.hosts[index] == domain;
-        self.set_paths(mode, |user, part| {
-            let (User::Entry(from) | User::Control(from)) = user;
-            match part {
-                Part::Platform => platform_too && inside(from),
-                Part::Control(to) => inside(from) != inside(*to),
+    /// Sets the mode of all paths between a failure domain and the others, and with `with_platform`
+    /// also of its paths to the platform.
+    pub fn cut_domain(&self, domain: &str, with_platform: bool, mode: Mode) {
+        let is_inside = |index: usize| self.plan.hosts[index] == domain;
+        self.set_paths(mode, |source, target| {
+            let (Source::Entry(from) | Source::Control(from)) = source;
+            match target {
+                Target::Platform => with_platform && is_inside(from),
+                Target::Control(to) => is_inside(from) != is_inside(*to),
             }
         });
     }
 
-    /// Sends a document made from a generation to the first control that answers.
+    /// Sends a document, edited from the given generation, to the first host's control.
     pub async fn apply(&self, generation: u64, document: &Value, change: &str) -> call::Reply {
         self.apply_at(0, generation, document, change).await.expect("an answer")
     }
 
-    /// The same to a certain control; none when there is no answer.
+    /// Sends a document, edited from the given generation, to the control of one host. Returns none
+    /// if there is no response.
     pub async fn apply_at(
         &self,
         host: usize,
@@ -320,45 +323,46 @@
             .await
     }
 
-    /// Waits until every entry says that it is ready.
-    pub async fn ready(&self) {
+    /// Waits until every entry reports that it is ready.
+    pub async fn wait_until_ready(&self) {
         for host in &self.hosts {
-            host.entry.ready().await;
+            host.entry.wait_until_ready().await;
         }
     }
 
     /// Waits until each shard of each failure domain has an owner and a deputy in the platform's
-    /// table: with the platform down nobody could become either.
-    pub async fn shards_held(&self) {
+    /// table. While the platform is down, no control can become either.
+    pub async fn wait_for_shard_holders(&self) {
         let domains: BTreeSet<_> = self.plan.hosts.iter().collect();
-        until("an owner and a deputy for each shard", async || {
+        wait_until("an owner and a deputy for each shard", async || {
             let rows = self.platform.rows("shards");
             let holders =
                 rows.iter().filter_map(|row| serde_json::from_str::<Holder>(&row.value).ok());
-            holders.filter(|holder| !holder.deputy.is_empty()).count() == SHARDS * domains.len()
+            holders.filter(|holder| !holder.deputy.is_empty()).count()
+                == SHARD_COUNT * domains.len()
         })
         .await;
     }
 
-    /// Where callers of a host come in.
+    /// Returns the callers' address of a host.
     pub fn callers(&self, host: usize) -> SocketAddr {
         self.hosts[host].entry.address("callers")
     }
 
-    /// Every run that an engine or the service may have begun, by our request id.
+    /// Returns all runs that an engine or the service began.
     pub fn runs(&self) -> Vec<Run> {
         let engines = self.engines.iter().flat_map(|(engine, _)| engine.runs());
         engines.chain(self.service.0.runs()).filter(Run::began).collect()
     }
 
-    /// Runs of a prompt, as the engines recorded them.
+    /// Returns the runs of a prompt.
     pub fn runs_of(&self, prompt: &str) -> Vec<Run> {
         let digest = standin::draw::digest(prompt);
         self.runs().into_iter().filter(|run| *run.digest == *digest).collect()
     }
 }
 
-async fn behind(target: SocketAddr) -> Proxy {
+async fn proxy_to(target: SocketAddr) -> Proxy {
     let proxy = proxy::start(ANY).await.expect("proxy");
     proxy.set_target(target);
     proxy
@@ -370,20 +374,22 @@
     }
 }
 
-/// Waits for a condition; the message says what never came.
-pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+/// Waits until a condition is true. `what` names it in the panic message of a timeout.
+pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < PATIENCE, "never came: {what}");
+        assert!(start.elapsed() < CONDITION_TIMEOUT, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Sends calls at once, each to the next address in turn, and returns the answers in order.
-pub async fn burst(to: &[SocketAddr], calls: Vec<call::Call>) -> Vec<Option<call::Reply>> {
+/// Sends all calls at the same time, each to the next address in turn, and returns the responses in
+/// the order of the calls.
+pub async fn burst(addresses: &[SocketAddr], calls: Vec<call::Call>) -> Vec<Option<call::Reply>> {
     let sends = calls.into_iter().enumerate();
-    let tasks: Vec<_> =
-        sends.map(|(index, call)| tokio::spawn(call.send(to[index % to.len()]))).collect();
+    let tasks: Vec<_> = sends
+        .map(|(index, call)| tokio::spawn(call.send(addresses[index % addresses.len()])))
+        .collect();
     let mut replies = Vec::new();
     for task in tasks {
         replies.push(task.await.expect("a call's task"));
--- a/crates/chestnutspur/tests/support/process.rs
+++ b/crates/chestnutspur/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! One process of ours, started by a test and ended with it.
+//! A `chestnutspur` process that a test starts and that is killed when the test ends.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,19 +9,19 @@
 use serde_json::Value;
 
 use super::call::Call;
-use super::{PATIENCE, until};
+use super::{CONDITION_TIMEOUT, wait_until};
 
-/// Clock ticks a second in `/proc`.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// A started process; dropping it kills it.
+/// A running process. Dropping it kills the process.
 pub struct Process {
     child: Child,
     listening: Value,
     log: PathBuf,
 }
 
-/// An empty directory for a test's files.
+/// Creates an empty directory for a test's files.
 pub fn directory(name: &str) -> PathBuf {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&directory);
@@ -38,7 +38,7 @@
         Self::spawn_with(directory, name, &arguments)
     }
 
-    /// Starts a subcommand that prints its addresses.
+    /// Starts a subcommand that prints its listening addresses, and waits for that line.
     pub fn spawn_with(directory: &Path, name: &str, arguments: &[String]) -> Self {
         let log = directory.join(format!("{name}.log"));
         let append = std::fs::OpenOptions::new().create(true).append(true).open(&log);
@@ -58,29 +58,29 @@
         Self { child, listening: value["listening"].take(), log }
     }
 
-    /// An address that it listens on.
+    /// Returns a listening address by its name in the printed line.
     pub fn address(&self, port: &str) -> SocketAddr {
         let text = self.listening[port].as_str().unwrap_or_default();
         text.parse().unwrap_or_else(|_| panic!("no address {port} in {}", self.listening))
     }
 
-    /// The system's id of the process.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Processor time used so far, in seconds.
+    /// Returns the processor time that the process has used so far, in seconds.
     pub fn cpu_seconds(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id())).unwrap_or_default();
-        // The command's name may hold spaces, and ends with the last bracket. User and system time
-        // are fields 14 and 15 of the line, 11 and 12 after the name.
+        // The command's name may contain spaces and ends at the last bracket. Source and system
+        // time are fields 14 and 15 of the line, 11 and 12 after the name.
         let after = stat.rsplit(')').next().unwrap_or_default();
         let fields: Vec<_> = after.split_whitespace().collect();
-        let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok());
-        (ticks(11).unwrap_or(0.0) + ticks(12).unwrap_or(0.0)) / TICKS
+        let ticks = |index: usize| fields.get(index).and_then(|text| text.parse::<f64>().ok());
+        (ticks(11).unwrap_or(0.0) + ticks(12).unwrap_or(0.0)) / TICKS_PER_SECOND
     }
 
-    /// The most memory it has used so far, in KiB.
+    /// Returns the peak resident memory of the process, in KiB.
     pub fn memory_kb(&self) -> u64 {
         let file = format!("/proc/{}/status", self.id());
         let status = std::fs::read_to_string(file).unwrap_or_default();
@@ -88,12 +88,12 @@
         line.and_then(|rest| rest.split_whitespace().next()?.parse().ok()).unwrap_or(0)
     }
 
-    /// What it has logged.
+    /// Returns what the process has logged so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Sends a signal by name.
+    /// Sends a signal, named as `kill` names it.
     pub fn signal(&self, signal: &str) {
         let status = Command::new("kill")
             .args([&format!("-{signal}"), &self.child.id().to_string()])
@@ -102,28 +102,28 @@
         assert!(status.success());
     }
 
-    /// Ends it at once, without a word.
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for its own end.
-    pub async fn exit(&mut self) -> ExitStatus {
+    /// Waits until the process exits by itself.
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
         let start = std::time::Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("status") {
                 return status;
             }
-            assert!(start.elapsed() < PATIENCE, "the process did not end");
+            assert!(start.elapsed() < CONDITION_TIMEOUT, "the process did not end");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
-    /// Waits until its operators' port says that it is ready.
-    pub async fn ready(&self) {
+    /// Waits until the operators' port reports that the process is ready.
+    pub async fn wait_until_ready(&self) {
         let operators = self.address("operators");
-        until("ready", async || {
+        wait_until("ready", async || {
             Call::get("/ready").send(operators).await.is_some_and(|reply| reply.status == 200)
         })
         .await;
@@ -132,7 +132,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A stopped process would not die of SIGTERM; SIGKILL always works.
+        // A process stopped by SIGSTOP does not react to SIGTERM, but SIGKILL always ends it.
         self.kill();
     }
 }
