--- a/crates/chestnutspur/benches/capacity.rs
+++ b/crates/chestnutspur/benches/capacity.rs
@@ -68,9 +68,9 @@
     fn usage(&self) -> Usage {
         Usage {
             at: Instant::now(),
-            peer_bytes: self.controls.iter().map(|(_, proxy)| proxy.passed()).sum(),
-            platform_bytes: self.to_platform.passed(),
-            platform_calls: self.to_platform.accepted(),
+            peer_bytes: self.controls.iter().map(|(_, proxy)| proxy.passed_bytes()).sum(),
+            platform_bytes: self.to_platform.passed_bytes(),
+            platform_calls: self.to_platform.accepted_count(),
             cpu_seconds: self.controls.iter().map(|(control, _)| control.cpu_seconds()).sum(),
         }
     }
@@ -188,7 +188,7 @@
         per_node(size, &before, &after),
         fleet.memory_mb()
     );
-    assert_eq!(fleet.platform.accepted().len() as u64, CHANGES + 1);
+    assert_eq!(fleet.platform.accepted_generations().len() as u64, CHANGES + 1);
 }
 
 /// What the host list costs: at rest, and when one of many backend servers goes each second.
--- a/crates/chestnutspur/benches/cut_off.rs
+++ b/crates/chestnutspur/benches/cut_off.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
 use support::call::{Call, Reply};
@@ -60,7 +60,7 @@
         match self {
             Self::None => {}
             Self::PlatformDown => {
-                let faults = Faults { down: Down::Cut, ..Faults::default() };
+                let faults = Faults { down: Outage::Cut, ..Faults::default() };
                 deployment.platform.set_faults(faults);
             }
             Self::DomainFromPlatform => deployment.set_paths(Mode::Silent, |user, part| {
--- a/crates/chestnutspur/src/command/demo.rs
+++ b/crates/chestnutspur/src/command/demo.rs
@@ -111,7 +111,7 @@
         "demo: {}: {} failure domains, {} entry hosts, seed {}",
         deployment.name,
         deployment.failure_domains().len(),
-        deployment.of_role(wire::host::Role::Entry).count(),
+        deployment.hosts_with_role(wire::host::Role::Entry).count(),
         arguments.seed
     );
     let mut world = World::start(&deployment, arguments.seed).await?;
--- a/crates/chestnutspur/src/command/demo/drive.rs
+++ b/crates/chestnutspur/src/command/demo/drive.rs
@@ -41,14 +41,14 @@
 impl Sent {
     /// What the audit needs of it.
     #[must_use]
-    pub fn record(&self) -> audit::Sent {
+    pub fn record(&self) -> audit::CallRecord {
         let end = match &self.outcome {
             Outcome::Answered { request, .. } => audit::End::Answered { request: request.clone() },
             Outcome::Wrong(_) => audit::End::Wrong,
             Outcome::Refused(refusal) if refusal.ran == Ran::No => audit::End::NotRun,
             Outcome::Refused(_) | Outcome::Broken(_) => audit::End::Unknown,
         };
-        audit::Sent {
+        audit::CallRecord {
             digest: draw::digest(self.request.text()).into(),
             account: self.request.account.clone(),
             service: !is_chat(&self.request),
--- a/crates/chestnutspur/src/command/demo/summary.rs
+++ b/crates/chestnutspur/src/command/demo/summary.rs
@@ -123,7 +123,7 @@
     /// Everything that must not be.
     #[must_use]
     pub fn faults(&self) -> Vec<String> {
-        let numbers = self.audit.numbers();
+        let numbers = self.audit.counts();
         let numbers = numbers.iter().filter(|(_, number)| *number > 0);
         let numbers = numbers.map(|(name, number)| format!("{name}: {number}"));
         let unclean = self.unclean.iter().map(|why| format!("unclean stop: {why}"));
@@ -163,7 +163,7 @@
     let engines = world.engines.iter().zip(&journal.runs_before);
     let bad = engines.map(|(engine, before)| {
         let after = engine.runs().into_iter().filter(|run| run.order >= *before);
-        after.filter(|run| run.version == journal.turned_bad && run.began()).count() as u64
+        after.filter(|run| run.version == journal.turned_bad && run.has_begun()).count() as u64
     });
     bad.sum()
 }
@@ -188,7 +188,7 @@
             writeln!(f, "{:<34}{:>10.1}", format!("latency {name}, ms"), self.percentile(share))?;
         }
         writeln!(f, "audit, from the stand-ins' own records:")?;
-        for (name, number) in self.audit.numbers() {
+        for (name, number) in self.audit.counts() {
             writeln!(f, "  {name:<32}{number:>10}")?;
         }
         Ok(())
--- a/crates/chestnutspur/src/command/demo/traffic.rs
+++ b/crates/chestnutspur/src/command/demo/traffic.rs
@@ -95,7 +95,7 @@
 
 impl Draw {
     fn share(&self, label: &str) -> f64 {
-        draw::share(self.seed, &["demo", label, &self.number.to_string()])
+        draw::uniform(self.seed, &["demo", label, &self.number.to_string()])
     }
 
     /// One of several, by their weights.
--- a/crates/chestnutspur/src/command/demo/world.rs
+++ b/crates/chestnutspur/src/command/demo/world.rs
@@ -121,9 +121,9 @@
         let mut hosts = world.start_backends(deployment, seed)?;
         let peers = world.start_controls(deployment, &metrics).await?;
         let operators = world.start_entries(deployment, &peers, &metrics).await?;
-        let controls = deployment.of_role(Role::Control).zip(&peers);
+        let controls = deployment.hosts_with_role(Role::Control).zip(&peers);
         hosts.extend(controls.map(|(host, peer)| at(host, peer.address)));
-        let entries = deployment.of_role(Role::Entry).zip(&operators);
+        let entries = deployment.hosts_with_role(Role::Entry).zip(&operators);
         hosts.extend(entries.map(|(host, (_, address))| at(host, *address)));
         world.platform.set_hosts(hosts);
         for (host, address) in operators {
@@ -134,7 +134,7 @@
 
     fn start_backends(&mut self, deployment: &Deployment, seed: u64) -> Result<Vec<Host>, Error> {
         let mut hosts = Vec::new();
-        for host in deployment.of_role(Role::Backend) {
+        for host in deployment.hosts_with_role(Role::Backend) {
             let address = match host.versions.is_empty() {
                 true => {
                     let service =
@@ -153,7 +153,7 @@
             };
             hosts.push(at(host, address));
         }
-        for host in deployment.of_role(Role::Rater) {
+        for host in deployment.hosts_with_role(Role::Rater) {
             let rater = rater::start(settings::any_port(), rater::Faults::default())?;
             hosts.push(at(host, rater.address));
             self.raters.push(rater);
@@ -168,7 +168,7 @@
     ) -> Result<Vec<Peer>, Error> {
         let mut bound = Vec::new();
         let mut peers = Vec::new();
-        for host in deployment.of_role(Role::Control) {
+        for host in deployment.hosts_with_role(Role::Control) {
             let settings = settings::control(host, self.platform.address);
             let listeners = control::Listeners::bind(&settings).await?;
             let address = listeners.peers.local_addr()?;
@@ -194,7 +194,7 @@
         metrics: &PrometheusHandle,
     ) -> Result<Vec<(Name, SocketAddr)>, Error> {
         let mut operators = Vec::new();
-        for host in deployment.of_role(Role::Entry) {
+        for host in deployment.hosts_with_role(Role::Entry) {
             let settings = settings::entry(host, controls);
             let listeners = entry::Listeners::bind(&settings).await?;
             self.entries.push(listeners.callers.local_addr()?);
--- a/crates/chestnutspur/src/command/standin.rs
+++ b/crates/chestnutspur/src/command/standin.rs
@@ -142,7 +142,7 @@
                 None => read(settings.as_deref())?,
             };
             if let Some(file) = configuration {
-                settings.rows = deployment::rows(&document(&file)?);
+                settings.rows = deployment::configuration_rows(&document(&file)?);
             }
             if hosts.is_some() {
                 settings.hosts = read(hosts.as_deref())?;
--- a/crates/chestnutspur/tests/bills.rs
+++ b/crates/chestnutspur/tests/bills.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use policy::name::Name;
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
 use support::call::Call;
@@ -38,7 +38,7 @@
     // answered request is billed once, the dead one's by whoever held them for it.
     let mut deployment = Deployment::start("bills-kill", Plan::default()).await;
     let mut count = answered(&deployment, &[0, 1, 2, 3], 40).await;
-    deployment.platform.set_faults(Faults { down: Down::Cut, ..Faults::default() });
+    deployment.platform.set_faults(Faults { down: Outage::Cut, ..Faults::default() });
     count += answered(&deployment, &[0, 1, 2, 3], 80).await;
     assert_eq!(count, 120, "a platform outage keeps no request from its answer");
     deployment.hosts[0].control.kill();
--- a/crates/chestnutspur/tests/claims.rs
+++ b/crates/chestnutspur/tests/claims.rs
@@ -105,8 +105,10 @@
     let deployment = Deployment::start("claims-outage", Plan::default()).await;
     deployment.shards_held().await;
     race(&deployment, &[0, 1, 2, 3], "before").await;
-    let faults =
-        standin::platform::fault::Faults { down: standin::fault::Down::Cut, ..Default::default() };
+    let faults = standin::platform::fault::Faults {
+        down: standin::fault::Outage::Cut,
+        ..Default::default()
+    };
     deployment.platform.set_faults(faults);
     let mut granted = 0;
     for index in 0..8 {
--- a/crates/chestnutspur/tests/configuration.rs
+++ b/crates/chestnutspur/tests/configuration.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
 use support::call::Call;
@@ -54,7 +54,7 @@
         });
         let replies = futures::future::join_all(sends).await;
         let winners = replies.iter().flatten().filter(|reply| reply.status == 200).count();
-        let accepted = deployment.platform.accepted();
+        let accepted = deployment.platform.accepted_generations();
         assert_eq!(accepted.iter().filter(|a| a.generation == round + 1).count(), 1);
         assert_eq!(accepted.len() as u64, round + 1);
         assert_eq!(winners, 1, "{replies:?}");
@@ -110,7 +110,7 @@
     assert_eq!(deployment.apply(1, &changed(3.0), "while-cut").await.status, 200);
     everywhere(&deployment, &[0, 1], 2).await;
     assert_eq!(generation(&deployment, 2).await, 1, "the cut cuts nothing off");
-    deployment.platform.set_faults(Faults { down: Down::Cut, ..Faults::default() });
+    deployment.platform.set_faults(Faults { down: Outage::Cut, ..Faults::default() });
     deployment.cut_domain("south", true, Mode::Pass);
     everywhere(&deployment, &[2, 3], 2).await;
     for host in [0, 2] {
--- a/crates/chestnutspur/tests/leaving.rs
+++ b/crates/chestnutspur/tests/leaving.rs
@@ -6,7 +6,7 @@
 
 use standin::backend::Faults;
 use standin::engine;
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault;
 use support::call::Call;
 use support::{Deployment, Plan, burst, until};
@@ -31,7 +31,7 @@
         deployment.engines[0].0.runs().len() == before
     })
     .await;
-    deployment.platform.set_faults(fault::Faults { down: Down::Cut, ..Default::default() });
+    deployment.platform.set_faults(fault::Faults { down: Outage::Cut, ..Default::default() });
     deployment.engines[2].0.set_faults(Faults { draining: true, ..Faults::default() });
     // The bound that the users' "after a few seconds" is held to.
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -58,7 +58,7 @@
         .map(|index| tokio::spawn(Call::stream("tag", &format!("stream {index}")).send(to)))
         .collect();
     until("the streams", async || deployment.runs().len() == 12).await;
-    deployment.platform.set_faults(fault::Faults { down: Down::Cut, ..Default::default() });
+    deployment.platform.set_faults(fault::Faults { down: Outage::Cut, ..Default::default() });
     deployment.hosts[0].entry.signal("TERM");
     let operators = deployment.hosts[0].entry.address("operators");
     until("not ready", async || {
--- a/crates/chestnutspur/tests/soak/faults.rs
+++ b/crates/chestnutspur/tests/soak/faults.rs
@@ -7,7 +7,7 @@
 use policy::place::mix;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
-use standin::routed::Act;
+use standin::routed::Reply;
 
 use wire::routing::Warmup;
 
@@ -212,7 +212,7 @@
         }
         _ => {
             let rate = [None, Some(0.5), Some(2.0), Some(20.0)][draws.index(4)];
-            fleet.backends[backend].name_limit(rate);
+            fleet.backends[backend].announce_rate_limit(rate);
             return format!("backend {backend} limit {rate:?}");
         }
     }
@@ -235,7 +235,7 @@
             format!("node {node}'s connections to the store silent")
         }
         5 => {
-            fleet.store.forget();
+            fleet.store.forget_history();
             "history dropped".to_owned()
         }
         6 => {
@@ -243,7 +243,7 @@
             "long tables from now on".to_owned()
         }
         7 => {
-            fleet.store_proxies[node].set_rate(Some(NARROW));
+            fleet.store_proxies[node].set_bytes_per_second(Some(NARROW));
             format!("node {node}'s link to the store narrow")
         }
         _ => {
@@ -350,10 +350,10 @@
                 fleet.store.set_faults(Faults::unavailable());
             }
             let at = Instant::now();
-            fleet.backends[backend].leave(true);
+            fleet.backends[backend].set_leaving(true);
             tokio::time::sleep(draws.ms(2_500, 4_000)).await;
             played.said.push(Left { number: backend, at, back_at: Instant::now() });
-            fleet.backends[backend].leave(false);
+            fleet.backends[backend].set_leaving(false);
             fleet.store.set_faults(Faults::default());
             fleet.start_backend_again(backend);
             format!("backend {backend} said that it leaves")
@@ -373,9 +373,10 @@
         }
         _ => {
             let lasts = draws.ms(500, 2_500);
-            fleet.backends[backend].set(Act::Pause(["0.8", "1.5", "3"][draws.index(3)]));
+            fleet.backends[backend]
+                .set_reply(Reply::RejectFor(["0.8", "1.5", "3"][draws.index(3)]));
             tokio::time::sleep(lasts).await;
-            fleet.backends[backend].set(Act::Stream(callers::script()));
+            fleet.backends[backend].set_reply(Reply::Stream(callers::script()));
             format!("backend {backend} asked for pauses for {lasts:?}")
         }
     }
--- a/crates/chestnutspur/tests/soak/fleet.rs
+++ b/crates/chestnutspur/tests/soak/fleet.rs
@@ -12,7 +12,7 @@
 use standin::platform::Platform;
 use standin::platform::fault::Faults;
 use standin::proxy::{self, Mode, Proxy};
-use standin::routed::{Act, Arrival, Routed};
+use standin::routed::{Arrival, Reply, ScriptedServer};
 use standin::server::{Running, start};
 use wire::routing::{Account, Limits, Route, Service, Table, Target, Warmup};
 
@@ -49,7 +49,7 @@
     pub store: Running<Platform>,
     /// Between each node and the store.
     pub store_proxies: Vec<Proxy>,
-    pub backends: Vec<Arc<Running<Routed>>>,
+    pub backends: Vec<Arc<Running<ScriptedServer>>>,
     /// How often each backend server was started; each start has an id of its own.
     pub starts: Vec<u32>,
     /// Before each backend server.
@@ -134,10 +134,10 @@
         };
         fleet.put_table(1);
         for number in 0..BACKENDS {
-            let act = Act::Stream(callers::script());
-            let backend = start(any(), Routed::new(act)).expect("backend server");
-            backend.end_by(callers::DEADLY);
-            backend.end_by_parts(&[callers::DEADLY_PART]);
+            let act = Reply::Stream(callers::script());
+            let backend = start(any(), ScriptedServer::new(act)).expect("backend server");
+            backend.crash_on_body(callers::DEADLY);
+            backend.crash_on_prompt_parts(&[callers::DEADLY_PART]);
             fleet.backend_proxies.push(proxy_to(backend.address).await);
             fleet.backends.push(Arc::new(backend));
             fleet.list(number, "ready");
@@ -205,7 +205,7 @@
             // Those that it reached last have yet to end when its caller has an answer.
             is_over = strike.is_finished();
             for number in 0..BACKENDS {
-                let ending = self.backends[number].ending();
+                let ending = self.backends[number].crashed();
                 if tokio::time::timeout(Duration::from_millis(2), ending).await.is_ok() {
                     self.backend_proxies[number].set_mode(Mode::Closed);
                     tokio::time::sleep(AWAY).await;
@@ -262,8 +262,8 @@
     pub async fn heal(&mut self) {
         self.store.set_faults(Faults::default());
         self.backends.iter().for_each(|backend| {
-            backend.name_limit(None);
-            backend.set(Act::Stream(callers::script()));
+            backend.announce_rate_limit(None);
+            backend.set_reply(Reply::Stream(callers::script()));
         });
         for proxy in self.store_proxies.iter().chain(&self.backend_proxies) {
             proxy.set_mode(Mode::Pass);
--- a/crates/chestnutspur/tests/soak/verdict.rs
+++ b/crates/chestnutspur/tests/soak/verdict.rs
@@ -63,7 +63,7 @@
 fn runs(fleet: &Fleet) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
     for backend in &fleet.backends {
-        for arrival in backend.arrivals().iter().filter(|one| one.pause.is_none()) {
+        for arrival in backend.arrivals().iter().filter(|one| one.retry_after.is_none()) {
             let id = arrival.headers[names::REQUEST_ID].to_str().unwrap_or_default().to_owned();
             *runs.entry(id).or_default() += 1;
         }
@@ -171,7 +171,7 @@
             .filter_map(|one| asked.get(id(one)).map(|seen| (one, seen.node)))
             .collect();
         for (first, node) in &of {
-            let Some(pause) = first.pause else { continue };
+            let Some(pause) = first.retry_after else { continue };
             let (from, to) = (first.at + UNDER_WAY, first.at + pause);
             let within =
                 |(one, by): &&(&Arrival, SocketAddr)| by == node && one.at > from && one.at < to;
--- a/crates/chestnutspur/tests/support/mod.rs
+++ b/crates/chestnutspur/tests/support/mod.rs
@@ -348,7 +348,7 @@
     /// Every run that an engine or the service may have begun, by our request id.
     pub fn runs(&self) -> Vec<Run> {
         let engines = self.engines.iter().flat_map(|(engine, _)| engine.runs());
-        engines.chain(self.service.0.runs()).filter(Run::began).collect()
+        engines.chain(self.service.0.runs()).filter(Run::has_begun).collect()
     }
 
     /// Runs of a prompt, as the engines recorded them.
--- a/crates/control/benches/claims.rs
+++ b/crates/control/benches/claims.rs
@@ -16,7 +16,7 @@
 
 use common::Deployment;
 use common::claims::claim_over;
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
 use table::{KEYS_MAX, Table};
@@ -25,7 +25,7 @@
 
 const HOSTS: usize = 6;
 const FAULTS: Faults = Faults {
-    down: Down::No,
+    down: Outage::No,
     silent: false,
     delay_ms: 2,
     lose_answers: 0,
@@ -165,7 +165,7 @@
 }
 
 async fn outage(bench: &Bench) {
-    for (down, name) in [(Down::Cut, "cut"), (Down::Unavailable, "503")] {
+    for (down, name) in [(Outage::Cut, "cut"), (Outage::Unavailable, "503")] {
         for design in &bench.designs[..2] {
             bench.deployment.platform.set_faults(Faults { down, ..FAULTS });
             let tag = format!("outage-{name}");
--- a/crates/control/tests/bills.rs
+++ b/crates/control/tests/bills.rs
@@ -8,7 +8,7 @@
 
 use common::{Deployment, wait_for};
 use policy::name::Name;
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault::Faults;
 use wire::bill::{Audit, Bill, Held};
 use wire::peer::Link;
@@ -108,7 +108,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bill_outlives_its_control_in_an_outage() {
     let mut deployment = start().await;
-    for (down, prefix) in [(Down::Cut, "cut"), (Down::Unavailable, "unavailable")] {
+    for (down, prefix) in [(Outage::Cut, "cut"), (Outage::Unavailable, "unavailable")] {
         platform(&deployment, Faults { down, ..Faults::default() });
         let log = deployment.log(1).await;
         let all = requests(prefix, 20);
@@ -132,7 +132,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bill_outlives_its_holder_in_an_outage() {
     let mut deployment = start().await;
-    platform(&deployment, Faults { down: Down::Cut, ..Faults::default() });
+    platform(&deployment, Faults { down: Outage::Cut, ..Faults::default() });
     let log = deployment.log(0).await;
     let all = requests("holder", 20);
     assert_eq!(deployment.bill(0, &log, &all).await, Some(Held::Twice));
@@ -153,7 +153,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bill_paused_control_returns() {
     let deployment = start().await;
-    platform(&deployment, Faults { down: Down::Unavailable, ..Faults::default() });
+    platform(&deployment, Faults { down: Outage::Unavailable, ..Faults::default() });
     let log = deployment.log(0).await;
     let all = requests("paused", 30);
     assert_eq!(deployment.bill(0, &log, &all).await, Some(Held::Twice));
@@ -199,7 +199,7 @@
     deployment.stopped(0).await;
     assert_eq!(deployment.platform.bills().ids().len(), stored.len());
     let log = deployment.log(1).await;
-    platform(&deployment, Faults { down: Down::Cut, ..Faults::default() });
+    platform(&deployment, Faults { down: Outage::Cut, ..Faults::default() });
     let handed = requests("handed", 10);
     assert_eq!(deployment.bill(1, &log, &handed).await, Some(Held::Twice));
     deployment.stop(1);
@@ -223,7 +223,7 @@
     let deployment = Deployment::start_with(2, |settings| settings.bills_max = 100).await;
     deployment.wait_for_pairs(&[0, 1]).await;
     let log = deployment.log(0).await;
-    platform(&deployment, Faults { down: Down::Unavailable, ..Faults::default() });
+    platform(&deployment, Faults { down: Outage::Unavailable, ..Faults::default() });
     let all = requests("bound", 95);
     assert_eq!(deployment.bill(0, &log, &all).await, Some(Held::Twice));
     wait_for("the view says so", || async {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -198,7 +198,7 @@
 
     /// Bytes that went between controls so far, both ways, without headers of TCP and IP.
     pub fn bytes(&self) -> u64 {
-        self.links.values().map(Proxy::passed).sum()
+        self.links.values().map(Proxy::passed_bytes).sum()
     }
 
     /// Cuts both ways between one host and all others.
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -5,7 +5,7 @@
 use common::{Deployment, document, document_with_slots, http, wait_for};
 use hyper::Method;
 use serde_json::json;
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
 
@@ -38,8 +38,12 @@
     assert_eq!(later.json()["generation"], 3, "{}", later.text());
     let again = deployment.put(1, &document_with_slots(1, 9), "ours").await;
     assert_eq!((again.status, &again.json()["generation"]), (200, &json!(2)), "{}", again.text());
-    let generations: Vec<u64> =
-        deployment.platform.accepted().iter().map(|accepted| accepted.generation).collect();
+    let generations: Vec<u64> = deployment
+        .platform
+        .accepted_generations()
+        .iter()
+        .map(|accepted| accepted.generation)
+        .collect();
     assert_eq!(generations, [1, 2, 3]);
 }
 
@@ -74,7 +78,7 @@
 async fn start_in_a_platform_outage_from_peers() {
     let mut deployment = Deployment::start(3).await;
     deployment.first_document().await;
-    deployment.platform.set_faults(Faults { down: Down::Cut, ..Faults::default() });
+    deployment.platform.set_faults(Faults { down: Outage::Cut, ..Faults::default() });
     deployment.cut_from_peers(2, Mode::Cut);
     deployment.restart(2).await;
     let starting = deployment.view(2, wire::view::Ask::default()).await;
@@ -193,7 +197,7 @@
     let answer = http::call(address, Method::PUT, "/configuration", &stranger, &body).await;
     assert_eq!(answer.status, 401);
     assert_eq!(http::put(address, &body, "no name").await.status, 400);
-    assert_eq!(deployment.platform.accepted().len(), 0);
+    assert_eq!(deployment.platform.accepted_generations().len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/control/tests/console.rs
+++ b/crates/control/tests/console.rs
@@ -143,7 +143,7 @@
     let page = lost.text();
     let row = "<td>pools.engines.slots</td><td>8</td><td>77</td>";
     assert!(page.contains(row) && page.contains("value=\"2.5\""), "{page}");
-    assert_eq!(deployment.platform.accepted().len(), 2);
+    assert_eq!(deployment.platform.accepted_generations().len(), 2);
     let saved = browser.post("/console/versions/small-1", &members(&page)).await;
     assert_eq!(saved.status, 200, "{}", saved.text());
     let document = http::get(deployment.hosts[0].operators, "/configuration").await.json();
@@ -161,7 +161,7 @@
         let saved = browser.post("/console/versions/small-1", &form).await;
         assert!(saved.text().contains("generation <b>2</b>"), "{}", saved.text());
     }
-    assert_eq!(deployment.platform.accepted().len(), 2);
+    assert_eq!(deployment.platform.accepted_generations().len(), 2);
 }
 
 // A page elsewhere makes the operator's browser send a form here. With the cookie but without
@@ -211,7 +211,7 @@
     let kept = members(&page);
     assert!(kept.contains(&("/tasks/tagging/quality_target".into(), "most".into())), "{kept:?}");
     assert!(kept.contains(&("/versions".into(), "small-1\nsmall-9".into())), "{kept:?}");
-    assert_eq!(deployment.platform.accepted().len(), 1);
+    assert_eq!(deployment.platform.accepted_generations().len(), 1);
 }
 
 #[test]
--- a/crates/control/tests/exposure.rs
+++ b/crates/control/tests/exposure.rs
@@ -6,7 +6,7 @@
 
 use common::{Deployment, document, domain, http, name, wait_for};
 use serde_json::{Value, json};
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault::Faults;
 use standin::platform::store::Record;
 use standin::proxy::Mode;
@@ -91,7 +91,7 @@
 async fn quarantine_in_a_platform_outage_outlives_all_controls() {
     let mut deployment = Deployment::start(2).await;
     deployment.first_document().await;
-    deployment.platform.set_faults(Faults { down: Down::Cut, ..Faults::default() });
+    deployment.platform.set_faults(Faults { down: Outage::Cut, ..Faults::default() });
     send(&deployment, 1, report(1, "small-1", vec![false; 12])).await;
     wait_for("quarantine on both", || async {
         hosts_with_quarantine(&deployment, "small-1").await == 2
@@ -154,7 +154,7 @@
     let answer = deployment.put(0, &course, "first").await;
     assert_eq!(answer.status, 200, "{}", answer.text());
     wait_for("the first step", || all_have_share(&deployment, &[0, 1], 0.05)).await;
-    deployment.platform.set_faults(Faults { down: Down::Cut, ..Faults::default() });
+    deployment.platform.set_faults(Faults { down: Outage::Cut, ..Faults::default() });
     let rated = (0..24).map(|number| number % 2 == 0).collect();
     send(&deployment, 0, report(1, "small-2", rated)).await;
     wait_for("no share on either", || all_have_share(&deployment, &[0, 1], 0.0)).await;
--- a/crates/control/tests/shards.rs
+++ b/crates/control/tests/shards.rs
@@ -4,7 +4,7 @@
 
 use common::claims::{claim_over, host_number, pin_over};
 use common::{Deployment, wait_for};
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
 use wire::claim::{ClaimAnswer, PinAnswer};
@@ -22,7 +22,7 @@
     Some(ClaimAnswer::Taken { request: request.into() })
 }
 
-fn platform_down(deployment: &Deployment, down: Down) {
+fn platform_down(deployment: &Deployment, down: Outage) {
     deployment.platform.set_faults(Faults { down, ..Faults::default() });
 }
 
@@ -212,9 +212,9 @@
 async fn claim_in_a_platform_outage() {
     let mut deployment = start().await;
     let keys = deployment.keys_owned_by(0, 10);
-    for down in [Down::Cut, Down::Unavailable] {
+    for down in [Outage::Cut, Outage::Unavailable] {
         platform_down(&deployment, down);
-        let half = if down == Down::Cut { &keys[..3] } else { &keys[3..6] };
+        let half = if down == Outage::Cut { &keys[..3] } else { &keys[3..6] };
         grant(&deployment, half).await;
     }
     deployment.kill(1);
@@ -222,7 +222,7 @@
         let answer = deployment.claim(2, key, "one").await;
         assert!(matches!(answer, Some(ClaimAnswer::Unavailable { may_have_run: false, .. })));
     }
-    platform_down(&deployment, Down::No);
+    platform_down(&deployment, Outage::No);
     for key in &keys[6..] {
         deployment.claim_until_granted(2, key, "one").await;
     }
@@ -235,7 +235,7 @@
 async fn claim_through_a_control_started_in_an_outage() {
     let mut deployment = start().await;
     let keys = deployment.keys_owned_by(0, 4);
-    platform_down(&deployment, Down::Cut);
+    platform_down(&deployment, Outage::Cut);
     deployment.restart(3).await;
     for key in &keys {
         deployment.claim_until_granted(3, key, "one").await;
--- a/crates/control/tests/store.rs
+++ b/crates/control/tests/store.rs
@@ -61,10 +61,14 @@
     let (platform, proxy, client) = start().await;
     platform.set_hosts(hosts(900));
     let first = client.hosts().await.unwrap();
-    let whole = proxy.passed();
+    let whole = proxy.passed_bytes();
     let again = client.hosts().await.unwrap();
     assert_eq!(again, first);
-    assert!((proxy.passed() - whole) * 100 < whole, "{} after {whole}", proxy.passed() - whole);
+    assert!(
+        (proxy.passed_bytes() - whole) * 100 < whole,
+        "{} after {whole}",
+        proxy.passed_bytes() - whole
+    );
     platform.set_hosts(hosts(899));
     let fewer = client.hosts().await.unwrap();
     assert_eq!(fewer.hosts.len(), 899);
--- a/crates/entry/tests/leaving.rs
+++ b/crates/entry/tests/leaving.rs
@@ -9,7 +9,7 @@
 use common::{until, until_async};
 use hyper::{Method, Request};
 use standin::backend::Faults;
-use standin::fault::Down;
+use standin::fault::Outage;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
@@ -70,8 +70,8 @@
         let bench = &bench;
         async move { bench.call(Method::POST, "/v1/chat/completions", &[TAG], &body).await }
     };
-    bench.engines[0].set_faults(Faults { down: Down::Unavailable, ..Faults::default() });
-    let tried = || bench.engines[0].turned_away();
+    bench.engines[0].set_faults(Faults { down: Outage::Unavailable, ..Faults::default() });
+    let tried = || bench.engines[0].rejected_count();
     let mut number = 0;
     while tried() == 0 {
         ask(number).await.unwrap();
--- a/crates/policy/tests/loaded.rs
+++ b/crates/policy/tests/loaded.rs
@@ -27,7 +27,11 @@
             "more than half of its slots are in use"
         );
         let nearly_full = [server(40), server(3)];
-        assert_eq!(packing::next(&nearly_full, Some(25.0), draw), Some(1), "only some slots are left");
+        assert_eq!(
+            packing::next(&nearly_full, Some(25.0), draw),
+            Some(1),
+            "only some slots are left"
+        );
         assert_eq!(packing::next(&[server(40), server(40)], Some(25.0), draw), None);
         assert_eq!(packing::next(&[], Some(25.0), draw), None);
     }
--- a/crates/standin/src/audit.rs
+++ b/crates/standin/src/audit.rs
@@ -30,7 +30,7 @@
     }
 
     /// One sending of a request. A caller that sends a request again sends the same text.
-    pub struct Sent {
+    pub struct CallRecord {
         /// Digest of its text.
         pub digest: Name,
         /// Whose it is.
@@ -72,14 +72,14 @@
 /// All sendings and runs of one request.
 #[derive(Default)]
 struct Request<'a> {
-    sent: Vec<&'a Sent>,
+    sent: Vec<&'a CallRecord>,
     runs: Vec<&'a Run>,
 }
 
 impl Audit {
     /// Compares everything sent with everything recorded.
     #[must_use]
-    pub fn new(document: &Document, sent: &[Sent], runs: &[Run], bills: &Bills) -> Self {
+    pub fn new(document: &Document, sent: &[CallRecord], runs: &[Run], bills: &Bills) -> Self {
         let requests = requests(sent, runs);
         let sum = |numbers: Vec<u64>| numbers.iter().sum();
         let each = requests.values();
@@ -98,7 +98,7 @@
 
     /// All numbers, with their names.
     #[must_use]
-    pub fn numbers(&self) -> [(&'static str, u64); 9] {
+    pub fn counts(&self) -> [(&'static str, u64); 9] {
         [
             ("wrong answers", self.wrong_answers),
             ("doubled runs", self.doubled_runs),
@@ -113,12 +113,12 @@
     }
 }
 
-fn requests<'a>(sent: &'a [Sent], runs: &'a [Run]) -> BTreeMap<&'a Name, Request<'a>> {
+fn requests<'a>(sent: &'a [CallRecord], runs: &'a [Run]) -> BTreeMap<&'a Name, Request<'a>> {
     let mut requests: BTreeMap<&Name, Request<'_>> = BTreeMap::new();
     for sent in sent {
         requests.entry(&sent.digest).or_default().sent.push(sent);
     }
-    for run in runs.iter().filter(|run| run.began()) {
+    for run in runs.iter().filter(|run| run.has_begun()) {
         if let Some(request) = requests.get_mut(&run.digest) {
             request.runs.push(run);
         }
@@ -166,9 +166,9 @@
     versions.values().filter(|versions| versions.len() > 1).count() as u64
 }
 
-fn bills_missing(sent: &[Sent], bills: &Bills) -> u64 {
+fn bills_missing(sent: &[CallRecord], bills: &Bills) -> u64 {
     let billed = bills.ids();
-    let missing = |sent: &&Sent| match &sent.end {
+    let missing = |sent: &&CallRecord| match &sent.end {
         End::Answered { request } => !billed.contains(request),
         _ => false,
     };
@@ -176,7 +176,7 @@
 }
 
 fn bills_unfounded(runs: &[Run], bills: &Bills) -> u64 {
-    let began = runs.iter().filter(|run| run.began());
+    let began = runs.iter().filter(|run| run.has_begun());
     let ran: BTreeSet<&Name> = began.map(|run| &run.request).collect();
     bills.ids().iter().filter(|id| !ran.contains(id)).count() as u64
 }
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -15,7 +15,7 @@
 
 pub use self::fault::{Faults, Plan};
 pub use self::relay::{Piece, wait};
-use crate::fault::Down;
+use crate::fault::Outage;
 use crate::reply;
 use crate::run::{Guard, Log, Outcome, Run};
 use crate::server::{Body, Cut};
@@ -93,21 +93,21 @@
 
     /// Requests that it turned away.
     #[must_use]
-    pub fn turned_away(&self) -> usize {
+    pub fn rejected_count(&self) -> usize {
         self.turned_away.load(Ordering::Relaxed)
     }
 
     /// Asks for a pause.
     fn turn_away(&self) -> Response<Body> {
         self.turned_away.fetch_add(1, Ordering::Relaxed);
-        reply::later(StatusCode::SERVICE_UNAVAILABLE)
+        reply::retry_later(StatusCode::SERVICE_UNAVAILABLE)
     }
 
     /// An answer with what the server says of itself.
     #[must_use]
     pub fn with_state(&self, mut response: Response<Body>) -> Response<Body> {
         if self.faults().draining {
-            response.headers_mut().insert(LEAVING, reply::value("1"));
+            response.headers_mut().insert(LEAVING, reply::static_value("1"));
         }
         response
     }
@@ -118,9 +118,9 @@
     /// The answer that turns it away, or the cut.
     pub async fn admit(&self, run: Run) -> Result<Ticket, Result<Response<Body>, Cut>> {
         match self.faults().down {
-            Down::No => {}
-            Down::Cut => return Err(Err(Cut)),
-            Down::Unavailable => return Err(Ok(self.turn_away())),
+            Outage::No => {}
+            Outage::Cut => return Err(Err(Cut)),
+            Outage::Unavailable => return Err(Ok(self.turn_away())),
         }
         let request = run.request.clone();
         let mut guard = self.log.begin(run);
--- a/crates/standin/src/backend/fault.rs
+++ b/crates/standin/src/backend/fault.rs
@@ -6,7 +6,7 @@
 use policy::name::Name;
 
 use crate::draw;
-use crate::fault::Down;
+use crate::fault::Outage;
 
 domain! {
     /// Faults of a backend server; all off by default.
@@ -14,7 +14,7 @@
     #[serde(default, deny_unknown_fields)]
     pub struct Faults {
         /// Whether it takes requests.
-        pub down: Down,
+        pub down: Outage,
         /// It says in its load and its answers that it is leaving.
         pub draining: bool,
         /// Extra time before each answer, in milliseconds.
@@ -55,7 +55,7 @@
 impl Faults {
     /// What becomes of a request; uses up one of `only`.
     pub fn plan(&mut self, seed: u64, request: &str) -> Plan {
-        let drawn = |label: &str, share: f64| draw::share(seed, &[label, request]) < share;
+        let drawn = |label: &str, share: f64| draw::uniform(seed, &[label, request]) < share;
         let plan = match self.only {
             Some(0) => Plan::default(),
             _ => Plan {
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -85,7 +85,7 @@
     }
 
     /// Sends one request; the answer's body is still to be read. Hand the connection back with
-    /// [`Client::keep`] once it is.
+    /// [`Client::return_connection`] once it is.
     ///
     /// # Errors
     /// When there is no answer; only [`Error::Connect`] says that nothing was sent.
@@ -100,7 +100,7 @@
     }
 
     /// Keeps a connection for the next call.
-    pub fn keep(&self, connection: SendRequest<Body>) {
+    pub fn return_connection(&self, connection: SendRequest<Body>) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(connection);
     }
 
@@ -114,7 +114,7 @@
         let (parts, body) = response.into_parts();
         let bytes = body.collect().await?.to_bytes();
         if connection.ready().await.is_ok() {
-            self.keep(connection);
+            self.return_connection(connection);
         }
         Ok(Response::from_parts(parts, bytes))
     }
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -115,7 +115,7 @@
     }
 
     /// Hosts of a role, in the order of the list.
-    pub fn of_role(&self, role: Role) -> impl Iterator<Item = &Host> {
+    pub fn hosts_with_role(&self, role: Role) -> impl Iterator<Item = &Host> {
         self.hosts.iter().filter(move |host| host.role == role)
     }
 
@@ -130,7 +130,7 @@
     pub fn platform(&self) -> platform::Settings {
         platform::Settings {
             hosts: self.hosts.clone(),
-            rows: rows(&self.document),
+            rows: configuration_rows(&self.document),
             ..platform::Settings::default()
         }
     }
@@ -176,7 +176,7 @@
 
 /// The platform's rows, as if an operator had put a document in force.
 #[must_use]
-pub fn rows(document: &Document) -> Vec<Row> {
+pub fn configuration_rows(document: &Document) -> Vec<Row> {
     let change = "first";
     let generation = document.generation;
     let text = serde_json::to_string(document).unwrap_or_default();
--- a/crates/standin/src/draw.rs
+++ b/crates/standin/src/draw.rs
@@ -4,7 +4,7 @@
 
 /// A number from 0 to below 1 that depends on nothing but its arguments.
 #[must_use]
-pub fn share(seed: u64, parts: &[&str]) -> f64 {
+pub fn uniform(seed: u64, parts: &[&str]) -> f64 {
     let mut hash = Sha256::new();
     hash.update(seed.to_be_bytes());
     for part in parts {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -178,7 +178,7 @@
         let bad = self.faults().bad.get(&chat.version).copied();
         let share = bad.unwrap_or_else(|| version.quality(&chat.task));
         let by = if self.settings.draw_by_prompt { chat.prompt.as_str() } else { &chat.request };
-        draw::share(self.settings.seed, &[by, &chat.version]) < share
+        draw::uniform(self.settings.seed, &[by, &chat.version]) < share
     }
 
     fn answer(&self, chat: &Chat, version: &Version, good: bool, ticket: Ticket) -> Response<Body> {
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -7,7 +7,7 @@
     /// [`crate::server::Running::close`].
     #[derive(Copy, Default, Eq)]
     #[serde(rename_all = "snake_case")]
-    pub enum Down {
+    pub enum Outage {
         /// It does.
         #[default]
         No,
--- a/crates/standin/src/passthrough.rs
+++ b/crates/standin/src/passthrough.rs
@@ -44,7 +44,7 @@
         tokio::spawn(async move {
             let _ = end.await;
             if connection.ready().await.is_ok() {
-                client.keep(connection);
+                client.return_connection(connection);
             }
         });
         let body = body.map_frame(move |frame| {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -24,13 +24,13 @@
 use wire::store::{Row, Transaction, Write};
 
 use crate::server::{self, Running};
-use audit::{Accepted, Bills};
-use fault::{Faults, Limiter};
+use audit::{AcceptedGeneration, Bills};
+use fault::{Faults, RateLimiter};
 use hosts::Hosts;
 use store::{Backup, Record, Store};
 
 /// The table that the host list is published in, each host under its name.
-pub const HOSTS: &str = "hosts";
+pub const HOSTS_TABLE: &str = "hosts";
 
 domain! {
     /// What the platform starts with.
@@ -60,8 +60,8 @@
     store: Mutex<Store>,
     hosts: Mutex<Hosts>,
     faults: Mutex<Faults>,
-    writes: Limiter,
-    reads: Limiter,
+    writes: RateLimiter,
+    reads: RateLimiter,
     calls: AtomicU64,
     ranges: Mutex<BTreeMap<Name, u64>>,
     changes: Mutex<BTreeMap<Name, u64>>,
@@ -76,8 +76,8 @@
             store: Mutex::default(),
             hosts: Mutex::default(),
             faults: Mutex::default(),
-            writes: Limiter::default(),
-            reads: Limiter::default(),
+            writes: RateLimiter::default(),
+            reads: RateLimiter::default(),
             calls: AtomicU64::new(0),
             ranges: Mutex::default(),
             changes: Mutex::default(),
@@ -152,7 +152,7 @@
             .filter_map(|host| Some((host.name.clone(), serde_json::to_string(host).ok()?)));
         let mut wanted: BTreeMap<Name, String> = wanted.collect();
         let mut writes = Vec::new();
-        for row in store.rows(HOSTS) {
+        for row in store.rows(HOSTS_TABLE) {
             match wanted.remove(&row.key) {
                 Some(value) if value == row.value => {}
                 value => writes.push(Write { table: row.table, key: row.key, value }),
@@ -160,7 +160,7 @@
         }
         let new = wanted.into_iter();
         writes.extend(new.map(|(key, value)| Write {
-            table: Name::from(HOSTS),
+            table: Name::from(HOSTS_TABLE),
             key,
             value: Some(value),
         }));
@@ -207,8 +207,8 @@
     }
 
     /// Forgets its history; feeds that ask for it get an error.
-    pub fn forget(&self) {
-        self.store().forget();
+    pub fn forget_history(&self) {
+        self.store().forget_history();
         self.changed.send_modify(|_| {});
     }
 
@@ -237,19 +237,19 @@
 
     /// Calls that reached it so far.
     #[must_use]
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
     /// Ranges of a table's rows that were read so far.
     #[must_use]
-    pub fn ranges(&self, table: &str) -> u64 {
+    pub fn range_reads(&self, table: &str) -> u64 {
         lock(&self.ranges).get(table).copied().unwrap_or_default()
     }
 
     /// Answers so far that brought changes of a table.
     #[must_use]
-    pub fn changes(&self, table: &str) -> u64 {
+    pub fn change_answers(&self, table: &str) -> u64 {
         lock(&self.changes).get(table).copied().unwrap_or_default()
     }
 
@@ -279,14 +279,14 @@
 
     /// Generations accepted, in order, as the committed transactions tell.
     #[must_use]
-    pub fn accepted(&self) -> Vec<Accepted> {
-        audit::accepted(self.store().records())
+    pub fn accepted_generations(&self) -> Vec<AcceptedGeneration> {
+        audit::accepted_generations(self.store().records())
     }
 
     /// What the bill logs hold.
     #[must_use]
     pub fn bills(&self) -> Bills {
-        let objects = self.store().with_prefix(audit::PREFIX);
+        let objects = self.store().with_prefix(audit::BILLS_PREFIX);
         audit::bills(objects.iter().map(|(name, bytes)| (name.as_str(), bytes.as_ref())))
     }
 }
--- a/crates/standin/src/platform/audit.rs
+++ b/crates/standin/src/platform/audit.rs
@@ -9,11 +9,11 @@
 use super::store::Record;
 
 /// Where the bill logs are.
-pub const PREFIX: &str = "bills/";
+pub const BILLS_PREFIX: &str = "bills/";
 /// Controls' table of documents.
-const CONFIGURATION: &str = "configuration";
+const CONFIGURATION_TABLE: &str = "configuration";
 /// Its row that says which is in force.
-const CURRENT: &str = "current";
+const CURRENT_KEY: &str = "current";
 
 domain! {
     /// What the bill logs hold.
@@ -31,7 +31,7 @@
     }
 
     /// A generation accepted.
-    pub struct Accepted {
+    pub struct AcceptedGeneration {
         /// Its number.
         pub generation: u64,
         /// The change id it was accepted under.
@@ -89,13 +89,16 @@
 
 /// Generations accepted, in order.
 #[must_use]
-pub fn accepted(records: &[Record]) -> Vec<Accepted> {
+pub fn accepted_generations(records: &[Record]) -> Vec<AcceptedGeneration> {
     let writes = records.iter().flat_map(|record| match record {
         Record::Transaction { transaction, .. } => transaction.writes.as_slice(),
         Record::Put { .. } => &[],
     });
-    let rows = writes.filter(|write| &*write.table == CONFIGURATION && &*write.key == CURRENT);
+    let rows =
+        writes.filter(|write| &*write.table == CONFIGURATION_TABLE && &*write.key == CURRENT_KEY);
     let values = rows.filter_map(|write| write.value.as_deref());
     let current = values.filter_map(|value| serde_json::from_str::<Current>(value).ok());
-    current.map(|row| Accepted { generation: row.generation, change: row.change }).collect()
+    current
+        .map(|row| AcceptedGeneration { generation: row.generation, change: row.change })
+        .collect()
 }
--- a/crates/standin/src/platform/fault.rs
+++ b/crates/standin/src/platform/fault.rs
@@ -5,7 +5,7 @@
 
 use policy::domain;
 
-use crate::fault::Down;
+use crate::fault::Outage;
 
 domain! {
     /// The platform's faults; all off by default.
@@ -13,7 +13,7 @@
     #[serde(default, deny_unknown_fields)]
     pub struct Faults {
         /// Whether it takes requests.
-        pub down: Down,
+        pub down: Outage,
         /// It takes requests and never answers; they have no effect.
         pub silent: bool,
         /// Time each request waits before its effect, in milliseconds. The effect comes even if the
@@ -38,7 +38,7 @@
     /// It answers every call that it is down.
     #[must_use]
     pub fn unavailable() -> Self {
-        Self { down: Down::Unavailable, ..Self::default() }
+        Self { down: Outage::Unavailable, ..Self::default() }
     }
 
     /// It answers nothing.
@@ -62,7 +62,7 @@
 
 /// Holds a rate to a cap: a bucket that holds one second's worth.
 #[derive(Default)]
-pub struct Limiter(Mutex<Option<Bucket>>);
+pub struct RateLimiter(Mutex<Option<Bucket>>);
 
 #[derive(Clone, Copy)]
 struct Bucket {
@@ -70,7 +70,7 @@
     at: Instant,
 }
 
-impl Limiter {
+impl RateLimiter {
     /// Takes one call, if the cap allows it now.
     pub fn take(&self, per_second: u32, now: Instant) -> bool {
         let cap = f64::from(per_second);
--- a/crates/standin/src/platform/http.rs
+++ b/crates/standin/src/platform/http.rs
@@ -18,7 +18,7 @@
 use super::query::Query;
 use super::store::Changed;
 use super::{Platform, Records, count};
-use crate::fault::Down;
+use crate::fault::Outage;
 use crate::reply;
 use crate::server::{Body, Cut, Handler};
 
@@ -45,7 +45,7 @@
     async fn read(request: Request<Incoming>) -> Result<Self, Cut> {
         Ok(Self {
             method: request.method().clone(),
-            path: reply::decode(request.uri().path()),
+            path: reply::percent_decode(request.uri().path()),
             query: Query::read(request.uri().query().unwrap_or_default()),
             known: reply::header(&request, IF_NONE_MATCH.as_str()).to_owned(),
             body: reply::body(request).await?,
@@ -88,10 +88,10 @@
         self.calls.fetch_add(1, Ordering::Relaxed);
         let faults = self.faults();
         match faults.down {
-            Down::Cut => return Err(Cut),
-            Down::Unavailable => return Ok(reply::later(StatusCode::SERVICE_UNAVAILABLE)),
-            Down::No if faults.silent => std::future::pending().await,
-            Down::No => {}
+            Outage::Cut => return Err(Cut),
+            Outage::Unavailable => return Ok(reply::retry_later(StatusCode::SERVICE_UNAVAILABLE)),
+            Outage::No if faults.silent => std::future::pending().await,
+            Outage::No => {}
         }
         let write = call.method != Method::GET;
         let allowed = match write {
@@ -99,7 +99,7 @@
             false => self.reads.take(faults.reads_per_second, Instant::now()),
         };
         if !allowed {
-            return Ok(reply::later(StatusCode::TOO_MANY_REQUESTS));
+            return Ok(reply::retry_later(StatusCode::TOO_MANY_REQUESTS));
         }
         if write && faults.late_ms > 0 {
             tokio::spawn(async move {
--- a/crates/standin/src/platform/query.rs
+++ b/crates/standin/src/platform/query.rs
@@ -29,7 +29,7 @@
     pub fn read(text: &str) -> Self {
         let mut query = Self::default();
         for (name, value) in text.split('&').filter_map(|pair| pair.split_once('=')) {
-            let value = reply::decode(value);
+            let value = reply::percent_decode(value);
             match name {
                 "table" => query.table = Name::from(value),
                 "part" => query.group = Name::from(value),
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -144,7 +144,7 @@
     }
 
     /// Forgets its history.
-    pub fn forget(&mut self) {
+    pub fn forget_history(&mut self) {
         self.history.clear();
         self.forgotten = self.version;
     }
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -61,7 +61,7 @@
     /// Time each piece is held back, in either direction.
     pub delay: Duration,
     /// Bytes that each connection passes in a second, in either direction; none for no bound.
-    pub rate: Option<u64>,
+    pub bytes_per_second: Option<u64>,
     /// Connections are reset after this many bytes in that direction.
     pub cut_after: Option<(Direction, u64)>,
     /// Connections with lower numbers are silent for good.
@@ -129,8 +129,8 @@
     }
 
     /// Makes the link narrow: each connection passes so many bytes a second; none lifts it.
-    pub fn set_rate(&self, rate: Option<u64>) {
-        self.control.send_modify(|control| control.rate = rate);
+    pub fn set_bytes_per_second(&self, bytes_per_second: Option<u64>) {
+        self.control.send_modify(|control| control.bytes_per_second = bytes_per_second);
     }
 
     /// Resets connections once so many bytes went that way; none lifts it.
@@ -151,13 +151,13 @@
 
     /// Bytes passed on so far, both ways together.
     #[must_use]
-    pub fn passed(&self) -> u64 {
+    pub fn passed_bytes(&self) -> u64 {
         self.passed.load(Ordering::Relaxed)
     }
 
     /// Connections accepted so far.
     #[must_use]
-    pub fn accepted(&self) -> u64 {
+    pub fn accepted_count(&self) -> u64 {
         self.control.borrow().next
     }
 }
@@ -338,7 +338,7 @@
                 self.wait_to_pass().await?;
             }
             self.pass(&chunk[..length], &control).await?;
-            if let Some(rate) = control.rate {
+            if let Some(rate) = control.bytes_per_second {
                 // Their time on the link.
                 tokio::time::sleep(Duration::from_secs_f64(length as f64 / rate as f64)).await;
             }
--- a/crates/standin/src/rater.rs
+++ b/crates/standin/src/rater.rs
@@ -12,8 +12,8 @@
 use wire::backend::{Rate, Rating};
 
 use crate::answer::Answer;
-use crate::fault::Down;
-use crate::platform::fault::Limiter;
+use crate::fault::Outage;
+use crate::platform::fault::RateLimiter;
 use crate::reply;
 use crate::server::{self, Body, Cut, Handler, Running};
 
@@ -23,7 +23,7 @@
     #[serde(default, deny_unknown_fields)]
     pub struct Faults {
         /// Whether it takes requests.
-        pub down: Down,
+        pub down: Outage,
         /// Time each rating takes, in milliseconds.
         pub delay_ms: u64,
         /// Ratings a second at most; over it 429. 0 is no cap.
@@ -31,7 +31,7 @@
     }
 
     /// One rating given.
-    pub struct Rated {
+    pub struct RatingRecord {
         /// The request.
         pub request: Name,
         /// The version.
@@ -47,8 +47,8 @@
 #[derive(Default)]
 pub struct Rater {
     faults: Mutex<Faults>,
-    limiter: Limiter,
-    rated: Mutex<Vec<Rated>>,
+    limiter: RateLimiter,
+    rated: Mutex<Vec<RatingRecord>>,
 }
 
 /// Starts a rater.
@@ -74,7 +74,7 @@
 
     /// Every rating given, in order.
     #[must_use]
-    pub fn records(&self) -> Vec<Rated> {
+    pub fn records(&self) -> Vec<RatingRecord> {
         self.rated.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -82,12 +82,12 @@
         let faults = self.faults();
         let body = reply::body(request).await?;
         match faults.down {
-            Down::No => {}
-            Down::Cut => return Err(Cut),
-            Down::Unavailable => return Ok(reply::later(StatusCode::SERVICE_UNAVAILABLE)),
+            Outage::No => {}
+            Outage::Cut => return Err(Cut),
+            Outage::Unavailable => return Ok(reply::retry_later(StatusCode::SERVICE_UNAVAILABLE)),
         }
         if !self.limiter.take(faults.per_second, Instant::now()) {
-            return Ok(reply::later(StatusCode::TOO_MANY_REQUESTS));
+            return Ok(reply::retry_later(StatusCode::TOO_MANY_REQUESTS));
         }
         if faults.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -99,7 +99,7 @@
         let Some(answer) = Answer::parse(&rate.answer) else {
             return Ok(reply::bytes(StatusCode::BAD_REQUEST, "not an answer of an engine"));
         };
-        let rated = Rated {
+        let rated = RatingRecord {
             request: rate.request.into(),
             version: rate.version.into(),
             task: rate.task.into(),
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -46,7 +46,7 @@
 
 /// Says that nothing took effect, and to come back in a second.
 #[must_use]
-pub fn later(status: StatusCode) -> Response<Body> {
+pub fn retry_later(status: StatusCode) -> Response<Body> {
     let mut response = bytes(status, Bytes::new());
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
     response
@@ -83,7 +83,7 @@
 
 /// Undoes percent encoding; malformed escapes stay as they are.
 #[must_use]
-pub fn decode(text: &str) -> String {
+pub fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut decoded = Vec::with_capacity(bytes.len());
     let mut at = 0;
@@ -105,6 +105,6 @@
 
 /// A header's value that is written in the source.
 #[must_use]
-pub fn value(text: &'static str) -> HeaderValue {
+pub fn static_value(text: &'static str) -> HeaderValue {
     HeaderValue::from_static(text)
 }
--- a/crates/standin/src/routed.rs
+++ b/crates/standin/src/routed.rs
@@ -23,7 +23,7 @@
 
 /// What it does with one request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Reply {
     /// Answers with a status and a signature.
     Answer(u16),
     /// Answers, but not for the request that was asked.
@@ -31,9 +31,9 @@
     /// Answers without a signature.
     Unsigned,
     /// Says that it did not run the request.
-    Shed,
+    Reject,
     /// The same, and asks for a pause: what `Retry-After` says.
-    Pause(&'static str),
+    RejectFor(&'static str),
     /// Says that it is not the server that was meant.
     Misdirected,
     /// Closes the connection without an answer.
@@ -44,10 +44,10 @@
     Stream(Script),
 }
 
-impl Act {
+impl Reply {
     /// The pause that it asks for, if that can be read.
-    fn pause(&self) -> Option<Duration> {
-        let Self::Pause(text) = self else { return None };
+    fn retry_after(&self) -> Option<Duration> {
+        let Self::RejectFor(text) = self else { return None };
         text.parse().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
     }
 }
@@ -60,11 +60,11 @@
     /// Between two of them.
     pub pause: Duration,
     /// More behind the first one of a run: the engine reads other prompts.
-    pub held_up: Duration,
+    pub prompt_delay: Duration,
     /// Breaks off in the middle of this event.
-    pub cut_in: Option<u64>,
+    pub cut_in_event: Option<u64>,
     /// Says nothing more behind this event.
-    pub silent_after: Option<u64>,
+    pub silent_after_event: Option<u64>,
     /// What it thinks of its answer.
     pub confidence: Option<u8>,
 }
@@ -74,9 +74,9 @@
         Self {
             events: 5,
             pause: Duration::from_millis(2),
-            held_up: Duration::ZERO,
-            cut_in: None,
-            silent_after: None,
+            prompt_delay: Duration::ZERO,
+            cut_in_event: None,
+            silent_after_event: None,
             confidence: None,
         }
     }
@@ -94,13 +94,13 @@
     /// When.
     pub at: Instant,
     /// The pause that it was answered with.
-    pub pause: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// The backend server.
-pub struct Routed {
-    usual: Mutex<Act>,
-    script: Mutex<VecDeque<Act>>,
+pub struct ScriptedServer {
+    usual: Mutex<Reply>,
+    script: Mutex<VecDeque<Reply>>,
     /// Requests a second that it names in its answers.
     per_second: Mutex<Option<f64>>,
     /// Rejected requests a second that it says it tolerates.
@@ -164,10 +164,10 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Routed {
+impl ScriptedServer {
     /// One that does this with every request.
     #[must_use]
-    pub fn new(usual: Act) -> Self {
+    pub fn new(usual: Reply) -> Self {
         Self {
             usual: Mutex::new(usual),
             script: Mutex::default(),
@@ -186,49 +186,49 @@
     }
 
     /// From now on it does this.
-    pub fn set(&self, usual: Act) {
-        *lock(&self.usual) = usual;
+    pub fn set_reply(&self, default_reply: Reply) {
+        *lock(&self.usual) = default_reply;
     }
 
     /// With the next request it does this.
-    pub fn next(&self, act: Act) {
-        lock(&self.script).push_back(act);
+    pub fn queue_reply(&self, reply: Reply) {
+        lock(&self.script).push_back(reply);
     }
 
     /// From now on it names a limit in its answers, or none.
-    pub fn name_limit(&self, per_second: Option<f64>) {
+    pub fn announce_rate_limit(&self, per_second: Option<f64>) {
         *lock(&self.per_second) = per_second;
     }
 
     /// From now on it says that it tolerates so many rejected requests a second, or nothing.
-    pub fn name_tolerance(&self, per_second: Option<u32>) {
+    pub fn announce_rejection_tolerance(&self, per_second: Option<u32>) {
         *lock(&self.tolerance) = per_second;
     }
 
     /// From now on it works on so many requests at once, on each for that long, and rejects the others.
-    pub fn limit_places(&self, places: usize, work: Duration) {
-        *lock(&self.places) = Some((places, work));
+    pub fn limit_slots(&self, slots: usize, work: Duration) {
+        *lock(&self.places) = Some((slots, work));
     }
 
     /// When it rejected requests for want of room.
     #[must_use]
-    pub fn rejected(&self) -> Vec<Instant> {
+    pub fn rejected_at(&self) -> Vec<Instant> {
         lock(&self.rejected).clone()
     }
 
     /// From now on it says in its answers that it leaves, or doesn't.
-    pub fn leave(&self, leaves: bool) {
-        self.leaves.store(leaves, Ordering::Relaxed);
+    pub fn set_leaving(&self, is_leaving: bool) {
+        self.leaves.store(is_leaving, Ordering::Relaxed);
     }
 
-    /// From now on it ends when it runs a request with this body; see [`Self::ending`].
-    pub fn end_by(&self, body: &'static str) {
+    /// From now on it ends when it runs a request with this body; see [`Self::crashed`].
+    pub fn crash_on_body(&self, body: &'static str) {
         *lock(&self.ends_by) = Some(Bytes::from(body));
     }
 
     /// From now on it ends when it runs a request with one of these parts in its prompt, but for the last
-    /// part; see [`Self::ending`].
-    pub fn end_by_parts(&self, ids: &[&str]) {
+    /// part; see [`Self::crashed`].
+    pub fn crash_on_prompt_parts(&self, ids: &[&str]) {
         *lock(&self.ends_by_parts) = ids.iter().map(|id| (*id).to_owned()).collect();
     }
 
@@ -244,7 +244,7 @@
     }
 
     /// Waits until it has run such a request. Whoever waits has to close it.
-    pub async fn ending(&self) {
+    pub async fn crashed(&self) {
         self.ending.notified().await;
     }
 
@@ -256,12 +256,12 @@
 
     /// Requests dropped by the other end before their answers ended.
     #[must_use]
-    pub fn dropped(&self) -> usize {
+    pub fn dropped_count(&self) -> usize {
         lock(&self.dropped).len()
     }
 }
 
-impl Handler for Routed {
+impl Handler for ScriptedServer {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
         let (head, body) = request.into_parts();
         let body = body.collect().await.map_err(|_| Cut)?.to_bytes();
@@ -270,9 +270,15 @@
         let ends = self.ends_of(&headers, &body);
         let act = || lock(&self.script).pop_front().unwrap_or_else(|| lock(&self.usual).clone());
         let act = (!ends).then(act);
-        let pause = act.as_ref().and_then(Act::pause);
+        let retry_after = act.as_ref().and_then(Reply::retry_after);
         let at = Instant::now();
-        lock(&self.arrivals).push(Arrival { headers: headers.clone(), path, body, at, pause });
+        lock(&self.arrivals).push(Arrival {
+            headers: headers.clone(),
+            path,
+            body,
+            at,
+            retry_after,
+        });
         let Some(act) = act else {
             self.ending.notify_one();
             return std::future::pending().await;
@@ -283,7 +289,7 @@
         let act = match places {
             Some((places, _)) if place.number >= places => {
                 lock(&self.rejected).push(at);
-                Act::Shed
+                Reply::Reject
             }
             Some((_, work)) => {
                 tokio::time::sleep(work).await;
@@ -315,7 +321,7 @@
             response.headers_mut().insert(names::BRITTLE, per_second.into());
         }
         if self.leaves.load(Ordering::Relaxed) {
-            response.headers_mut().insert(names::LEAVING, reply::value("1"));
+            response.headers_mut().insert(names::LEAVING, reply::static_value("1"));
         }
         Ok(response)
     }
@@ -326,51 +332,51 @@
     Stream(Response<()>, Script, u64),
 }
 
-async fn act_on(act: Act, headers: &HeaderMap, work: &mut Work) -> Result<Made, Cut> {
+async fn act_on(act: Reply, headers: &HeaderMap, work: &mut Work) -> Result<Made, Cut> {
     let id = headers.get(names::REQUEST_ID).cloned();
     let sign = |mut response: Response<Body>| {
         if let Some(id) = id.clone() {
             response.headers_mut().insert(names::REQUEST_ID, id);
         }
-        response.headers_mut().insert(names::SIGNATURE, reply::value("a.1.2"));
+        response.headers_mut().insert(names::SIGNATURE, reply::static_value("a.1.2"));
         response
     };
     let status = |status: u16| StatusCode::from_u16(status).unwrap_or_default();
     Ok(Made::Whole(match act {
-        Act::Answer(code) => sign(reply::bytes(status(code), "answer")),
-        Act::AnswerOther => {
+        Reply::Answer(code) => sign(reply::bytes(status(code), "answer")),
+        Reply::AnswerOther => {
             let mut response = sign(reply::bytes(StatusCode::OK, "another's answer"));
-            response.headers_mut().insert(names::REQUEST_ID, reply::value("another"));
+            response.headers_mut().insert(names::REQUEST_ID, reply::static_value("another"));
             response
         }
-        Act::Unsigned => {
+        Reply::Unsigned => {
             let mut response = sign(reply::bytes(StatusCode::OK, "anybody's answer"));
             response.headers_mut().remove(names::SIGNATURE);
             response
         }
-        Act::Shed => {
+        Reply::Reject => {
             let mut response = reply::bytes(StatusCode::SERVICE_UNAVAILABLE, "");
-            response.headers_mut().insert(names::NOT_RUN, reply::value("1"));
+            response.headers_mut().insert(names::NOT_RUN, reply::static_value("1"));
             response
         }
-        Act::Pause(retry_after) => {
+        Reply::RejectFor(retry_after) => {
             let mut response = reply::bytes(StatusCode::SERVICE_UNAVAILABLE, "");
-            response.headers_mut().insert(names::NOT_RUN, reply::value("1"));
-            response.headers_mut().insert(RETRY_AFTER, reply::value(retry_after));
+            response.headers_mut().insert(names::NOT_RUN, reply::static_value("1"));
+            response.headers_mut().insert(RETRY_AFTER, reply::static_value(retry_after));
             response
         }
-        Act::Misdirected => reply::bytes(StatusCode::MISDIRECTED_REQUEST, ""),
-        Act::Reset => {
+        Reply::Misdirected => reply::bytes(StatusCode::MISDIRECTED_REQUEST, ""),
+        Reply::Reset => {
             work.done();
             return Err(Cut);
         }
-        Act::Silence => std::future::pending().await,
-        Act::Stream(script) => {
+        Reply::Silence => std::future::pending().await,
+        Reply::Stream(script) => {
             let last = headers.get(names::LAST_EVENT).and_then(|last| last.to_str().ok());
             let last: u64 = last.and_then(|last| last.parse().ok()).unwrap_or_default();
             let mut response = sign(reply::bytes(StatusCode::OK, "")).map(|_| ());
             let headers = response.headers_mut();
-            headers.insert(CONTENT_TYPE, reply::value("text/event-stream"));
+            headers.insert(CONTENT_TYPE, reply::static_value("text/event-stream"));
             if let Some(confidence) = script.confidence {
                 headers.insert(names::CONFIDENCE, u16::from(confidence).into());
             }
@@ -391,10 +397,10 @@
                 tokio::time::sleep(script.pause).await;
             }
             if id == first + 1 {
-                tokio::time::sleep(script.held_up).await;
+                tokio::time::sleep(script.prompt_delay).await;
             }
             match () {
-                () if id < CUT && script.silent_after.is_some_and(|last| id > last) => {
+                () if id < CUT && script.silent_after_event.is_some_and(|last| id > last) => {
                     std::future::pending().await
                 }
                 () if id == CUT => {
@@ -402,7 +408,7 @@
                     Some((Err(Cut), (CUT, work)))
                 }
                 // The half event goes out first, then the connection is cut.
-                () if script.cut_in == Some(id) => {
+                () if script.cut_in_event == Some(id) => {
                     let half = Frame::data(Bytes::from(format!("id: {id}\nda")));
                     Some((Ok(half), (CUT, work)))
                 }
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -46,7 +46,7 @@
 impl Run {
     /// Whether it had, or may have had, an effect.
     #[must_use]
-    pub fn began(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         self.outcome != Outcome::Refused
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -97,7 +97,7 @@
         let mut orders = BTreeMap::new();
         let reads = ["GET ", "HEAD ", "OPTIONS "];
         let read = |run: &Run| reads.iter().any(|method| run.call.starts_with(method));
-        for run in self.runs().into_iter().filter(|run| run.began() && !read(run)) {
+        for run in self.runs().into_iter().filter(|run| run.has_begun() && !read(run)) {
             *orders.entry(run.digest).or_default() += 1;
         }
         orders
--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The audit finds each thing it is there to find, and nothing in a faultless record.
 
 use policy::name::Name;
-use standin::audit::{Audit, End, Sent};
+use standin::audit::{Audit, CallRecord, End};
 use standin::deployment::Deployment;
 use standin::platform::audit::Bills;
 use standin::run::{Outcome, Run};
@@ -15,15 +15,15 @@
 /// What callers sent and what was recorded.
 struct Records {
     document: Document,
-    sent: Vec<Sent>,
+    sent: Vec<CallRecord>,
     runs: Vec<Run>,
     bills: Bills,
 }
 
-fn sent(digest: &str, may_repeat: bool, session: Option<&str>, end: End) -> Sent {
+fn sent(digest: &str, may_repeat: bool, session: Option<&str>, end: End) -> CallRecord {
     let session = session.map(Name::from);
     let (digest, account) = (digest.into(), "letters-desk".into());
-    Sent { digest, account, service: false, may_repeat, session, end }
+    CallRecord { digest, account, service: false, may_repeat, session, end }
 }
 
 fn answered(request: &str) -> End {
@@ -142,7 +142,7 @@
     let mut records = Records::faultless();
     records.runs.push(run("r4", "d4", BEST));
     assert_eq!(records.audit(), Audit { untrue_refusals: 1, ..Audit::default() });
-    // Sent twice, one of the two ran: the other's refusal is true.
+    // CallRecord twice, one of the two ran: the other's refusal is true.
     records.sent.push(sent("d4", false, None, answered("r4")));
     records.bills.bills.push(bill("r4"));
     assert_eq!(records.audit(), Audit::default());
--- a/crates/standin/tests/deployment.rs
+++ b/crates/standin/tests/deployment.rs
@@ -4,7 +4,7 @@
 use wire::host::Role;
 
 fn counts(deployment: &Deployment, role: Role, pool: &str) -> usize {
-    deployment.of_role(role).filter(|host| &*host.pool == pool).count()
+    deployment.hosts_with_role(role).filter(|host| &*host.pool == pool).count()
 }
 
 #[test]
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -82,7 +82,7 @@
     }
     let runs = engine.runs();
     let third = runs.iter().find(|run| &*run.request == "r3").unwrap();
-    assert!(!third.began());
+    assert!(!third.has_begun());
 }
 
 #[tokio::test]
--- a/crates/standin/tests/proxy.rs
+++ b/crates/standin/tests/proxy.rs
@@ -75,7 +75,7 @@
         proxy.set_mode(Mode::Silent);
         let asked = ask(&client);
         let reset = async {
-            until(|| proxy.accepted() == 1).await;
+            until(|| proxy.accepted_count() == 1).await;
             proxy.reset_existing();
         };
         tokio::join!(asked, reset).0
@@ -112,7 +112,7 @@
     let proxy = proxy::start(any_port()).await.unwrap();
     let client = Client::new(proxy.address);
     let set = async {
-        until(|| proxy.accepted() == 1).await;
+        until(|| proxy.accepted_count() == 1).await;
         proxy.set_target(engine.address);
     };
     assert!(tokio::join!(ask(&client), set).0);
