--- a/crates/node/src/catalog.rs
+++ b/crates/node/src/catalog.rs
@@ -361,9 +361,7 @@
             let pool = pools.entry(listed.service.clone()).or_default();
             match listed.draining || backend.server.is_leaving() {
                 true => pool.leaving += 1,
-                false if self.evacuations.is_evacuated(&listed.failure_domain) => {
-                    pool.evacuated += 1
-                }
+                false if self.evacuations.is_evacuated(&listed.failure_domain) => pool.evacuated += 1,
                 false => pool.backends.push(backend),
             }
         }
--- a/crates/node/src/rollout.rs
+++ b/crates/node/src/rollout.rs
@@ -217,8 +217,7 @@
             let elapsed = elapsed(&rollout, clock::steady());
             if canary::needs_evidence(record.stage, elapsed) {
                 self.halt_if_bad(&execution.service, &rollout);
-                self.advance(&mut execution, &rollout, canary::is_urgent(record.stage, elapsed))
-                    .await;
+                self.advance(&mut execution, &rollout, canary::is_urgent(record.stage, elapsed)).await;
             }
             tokio::time::sleep(CHECK_INTERVAL).await;
         }
