--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,8 @@
-//! Stand-in for the platform: rows with conditional transactions, objects, the lagging host list.
+//! Stand-in for the platform: a store with rows, conditional transactions and objects, and a host
+//! list that readers see late.
 //!
-//! It speaks the published protocol of the platform's store; `PUT /hosts`, `GET /records` and
-//! `PUT /faults` are its own.
+//! It speaks the published protocol of the platform's store. `PUT /hosts`, `GET /records`,
+//! `GET /faults` and `PUT /faults` are additions for tests.
 
 pub mod audit;
 pub mod fault;
@@ -29,33 +30,33 @@
 use hosts::Hosts;
 use store::{Backup, Record, Store};
 
-/// The table that the host list is published in, each host under its name.
+/// The table with the host list: a row for each host, with the host's name as key.
 pub const HOSTS_TABLE: &str = "hosts";
 
 domain! {
-    /// What the platform starts with.
+    /// The state that a platform starts with.
     #[derive(Default)]
     #[serde(default, deny_unknown_fields)]
     pub struct Settings {
-        /// Its hosts.
+        /// The host list.
         pub hosts: Vec<Host>,
-        /// Rows, written by one transaction before anything else.
+        /// Rows that the platform's first transaction writes.
         pub rows: Vec<Row>,
-        /// Its faults, with its rate caps.
+        /// Faults and rate limits that are in force from the start.
         pub faults: Faults,
     }
 
-    /// All that is recorded, for audits.
+    /// Everything that the platform records for audits.
     #[serde(deny_unknown_fields)]
     pub struct Records {
-        /// What took effect, in order.
+        /// The writes that took effect, in order.
         pub committed: Vec<Record>,
-        /// What the bill logs hold.
+        /// The content of the bill logs.
         pub bills: Bills,
     }
 }
 
-/// The platform's state.
+/// The state of a platform.
 pub struct Platform {
     store: Mutex<Store>,
     hosts: Mutex<Hosts>,
@@ -63,9 +64,9 @@
     writes: RateLimiter,
     reads: RateLimiter,
     calls: AtomicU64,
-    ranges: Mutex<BTreeMap<Name, u64>>,
-    changes: Mutex<BTreeMap<Name, u64>>,
-    /// Wakes calls that are held back.
+    range_reads: Mutex<BTreeMap<Name, u64>>,
+    change_answers: Mutex<BTreeMap<Name, u64>>,
+    /// Wakes calls that wait for a change; holds the store's revision.
     changed: watch::Sender<u64>,
     started: Instant,
 }
@@ -79,8 +80,8 @@
             writes: RateLimiter::default(),
             reads: RateLimiter::default(),
             calls: AtomicU64::new(0),
-            ranges: Mutex::default(),
-            changes: Mutex::default(),
+            range_reads: Mutex::default(),
+            change_answers: Mutex::default(),
             changed: watch::Sender::new(0),
             started: Instant::now(),
         }
@@ -96,17 +97,17 @@
 }
 
 impl Platform {
-    /// A platform with rows and hosts in place.
+    /// Makes a platform that holds the rows and hosts of its settings.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let platform = Self::default();
         let transaction = Transaction {
-            writes: settings.rows.into_iter().map(store::write).collect(),
+            writes: settings.rows.into_iter().map(store::to_write).collect(),
             ..Transaction::default()
         };
         if !transaction.writes.is_empty() {
-            // Without conditions there is nothing to conflict with.
-            let _ = platform.store().transact(transaction);
+            // A transaction without conditions can't conflict.
+            let _ = platform.store().commit(transaction);
         }
         platform.set_hosts(settings.hosts);
         platform.set_faults(settings.faults);
@@ -117,71 +118,71 @@
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Replaces the faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// The faults as they are; `lose_answers` counts down with each answer lost.
+    /// The faults in force; `lose_answers` counts down with each lost answer.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Replaces the host list; callers see it once the list's lag has passed.
+    /// Replaces the host list; readers see the new list once [`Faults::lag_ms`] has passed.
     pub fn set_hosts(&self, hosts: Vec<Host>) {
         let mut list = self.hosts.lock().unwrap_or_else(PoisonError::into_inner);
         list.set(hosts, Instant::now());
     }
 
-    /// The newest hosts, without the lag.
+    /// The newest host list, which readers may not see yet.
     #[must_use]
     pub fn hosts(&self) -> Vec<Host> {
         self.hosts.lock().unwrap_or_else(PoisonError::into_inner).newest()
     }
 
-    /// Brings the table of hosts up to what its lag allows to be seen now.
+    /// Updates the table of hosts to the list that readers see now, after its lag.
     fn publish_hosts(&self) {
         let lag_ms = self.faults().lag_ms;
         let hosts = self.hosts.lock().unwrap_or_else(PoisonError::into_inner);
-        let seen = hosts.seen(Instant::now(), lag_ms);
+        let visible = hosts.visible(Instant::now(), lag_ms);
         drop(hosts);
         let mut store = self.store();
-        let wanted = seen
+        let expected = visible
             .iter()
             .filter_map(|host| Some((host.name.clone(), serde_json::to_string(host).ok()?)));
-        let mut wanted: BTreeMap<Name, String> = wanted.collect();
+        let mut expected: BTreeMap<Name, String> = expected.collect();
         let mut writes = Vec::new();
         for row in store.rows(HOSTS_TABLE) {
-            match wanted.remove(&row.key) {
+            match expected.remove(&row.key) {
                 Some(value) if value == row.value => {}
                 value => writes.push(Write { table: row.table, key: row.key, value }),
             }
         }
-        let new = wanted.into_iter();
+        let new = expected.into_iter();
         writes.extend(new.map(|(key, value)| Write {
             table: Name::from(HOSTS_TABLE),
             key,
             value: Some(value),
         }));
         if !writes.is_empty() {
-            let version = store.apply(writes);
+            let revision = store.apply(writes);
             drop(store);
-            self.changed.send_replace(version);
+            self.changed.send_replace(revision);
         }
     }
 
-    /// Writes a row as an operator or a backend server would.
+    /// Writes a row without a group, as an operator or a backend server would.
     pub fn put(&self, table: &str, key: &str, value: &serde_json::Value) {
         self.write(table, key, Some(value.to_string()));
     }
 
-    /// Removes a row.
+    /// Removes a row without a group.
     pub fn remove(&self, table: &str, key: &str) {
         self.write(table, key, None);
     }
 
-    /// Writes many rows in one transaction: nobody reads some of them without the others.
+    /// Writes many rows in one transaction, so that readers see either none or all of them.
     pub fn put_all(&self, table: &str, rows: impl Iterator<Item = (String, serde_json::Value)>) {
         let write = |(key, value): (String, serde_json::Value)| Write {
             table: Name::from(table),
@@ -196,98 +197,101 @@
     }
 
     fn apply(&self, writes: Vec<Write>) {
-        let version = self.store().apply(writes);
-        self.changed.send_replace(version);
+        let revision = self.store().apply(writes);
+        self.changed.send_replace(revision);
     }
 
-    /// What a row holds.
+    /// The value of a row without a group, parsed as JSON; `None` if the row is absent or holds no
+    /// JSON.
     #[must_use]
     pub fn get(&self, table: &str, key: &str) -> Option<serde_json::Value> {
         serde_json::from_str(&self.row(table, key)?.value).ok()
     }
 
-    /// Forgets its history; feeds that ask for it get an error.
+    /// Drops the history of changes; calls that ask for changes since an earlier revision get an
+    /// error.
     pub fn forget_history(&self) {
         self.store().forget_history();
         self.changed.send_modify(|_| {});
     }
 
-    /// Answers reads from its state as of now, whatever changes, or from the newest again.
+    /// With `true`, answers all further reads from the present state, even after changes. With
+    /// `false`, answers reads from the newest state again.
     pub fn set_stale(&self, stale: bool) {
         self.store().set_stale(stale);
     }
 
-    /// Its state as of now, to come back to.
+    /// A copy of the present state, for [`Self::restore`].
     #[must_use]
     pub fn backup(&self) -> Backup {
         self.store().backup()
     }
 
-    /// Comes back from a copy: what was acknowledged since is gone, whoever wrote it.
+    /// Replaces the state by a copy: all writes since the copy are lost, also acknowledged ones.
     pub fn restore(&self, backup: Backup) {
         self.store().restore(backup);
         self.changed.send_modify(|_| {});
     }
 
-    /// How often it has come back from a copy.
+    /// Number of times that the state was restored from a copy.
     #[must_use]
     pub fn era(&self) -> u64 {
         self.store().era()
     }
 
-    /// Calls that reached it so far.
+    /// Number of calls of the store that arrived so far, rejected ones included.
     #[must_use]
     pub fn call_count(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Ranges of a table's rows that were read so far.
+    /// Number of reads of a range of a table's rows so far.
     #[must_use]
     pub fn range_reads(&self, table: &str) -> u64 {
-        lock(&self.ranges).get(table).copied().unwrap_or_default()
+        lock(&self.range_reads).get(table).copied().unwrap_or_default()
     }
 
-    /// Answers so far that brought changes of a table.
+    /// Number of answers so far that carried changes of a table.
     #[must_use]
     pub fn change_answers(&self, table: &str) -> u64 {
-        lock(&self.changes).get(table).copied().unwrap_or_default()
+        lock(&self.change_answers).get(table).copied().unwrap_or_default()
     }
 
-    /// Everything that took effect, in order.
+    /// The writes by callers that took effect, in order.
     #[must_use]
     pub fn records(&self) -> Vec<Record> {
         self.store().records().to_vec()
     }
 
-    /// One row, if there is one.
+    /// A row without a group; `None` if it is absent.
     #[must_use]
     pub fn row(&self, table: &str, key: &str) -> Option<Row> {
         self.store().row(table, key)
     }
 
-    /// All rows of a table, by key.
+    /// All rows of a table, ordered by group and key.
     #[must_use]
     pub fn rows(&self, table: &str) -> Vec<Row> {
         self.store().rows(table)
     }
 
-    /// Names of objects that begin with a prefix, sorted.
+    /// Names of the objects whose names begin with a prefix, sorted.
     #[must_use]
     pub fn objects(&self, prefix: &str) -> Vec<Name> {
-        self.store().names(prefix)
+        self.store().object_names(prefix)
     }
 
-    /// Generations accepted, in order, as the committed transactions tell.
+    /// Generations of the configuration that were accepted, in order, read from the transactions.
     #[must_use]
     pub fn accepted_generations(&self) -> Vec<AcceptedGeneration> {
         audit::accepted_generations(self.store().records())
     }
 
-    /// What the bill logs hold.
+    /// The content of the bill logs.
     #[must_use]
     pub fn bills(&self) -> Bills {
-        let objects = self.store().with_prefix(audit::BILLS_PREFIX);
-        audit::bills(objects.iter().map(|(name, bytes)| (name.as_str(), bytes.as_ref())))
+        let objects = self.store().objects_with_prefix(audit::BILLS_PREFIX);
+        audit::read_bills(objects.iter().map(|(name, bytes)| (name.as_str(), bytes.as_ref())))
     }
 }
 
@@ -295,7 +299,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Counts a call by its table.
-fn count(counts: &Mutex<BTreeMap<Name, u64>>, table: &str) {
+/// Adds one to the count of a table.
+fn increment(counts: &Mutex<BTreeMap<Name, u64>>, table: &str) {
     *lock(counts).entry(table.into()).or_default() += 1;
 }
--- a/crates/standin/src/platform/audit.rs
+++ b/crates/standin/src/platform/audit.rs
@@ -1,4 +1,4 @@
-//! What the platform's own records say about bills and configurations.
+//! Reads bills and configuration changes out of what the platform recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,33 +8,34 @@
 
 use super::store::Record;
 
-/// Where the bill logs are.
+/// Prefix of the names of bill log objects.
 pub const BILLS_PREFIX: &str = "bills/";
-/// Controls' table of documents.
+/// The table in which control hosts keep configuration documents.
 const CONFIGURATION_TABLE: &str = "configuration";
-/// Its row that says which is in force.
+/// Key of the row in [`CONFIGURATION_TABLE`] that names the document in force.
 const CURRENT_KEY: &str = "current";
 
 domain! {
-    /// What the bill logs hold.
+    /// The content of the bill logs.
     #[derive(Default)]
     #[serde(default, deny_unknown_fields)]
     pub struct Bills {
-        /// Every bill, in the order of logs and batches, doubles included.
+        /// All bills, repeated ones included, ordered by log and batch.
         pub bills: Vec<Bill>,
-        /// Request ids that stand more than once.
+        /// Request ids of second and further bills for the same request.
         pub doubled: Vec<Name>,
-        /// Names of batches missing before the last one of their log.
+        /// Names of absent batches that a later batch of their log follows.
         pub gaps: Vec<String>,
-        /// Objects that are no batch, or not the one their name says.
+        /// Names of objects that can't be read as a batch, or hold another batch than their name
+        /// says.
         pub broken: Vec<Name>,
     }
 
-    /// A generation accepted.
+    /// A generation of the configuration that was accepted.
     pub struct AcceptedGeneration {
-        /// Its number.
+        /// Number of the generation.
         pub generation: u64,
-        /// The change id it was accepted under.
+        /// Id of the change that made the generation.
         pub change: Name,
     }
 
@@ -47,47 +48,48 @@
 }
 
 impl Bills {
-    /// Distinct request ids.
+    /// The ids of all billed requests.
     #[must_use]
     pub fn ids(&self) -> BTreeSet<Name> {
         self.bills.iter().map(|bill| bill.request.clone()).collect()
     }
 
-    /// Sum of costs, doubles counted once.
+    /// Sum of the costs of all billed requests; a request with several bills counts once.
     #[must_use]
     pub fn cost(&self) -> f64 {
-        let once: BTreeMap<&Name, f64> = self.bills.iter().map(|b| (&b.request, b.cost)).collect();
-        once.values().sum()
+        let cost_by_request: BTreeMap<&Name, f64> =
+            self.bills.iter().map(|b| (&b.request, b.cost)).collect();
+        cost_by_request.values().sum()
     }
 }
 
-/// Reads all bill logs.
+/// Reads all bill logs from objects, which come sorted by name.
 #[must_use]
-pub fn bills<'a>(objects: impl Iterator<Item = (&'a str, &'a [u8])>) -> Bills {
-    let mut audit = Bills::default();
-    let mut next: BTreeMap<Name, u64> = BTreeMap::new();
+pub fn read_bills<'a>(objects: impl Iterator<Item = (&'a str, &'a [u8])>) -> Bills {
+    let mut all = Bills::default();
+    let mut next_numbers: BTreeMap<Name, u64> = BTreeMap::new();
     let mut seen = BTreeSet::new();
     for (name, bytes) in objects {
         let batch = match serde_json::from_slice::<Batch>(bytes) {
             Ok(batch) if wire::bill::object(&batch.incarnation, batch.number) == name => batch,
             _ => {
-                audit.broken.push(name.into());
+                all.broken.push(name.into());
                 continue;
             }
         };
-        // Objects come sorted by name, so a log's batches come in the order of their numbers.
-        let expected = next.entry(batch.incarnation.clone()).or_default();
+        // Objects come sorted by name, so the batches of a log come in the order of their numbers.
+        let expected = next_numbers.entry(batch.incarnation.clone()).or_default();
         let missing = (*expected..batch.number).map(|n| wire::bill::object(&batch.incarnation, n));
-        audit.gaps.extend(missing);
+        all.gaps.extend(missing);
         *expected = batch.number + 1;
         let ids = batch.bills.iter().map(|bill| bill.request.clone());
-        audit.doubled.extend(ids.filter(|id| !seen.insert(id.clone())));
-        audit.bills.extend(batch.bills);
+        all.doubled.extend(ids.filter(|id| !seen.insert(id.clone())));
+        all.bills.extend(batch.bills);
     }
-    audit
+    all
 }
 
-/// Generations accepted, in order.
+/// The generations that were accepted, in order.
 #[must_use]
 pub fn accepted_generations(records: &[Record]) -> Vec<AcceptedGeneration> {
     let writes = records.iter().flat_map(|record| match record {
--- a/crates/standin/src/platform/hosts.rs
+++ b/crates/standin/src/platform/hosts.rs
@@ -1,39 +1,41 @@
-//! The host list, which callers see only after a lag.
+//! The host list, whose changes readers see only after a lag.
 
 use std::time::{Duration, Instant};
 
 use wire::host::Host;
 
-/// Past lists kept, so that any sensible lag can be served.
-const KEPT: usize = 64;
+/// Number of past host lists that are kept, enough for the lags that tests ask for.
+const VERSIONS_MAX: usize = 64;
 
-/// The list and its past.
+/// The host list with its past versions.
 #[derive(Default)]
 pub struct Hosts {
-    past: Vec<(Instant, Vec<Host>)>,
+    /// Versions of the list with the time when each was set, oldest first.
+    versions: Vec<(Instant, Vec<Host>)>,
 }
 
 impl Hosts {
-    /// Replaces the list.
+    /// Replaces the host list.
     pub fn set(&mut self, hosts: Vec<Host>, now: Instant) {
-        self.past.push((now, hosts));
-        if self.past.len() > KEPT {
-            self.past.remove(0);
+        self.versions.push((now, hosts));
+        if self.versions.len() > VERSIONS_MAX {
+            self.versions.remove(0);
         }
     }
 
-    /// The newest list.
+    /// The newest host list.
     #[must_use]
     pub fn newest(&self) -> Vec<Host> {
-        self.past.last().map(|(_, hosts)| hosts.clone()).unwrap_or_default()
+        self.versions.last().map(|(_, hosts)| hosts.clone()).unwrap_or_default()
     }
 
-    /// The list as it was a lag ago; the oldest kept, if it is younger than that.
+    /// The host list as it was `lag_ms` before `now`; the oldest version kept if all are younger.
     #[must_use]
-    pub fn seen(&self, now: Instant, lag_ms: u64) -> Vec<Host> {
+    pub fn visible(&self, now: Instant, lag_ms: u64) -> Vec<Host> {
         let lag = Duration::from_millis(lag_ms);
-        let old = |(at, _): &&(Instant, Vec<Host>)| now.saturating_duration_since(*at) >= lag;
-        let found = self.past.iter().rev().find(old).or(self.past.first());
+        let is_old_enough =
+            |(at, _): &&(Instant, Vec<Host>)| now.saturating_duration_since(*at) >= lag;
+        let found = self.versions.iter().rev().find(is_old_enough).or(self.versions.first());
         found.map(|(_, hosts)| hosts.clone()).unwrap_or_default()
     }
 }
--- a/crates/standin/src/platform/http.rs
+++ b/crates/standin/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP form.
+//! The platform's HTTP interface.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,27 +17,27 @@
 
 use super::query::Query;
 use super::store::Changed;
-use super::{Platform, Records, count};
+use super::{Platform, Records, increment};
 use crate::fault::Outage;
 use crate::reply;
 use crate::server::{Body, Cut, Handler};
 
-/// Rows of one answer at most.
-const PAGE: usize = 500;
-/// Names of objects of one answer at most.
-const NAMES: usize = 1_000;
-/// Rows that one transaction may name at most.
-const ENTRIES_MAX: usize = 100;
-/// Bytes that a row may hold at most.
+/// Most rows in one answer.
+const ANSWER_ROWS_MAX: usize = 500;
+/// Most names of objects in one answer.
+const ANSWER_NAMES_MAX: usize = 1_000;
+/// Most rows that one transaction may name, in its conditions, writes and removals together.
+const TRANSACTION_ROWS_MAX: usize = 100;
+/// Most bytes of a row's value.
 const ROW_BYTES_MAX: usize = 65_536;
 
-/// One call, read whole.
+/// A call whose body has been read.
 struct Call {
     method: Method,
     path: String,
     query: Query,
-    /// `If-None-Match`.
-    known: String,
+    /// The header `If-None-Match`; empty if absent.
+    if_none_match: String,
     body: Bytes,
 }
 
@@ -46,8 +46,8 @@
         Ok(Self {
             method: request.method().clone(),
             path: reply::percent_decode(request.uri().path()),
-            query: Query::read(request.uri().query().unwrap_or_default()),
-            known: reply::header(&request, IF_NONE_MATCH.as_str()).to_owned(),
+            query: Query::parse(request.uri().query().unwrap_or_default()),
+            if_none_match: reply::header(&request, IF_NONE_MATCH.as_str()).to_owned(),
             body: reply::body(request).await?,
         })
     }
@@ -56,7 +56,7 @@
 impl Handler for Platform {
     async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
         let call = Call::read(request).await?;
-        match self.administer(&call) {
+        match self.handle_control(&call) {
             Some(response) => Ok(response),
             None => {
                 let mut response = Arc::clone(&self).serve(call).await?;
@@ -68,8 +68,9 @@
 }
 
 impl Platform {
-    /// Calls of tests and operators of the stand-in; no fault touches them.
-    fn administer(&self, call: &Call) -> Option<Response<Body>> {
+    /// Answers the calls by which tests control the stand-in, which no fault touches; `None` for a
+    /// call of the store.
+    fn handle_control(&self, call: &Call) -> Option<Response<Body>> {
         match (&call.method, call.path.as_str()) {
             (&Method::GET, "/records") => {
                 let records = Records { committed: self.records(), bills: self.bills() };
@@ -93,26 +94,28 @@
             Outage::No if faults.silent => std::future::pending().await,
             Outage::No => {}
         }
-        let write = call.method != Method::GET;
-        let allowed = match write {
-            true => self.writes.take(faults.writes_per_second, Instant::now()),
-            false => self.reads.take(faults.reads_per_second, Instant::now()),
+        let is_write = call.method != Method::GET;
+        let is_allowed = match is_write {
+            true => self.writes.try_acquire(faults.writes_per_second, Instant::now()),
+            false => self.reads.try_acquire(faults.reads_per_second, Instant::now()),
         };
-        if !allowed {
+        if !is_allowed {
             return Ok(reply::retry_later(StatusCode::TOO_MANY_REQUESTS));
         }
-        if write && faults.late_ms > 0 {
+        if is_write && faults.late_ms > 0 {
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_millis(faults.late_ms)).await;
-                // Its conditions may no longer hold; nobody learns either way.
-                let _ = self.take_effect(&call);
+                // The conditions may no longer hold. The result goes nowhere, since the caller's
+                // connection is already broken.
+                let _ = self.execute(&call);
             });
             return Err(Cut);
         }
         if faults.delay_ms == 0 {
             return self.answer(&call).await;
         }
-        // A task of its own: a slow write takes effect also when its caller has given up.
+        // A separate task, so that a slow write takes effect even if its caller has gone, which
+        // drops this future.
         let slow = tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
             self.answer(&call).await
@@ -124,7 +127,7 @@
         if (&call.method, call.path.as_str()) == (&Method::GET, call::FOLLOW) {
             return Ok(self.follow(&call.query).await);
         }
-        let response = self.take_effect(call);
+        let response = self.execute(call);
         match call.method != Method::GET && self.loses_answer() {
             true => Err(Cut),
             false => Ok(response),
@@ -133,17 +136,17 @@
 
     fn loses_answer(&self) -> bool {
         let mut faults = self.faults.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let lost = faults.lose_answers > 0;
+        let is_lost = faults.lose_answers > 0;
         faults.lose_answers = faults.lose_answers.saturating_sub(1);
-        lost
+        is_lost
     }
 
-    fn take_effect(&self, call: &Call) -> Response<Body> {
+    fn execute(&self, call: &Call) -> Response<Body> {
         match (&call.method, call.path.as_str()) {
             (&Method::GET, call::READ) => self.read(&call.query),
-            (&Method::POST, call::COMMIT) => self.transact(&call.body),
-            (&Method::GET, call::LIST_OBJECTS) => self.names(&call.query),
-            (method, path) => match (method, object(path)) {
+            (&Method::POST, call::COMMIT) => self.commit(&call.body),
+            (&Method::GET, call::LIST_OBJECTS) => self.list_objects(&call.query),
+            (method, path) => match (method, split_object_path(path)) {
                 (&Method::GET, Some((call::GET_OBJECT, name))) => self.get_object(name),
                 (&Method::PUT, Some((call::PUT_OBJECT, name))) => self.put_object(name, call),
                 _ => reply::status(StatusCode::NOT_FOUND),
@@ -153,79 +156,82 @@
 
     fn read(&self, query: &Query) -> Response<Body> {
         self.publish_hosts();
-        count(&self.ranges, &query.table);
-        let (rows, version) =
+        increment(&self.range_reads, &query.table);
+        let (rows, revision) =
             self.store().read(&query.group, &query.table, &query.from, &query.end);
-        let has_more = rows.len() > PAGE;
-        let rows = rows.iter().take(PAGE).map(row).collect();
-        reply::json(StatusCode::OK, &Answer { has_more, ..self.rows_answer(rows, version) })
+        let has_more = rows.len() > ANSWER_ROWS_MAX;
+        let rows = rows.iter().take(ANSWER_ROWS_MAX).map(encode_row).collect();
+        reply::json(StatusCode::OK, &Answer { has_more, ..self.rows_answer(rows, revision) })
     }
 
     fn rows_answer(&self, rows: Vec<Row>, row_version: u64) -> Answer {
         let now_ms = u64::try_from(self.started.elapsed().as_millis()).unwrap_or_default();
-        // Some time has passed before it was started.
+        // The clock starts at 1 s, as if the platform had run for some time before.
         Answer { rows, has_more: false, row_version, now_ms: now_ms + 1_000 }
     }
 
     async fn follow(&self, query: &Query) -> Response<Body> {
         let Ok(after) = query.after.parse() else { return reply::status(StatusCode::BAD_REQUEST) };
         self.publish_hosts();
-        let until = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms);
+        let deadline = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms);
         let mut changed = self.changed.subscribe();
         loop {
-            let (changes, version) = {
+            let (changes, revision) = {
                 let store = self.store();
-                (store.changes(&query.table, after), store.version())
+                (store.changes(&query.table, after), store.revision())
             };
             let Some(changes) = changes else { return reply::status(StatusCode::GONE) };
             let is_quiet = changes.is_empty();
-            if is_quiet && tokio::time::timeout_at(until, changed.changed()).await.is_ok() {
+            if is_quiet && tokio::time::timeout_at(deadline, changed.changed()).await.is_ok() {
                 continue;
             }
-            let rows = changes.iter().map(change).collect();
+            let rows = changes.iter().map(encode_change).collect();
             if !is_quiet {
-                count(&self.changes, &query.table);
+                increment(&self.change_answers, &query.table);
             }
-            return reply::json(StatusCode::OK, &self.rows_answer(rows, version));
+            return reply::json(StatusCode::OK, &self.rows_answer(rows, revision));
         }
     }
 
-    fn transact(&self, body: &[u8]) -> Response<Body> {
+    fn commit(&self, body: &[u8]) -> Response<Body> {
         let transaction = match serde_json::from_slice::<Transaction>(body) {
             Ok(transaction) => transaction,
             Err(error) => return reply::bytes(StatusCode::BAD_REQUEST, error.to_string()),
         };
         let entries =
             transaction.expected.len() + transaction.writes.len() + transaction.remove.len();
-        if entries > ENTRIES_MAX {
-            return reply::bytes(StatusCode::BAD_REQUEST, format!("{entries} entries"));
+        if entries > TRANSACTION_ROWS_MAX {
+            return reply::bytes(
+                StatusCode::BAD_REQUEST,
+                format!("too many rows in a transaction: {entries}"),
+            );
         }
-        let change = match read_transaction(transaction) {
-            Ok(change) => change,
-            Err(why) => return reply::bytes(StatusCode::BAD_REQUEST, why),
+        let decoded = match decode_transaction(transaction) {
+            Ok(decoded) => decoded,
+            Err(error) => return reply::bytes(StatusCode::BAD_REQUEST, error),
         };
         let mut store = self.store();
-        let made = store.transact(change);
-        let version = store.version();
+        let committed = store.commit(decoded);
+        let revision = store.revision();
         drop(store);
-        match made {
-            Ok(version) => {
-                self.changed.send_replace(version);
-                reply::json(StatusCode::OK, &self.rows_answer(Vec::new(), version))
+        match committed {
+            Ok(revision) => {
+                self.changed.send_replace(revision);
+                reply::json(StatusCode::OK, &self.rows_answer(Vec::new(), revision))
             }
             Err(rows) => {
-                let rows = rows.iter().map(row).collect();
-                reply::json(StatusCode::PRECONDITION_FAILED, &self.rows_answer(rows, version))
+                let rows = rows.iter().map(encode_row).collect();
+                reply::json(StatusCode::PRECONDITION_FAILED, &self.rows_answer(rows, revision))
             }
         }
     }
 
-    fn names(&self, query: &Query) -> Response<Body> {
+    fn list_objects(&self, query: &Query) -> Response<Body> {
         let all = self.objects(&query.prefix).into_iter();
         let mut names: Vec<String> =
             all.map(|name| name.to_string()).filter(|name| *name > query.after).collect();
-        let has_more = names.len() > NAMES;
-        names.truncate(NAMES);
+        let has_more = names.len() > ANSWER_NAMES_MAX;
+        names.truncate(ANSWER_NAMES_MAX);
         reply::json(StatusCode::OK, &Objects { names, has_more })
     }
 
@@ -237,7 +243,7 @@
     }
 
     fn put_object(&self, name: &str, call: &Call) -> Response<Body> {
-        if call.known != "*" {
+        if call.if_none_match != "*" {
             return reply::status(StatusCode::PRECONDITION_REQUIRED);
         }
         match self.store().put(name, call.body.clone()) {
@@ -247,13 +253,13 @@
     }
 }
 
-/// The call and the object's name.
-fn object(path: &str) -> Option<(&str, &str)> {
+/// Splits the path of a call for one object into the call and the object's name.
+fn split_object_path(path: &str) -> Option<(&str, &str)> {
     let calls = [call::GET_OBJECT, call::PUT_OBJECT];
     calls.into_iter().find_map(|call| Some((call, path.strip_prefix(call)?.strip_prefix('/')?)))
 }
 
-fn row(row: &wire::store::Row) -> Row {
+fn encode_row(row: &wire::store::Row) -> Row {
     Row {
         table: row.table.clone(),
         key: row.key.clone(),
@@ -263,21 +269,21 @@
     }
 }
 
-fn change(changed: &Changed) -> Row {
+fn encode_change(changed: &Changed) -> Row {
     match &changed.row {
-        Some(now) => row(now),
+        Some(row) => encode_row(row),
         None => Row {
             table: changed.table.clone(),
             key: changed.key.clone(),
-            row_version: changed.version,
+            row_version: changed.revision,
             deleted: true,
             ..Row::default()
         },
     }
 }
 
-fn read_transaction(transaction: Transaction) -> Result<wire::store::Transaction, String> {
-    let group = group(&transaction)?;
+fn decode_transaction(transaction: Transaction) -> Result<wire::store::Transaction, String> {
+    let group = common_group(&transaction)?;
     let conditions = transaction.expected.into_iter().map(|reference| Condition {
         version: reference.row_version.unwrap_or_default().into(),
         table: reference.table,
@@ -291,7 +297,7 @@
                 let value = String::from_utf8(value).map_err(|error| error.to_string())?;
                 Ok(Write { table, key, value: Some(value) })
             }
-            length => Err(format!("{key}: {length} bytes")),
+            length => Err(format!("value of row {key} is too long: {length} bytes")),
         }
     });
     let mut writes: Vec<Write> = writes.collect::<Result<_, String>>()?;
@@ -300,14 +306,14 @@
     Ok(wire::store::Transaction { group, conditions: conditions.collect(), writes })
 }
 
-/// The one group that all rows of a transaction lie in.
-fn group(transaction: &Transaction) -> Result<Name, String> {
+/// The group that all rows of a transaction belong to; an error if they belong to several.
+fn common_group(transaction: &Transaction) -> Result<Name, String> {
     let Transaction { expected, writes, remove } = transaction;
     let references = expected.iter().chain(writes).chain(remove);
     let mut groups = references.map(|reference| &reference.part);
     let first = groups.next().cloned().unwrap_or_default();
     match groups.all(|other| *other == first) {
         true => Ok(first),
-        false => Err("rows of several groups".to_owned()),
+        false => Err("rows of several groups in one transaction".to_owned()),
     }
 }
--- a/crates/standin/src/platform/query.rs
+++ b/crates/standin/src/platform/query.rs
@@ -1,32 +1,32 @@
-//! What a call of the store asks for.
+//! The query string of a call of the store.
 
 use policy::name::Name;
 
 use crate::reply;
 
-/// A call's query.
+/// The parameters of a call of the store; those that are absent are empty or 0.
 #[derive(Default)]
 pub struct Query {
-    /// The table.
+    /// Table of the rows.
     pub table: Name,
-    /// The group of rows; empty for those without one.
+    /// Group of the rows; empty for rows without a group.
     pub group: Name,
-    /// The first key wanted.
+    /// First key of the range.
     pub from: String,
-    /// The first key behind those wanted; empty for no end.
+    /// First key behind the range; empty for a range without an end.
     pub end: String,
-    /// Changes behind this version, or objects behind this name.
+    /// Lower bound, exclusive: a revision for changes, or a name for objects.
     pub after: String,
-    /// How long to hold the call back while there is no change, in milliseconds.
+    /// Longest time to wait for a change before an answer without changes, in milliseconds.
     pub wait_ms: u64,
-    /// What objects' names begin with.
+    /// Prefix of the objects' names.
     pub prefix: String,
 }
 
 impl Query {
-    /// Reads it; what is not known is left out.
+    /// Reads a query string; unknown parameters are ignored.
     #[must_use]
-    pub fn read(text: &str) -> Self {
+    pub fn parse(text: &str) -> Self {
         let mut query = Self::default();
         for (name, value) in text.split('&').filter_map(|pair| pair.split_once('=')) {
             let value = reply::percent_decode(value);
--- a/crates/standin/src/rater.rs
+++ b/crates/standin/src/rater.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the service that rates answers: it reads the mark in the answer's text.
+//! Stand-in for the service that rates answers: the text of a stand-in engine's answer says whether
+//! it is good.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,37 +19,37 @@
 use crate::server::{self, Body, Cut, Handler, Running};
 
 domain! {
-    /// The rater's faults; all off by default.
+    /// The faults of a rater; all are off by default.
     #[derive(Default)]
     #[serde(default, deny_unknown_fields)]
     pub struct Faults {
-        /// Whether it takes requests.
+        /// Whether the rater is out of service, and how it shows.
         pub down: Outage,
-        /// Time each rating takes, in milliseconds.
+        /// Time that each rating takes, in milliseconds.
         pub delay_ms: u64,
-        /// Ratings a second at most; over it 429. 0 is no cap.
+        /// Most ratings a second; further requests get 429. 0 is no limit.
         pub per_second: u32,
     }
 
-    /// One rating given.
+    /// A rating that was given.
     pub struct RatingRecord {
-        /// The request.
+        /// Id of the request whose answer was rated.
         pub request: Name,
-        /// The version.
+        /// The version that made the answer.
         pub version: Name,
-        /// The task.
+        /// The task of the request.
         pub task: Name,
         /// Whether the answer was good.
         pub good: bool,
     }
 }
 
-/// The rater's state.
+/// The state of a rater.
 #[derive(Default)]
 pub struct Rater {
     faults: Mutex<Faults>,
     limiter: RateLimiter,
-    rated: Mutex<Vec<RatingRecord>>,
+    ratings: Mutex<Vec<RatingRecord>>,
 }
 
 /// Starts a rater.
@@ -61,21 +62,21 @@
 }
 
 impl Rater {
-    /// Replaces the faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// The faults as they are.
+    /// The faults in force.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Every rating given, in order.
+    /// All ratings given, in order.
     #[must_use]
     pub fn records(&self) -> Vec<RatingRecord> {
-        self.rated.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.ratings.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     async fn rate(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
@@ -86,7 +87,7 @@
             Outage::Cut => return Err(Cut),
             Outage::Unavailable => return Ok(reply::retry_later(StatusCode::SERVICE_UNAVAILABLE)),
         }
-        if !self.limiter.take(faults.per_second, Instant::now()) {
+        if !self.limiter.try_acquire(faults.per_second, Instant::now()) {
             return Ok(reply::retry_later(StatusCode::TOO_MANY_REQUESTS));
         }
         if faults.delay_ms > 0 {
@@ -97,15 +98,15 @@
             Err(error) => return Ok(reply::bytes(StatusCode::BAD_REQUEST, error.to_string())),
         };
         let Some(answer) = Answer::parse(&rate.answer) else {
-            return Ok(reply::bytes(StatusCode::BAD_REQUEST, "not an answer of an engine"));
+            return Ok(reply::bytes(StatusCode::BAD_REQUEST, "not the text of an engine's answer"));
         };
-        let rated = RatingRecord {
+        let record = RatingRecord {
             request: rate.request.into(),
             version: rate.version.into(),
             task: rate.task.into(),
             good: answer.good,
         };
-        self.rated.lock().unwrap_or_else(PoisonError::into_inner).push(rated);
+        self.ratings.lock().unwrap_or_else(PoisonError::into_inner).push(record);
         Ok(reply::json(StatusCode::OK, &Rating { good: answer.good }))
     }
 }
