--- a/crates/standin/tests/audit.rs
+++ b/crates/standin/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit finds each thing it is there to find, and nothing in a faultless record.
+//! The audit counts each kind of violation that it is made for, and none in faultless records.
 
 use policy::name::Name;
 use standin::audit::{Audit, CallRecord, End};
@@ -12,7 +12,7 @@
 const BEST: &str = "dossier-large-7";
 const WITHDRAWN: &str = "dossier-small-2";
 
-/// What callers sent and what was recorded.
+/// The calls of clients, and what the stand-ins recorded.
 struct Records {
     document: Document,
     sent: Vec<CallRecord>,
@@ -20,7 +20,7 @@
     bills: Bills,
 }
 
-fn sent(digest: &str, may_repeat: bool, session: Option<&str>, end: End) -> CallRecord {
+fn call(digest: &str, may_repeat: bool, session: Option<&str>, end: End) -> CallRecord {
     let session = session.map(Name::from);
     let (digest, account) = (digest.into(), "letters-desk".into());
     CallRecord { digest, account, service: false, may_repeat, session, end }
@@ -56,15 +56,16 @@
 }
 
 impl Records {
-    /// Two requests of one session, a cascade, one refused truly: nothing to find.
+    /// Records without a violation: two requests of one session, a request that ran on two versions
+    /// in turn, which it may, and a request that was rejected and did not run.
     fn faultless() -> Self {
         Self {
             document: Deployment::named("nl-centraal").unwrap().document,
             sent: vec![
-                sent("d1", false, Some("s1"), answered("r1")),
-                sent("d2", false, Some("s1"), answered("r2")),
-                sent("d3", true, None, answered("r3")),
-                sent("d4", false, None, End::NotRun),
+                call("d1", false, Some("s1"), answered("r1")),
+                call("d2", false, Some("s1"), answered("r2")),
+                call("d3", true, None, answered("r3")),
+                call("d4", false, None, End::NotRun),
             ],
             runs: vec![
                 run("r1", "d1", BEST),
@@ -90,15 +91,15 @@
 #[test]
 fn audit_finds_wrong_answers() {
     let mut records = Records::faultless();
-    records.sent.push(sent("d5", true, None, End::Wrong));
+    records.sent.push(call("d5", true, None, End::Wrong));
     assert_eq!(records.audit(), Audit { wrong_answers: 1, ..Audit::default() });
 }
 
 #[test]
 fn audit_finds_doubled_runs_under_another_id() {
     let mut records = Records::faultless();
-    let lost = Run { outcome: Outcome::Cancelled, ..run("r9", "d2", BEST) };
-    records.runs.push(lost);
+    let second = Run { outcome: Outcome::Cancelled, ..run("r9", "d2", BEST) };
+    records.runs.push(second);
     assert_eq!(records.audit(), Audit { doubled_runs: 1, ..Audit::default() });
 }
 
@@ -107,7 +108,7 @@
     let mut records = Records::faultless();
     records.runs[2].version = "dossier-small-4".into();
     assert_eq!(records.audit(), Audit { disallowed_runs: 1, ..Audit::default() });
-    // Also when the account still lists it.
+    // A withdrawn version is not allowed, even if the account still lists it.
     let account = records.document.accounts.get_mut("letters-desk").unwrap();
     account.versions.push(WITHDRAWN.into());
     records.runs[2].version = WITHDRAWN.into();
@@ -142,8 +143,8 @@
     let mut records = Records::faultless();
     records.runs.push(run("r4", "d4", BEST));
     assert_eq!(records.audit(), Audit { untrue_refusals: 1, ..Audit::default() });
-    // CallRecord twice, one of the two ran: the other's refusal is true.
-    records.sent.push(sent("d4", false, None, answered("r4")));
+    // The request was sent twice and ran once: the rejection of the other call is true.
+    records.sent.push(call("d4", false, None, answered("r4")));
     records.bills.bills.push(bill("r4"));
     assert_eq!(records.audit(), Audit::default());
 }
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Helper functions for the tests of the stand-ins.
+#![allow(dead_code, reason = "no test file uses all of these functions")]
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,8 +29,8 @@
     standin::client::request(method, path, body).unwrap()
 }
 
-/// One version, `v1`, that answers at once.
-pub fn quick() -> standin::engine::Settings {
+/// Settings of an engine with one version, `v1`, that answers at once.
+pub fn quick_engine() -> standin::engine::Settings {
     let version = standin::engine::Version {
         service_ms: 0,
         between_tokens_ms: 0,
@@ -42,8 +42,9 @@
     }
 }
 
-/// Waits until a condition holds; the test's own time limit ends it if it never does.
-pub async fn until(mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds. If it never does, only the test runner's time limit ends the
+/// test.
+pub async fn wait_until(mut holds: impl FnMut() -> bool) {
     while !holds() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
--- a/crates/standin/tests/deployment.rs
+++ b/crates/standin/tests/deployment.rs
@@ -1,32 +1,32 @@
-//! The examples are what the users' two deployments are, and fit together.
+//! The examples have the sizes of the users' two deployments, and their files fit together.
 
 use standin::deployment::Deployment;
 use wire::host::Role;
 
-fn counts(deployment: &Deployment, role: Role, pool: &str) -> usize {
+fn count_hosts(deployment: &Deployment, role: Role, pool: &str) -> usize {
     deployment.hosts_with_role(role).filter(|host| &*host.pool == pool).count()
 }
 
 #[test]
-fn nl_centraal_has_its_size() {
+fn nl_centraal_has_the_users_host_counts() {
     let deployment = Deployment::named("nl-centraal").unwrap();
     assert_eq!(deployment.failure_domains().len(), 4);
-    assert_eq!(counts(&deployment, Role::Backend, "dossier-workers"), 10);
-    assert_eq!(counts(&deployment, Role::Backend, "claim-portal"), 4);
-    assert_eq!(counts(&deployment, Role::Entry, ""), 7);
+    assert_eq!(count_hosts(&deployment, Role::Backend, "dossier-workers"), 10);
+    assert_eq!(count_hosts(&deployment, Role::Backend, "claim-portal"), 4);
+    assert_eq!(count_hosts(&deployment, Role::Entry, ""), 7);
 }
 
 #[test]
-fn midlands_has_its_size() {
+fn midlands_has_the_users_host_counts() {
     let deployment = Deployment::named("midlands").unwrap();
     assert_eq!(deployment.failure_domains().len(), 3);
-    assert_eq!(counts(&deployment, Role::Backend, "feed-planners"), 20);
-    assert_eq!(counts(&deployment, Role::Backend, "order-desk"), 3);
-    assert_eq!(counts(&deployment, Role::Entry, ""), 6);
+    assert_eq!(count_hosts(&deployment, Role::Backend, "feed-planners"), 20);
+    assert_eq!(count_hosts(&deployment, Role::Backend, "order-desk"), 3);
+    assert_eq!(count_hosts(&deployment, Role::Entry, ""), 6);
 }
 
 #[test]
-fn keys_match_their_hashes() {
+fn account_keys_match_hashes_in_the_configuration() {
     use sha2::{Digest, Sha256};
     for name in Deployment::NAMES {
         let deployment = Deployment::named(name).unwrap();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn unknown_deployment_names_the_known() {
+fn error_for_unknown_deployment_names_the_known_ones() {
     let error = Deployment::named("nowhere").unwrap_err().to_string();
     assert!(error.contains("nl-centraal, midlands"), "{error}");
 }
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -1,8 +1,9 @@
-//! The engine stand-in records what really happened, and breaks answers where it was told to.
+//! The stand-in engine records each run with its true outcome, and breaks answers off exactly where
+//! its faults say so.
 
 mod common;
 
-use common::{any_port, chat, outcomes, quick, request, until};
+use common::{any_port, chat, outcomes, quick_engine, request, wait_until};
 use hyper::{Method, StatusCode};
 use policy::name::Name;
 use standin::answer::Answer;
@@ -13,7 +14,8 @@
 use standin::run::Outcome;
 use wire::backend::{Load, REQUEST_ID};
 
-fn slow() -> Settings {
+/// Settings of an engine with one slot and one place in its queue, which answers after an hour.
+fn slow_engine() -> Settings {
     let version = Version { service_ms: 3_600_000, ..Version::default() };
     Settings {
         versions: [(Name::from("v1"), version)].into(),
@@ -29,14 +31,14 @@
 
 #[tokio::test]
 async fn answer_names_its_request() {
-    let engine = engine::start(any_port(), quick()).unwrap();
+    let engine = engine::start(any_port(), quick_engine()).unwrap();
     let client = Client::new(engine.address);
     let answer = client.call(chat("r1", "v1", "tag this", false)).await.unwrap();
     assert_eq!(answer.headers()[REQUEST_ID], "r1");
-    let said = Answer::parse(&content(answer.body())).unwrap();
+    let parsed = Answer::parse(&content(answer.body())).unwrap();
     let digest = Name::from(draw::digest("tag this"));
     let expected = Answer { good: true, version: "v1".into(), request: "r1".into(), digest };
-    assert_eq!(said, expected);
+    assert_eq!(parsed, expected);
     assert_eq!(outcomes(&engine.runs()), [Outcome::Whole]);
     let unknown = client.call(chat("r2", "v2", "tag this", false)).await.unwrap();
     assert_eq!(unknown.status(), StatusCode::NOT_FOUND);
@@ -44,7 +46,7 @@
 
 #[tokio::test]
 async fn stream_ends_with_done() {
-    let engine = engine::start(any_port(), quick()).unwrap();
+    let engine = engine::start(any_port(), quick_engine()).unwrap();
     let client = Client::new(engine.address);
     let answer = client.call(chat("r1", "v1", "tag this", true)).await.unwrap();
     let text = String::from_utf8(answer.into_body().to_vec()).unwrap();
@@ -54,25 +56,25 @@
 }
 
 #[tokio::test]
-async fn caller_gone_is_a_cancelled_run() {
-    let engine = engine::start(any_port(), slow()).unwrap();
+async fn run_is_cancelled_when_its_caller_goes() {
+    let engine = engine::start(any_port(), slow_engine()).unwrap();
     let client = Client::new(engine.address);
     let call = client.call(chat("r1", "v1", "tag this", false));
     tokio::select! {
         _ = call => panic!("answered too early"),
-        () = until(|| engine.runs().len() == 1) => {}
+        () = wait_until(|| engine.runs().len() == 1) => {}
     }
-    until(|| outcomes(&engine.runs()) == [Outcome::Cancelled]).await;
-    until(|| engine.load().in_flight == 0).await;
+    wait_until(|| outcomes(&engine.runs()) == [Outcome::Cancelled]).await;
+    wait_until(|| engine.load().in_flight == 0).await;
 }
 
 #[tokio::test]
-async fn slots_full_is_refused_and_no_run() {
-    let engine = engine::start(any_port(), slow()).unwrap();
+async fn request_is_rejected_without_a_run_when_slots_and_queue_are_full() {
+    let engine = engine::start(any_port(), slow_engine()).unwrap();
     let client = Client::new(engine.address);
     let ask = |id| client.call(chat(id, "v1", "tag this", false));
     let third = async {
-        until(|| engine.load() == Load { in_flight: 2, slots: 1, draining: false }).await;
+        wait_until(|| engine.load() == Load { in_flight: 2, slots: 1, draining: false }).await;
         ask("r3").await.unwrap().status()
     };
     tokio::select! {
@@ -86,15 +88,15 @@
 }
 
 #[tokio::test]
-async fn cut_comes_after_its_bytes_and_only_once() {
-    let engine = engine::start(any_port(), quick()).unwrap();
+async fn cut_before_header_or_in_body_touches_one_request() {
+    let engine = engine::start(any_port(), quick_engine()).unwrap();
     let client = Client::new(engine.address);
     for cut_after in [0, 40] {
         let faults = Faults { cut_after: Some(cut_after), only: Some(1), ..Faults::default() };
         engine.set_faults(faults);
         for stream in [true, false] {
             let answer = client.call(chat("r1", "v1", "tag this", stream)).await;
-            assert_eq!(answer.is_err(), stream, "the fault touches the first request only");
+            assert_eq!(answer.is_err(), stream, "the fault has to touch only the first request");
         }
     }
     let expected = [Outcome::Cut, Outcome::Whole, Outcome::Cut, Outcome::Whole];
@@ -103,20 +105,20 @@
 
 #[tokio::test]
 async fn crossed_answer_is_wrong_in_header_and_body() {
-    let engine = engine::start(any_port(), quick()).unwrap();
+    let engine = engine::start(any_port(), quick_engine()).unwrap();
     let client = Client::new(engine.address);
     client.call(chat("r1", "v1", "first", false)).await.unwrap();
     engine.set_faults(Faults { crossed: 1.0, ..Faults::default() });
     let answer = client.call(chat("r2", "v1", "second", false)).await.unwrap();
     assert_eq!(answer.headers()[REQUEST_ID], "r1");
-    let said = Answer::parse(&content(answer.body())).unwrap();
-    assert_eq!(&*said.request, "r1");
-    assert_ne!(&*said.digest, draw::digest("second"));
+    let parsed = Answer::parse(&content(answer.body())).unwrap();
+    assert_eq!(&*parsed.request, "r1");
+    assert_ne!(&*parsed.digest, draw::digest("second"));
 }
 
 #[tokio::test]
-async fn quality_is_drawn_alike_on_every_run() {
-    let mut settings = quick();
+async fn quality_draws_are_the_same_on_every_run() {
+    let mut settings = quick_engine();
     settings.draw_by_prompt = true;
     let version = settings.versions.get_mut("v1").unwrap();
     version.quality = [("tag".into(), 0.5)].into();
@@ -132,12 +134,12 @@
     }
     assert_eq!(rounds[0], rounds[1]);
     let good = rounds[0].iter().filter(|good| **good).count();
-    assert!((10..=30).contains(&good), "{good} of 40 at a share of a half");
+    assert!((10..=30).contains(&good), "{good} good answers of 40 at a share of 0.5");
 }
 
 #[tokio::test]
-async fn faults_are_taken_over_http() {
-    let engine = engine::start(any_port(), quick()).unwrap();
+async fn faults_are_set_over_http() {
+    let engine = engine::start(any_port(), quick_engine()).unwrap();
     let client = Client::new(engine.address);
     let put = request(Method::PUT, "/faults", r#"{"draining":true,"bad":{"v1":0.0}}"#);
     assert_eq!(client.call(put).await.unwrap().status(), StatusCode::NO_CONTENT);
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The platform stand-in keeps its own promises; a test that trusts a wrong one would hide faults.
+//! The stand-in platform behaves as documented: other tests rely on it, and a wrong stand-in would
+//! hide faults of the system.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
-use common::{any_port, request, until};
+use common::{any_port, request, wait_until};
 use hyper::{Method, Request, StatusCode};
 use policy::name::Name;
 use standin::client::Client;
@@ -21,8 +22,8 @@
     Reference { table: "t".into(), key: key.into(), ..Reference::default() }
 }
 
-fn condition(key: &str, version: u64) -> Reference {
-    Reference { row_version: Some(version), ..reference(key) }
+fn condition(key: &str, revision: u64) -> Reference {
+    Reference { row_version: Some(revision), ..reference(key) }
 }
 
 fn write(key: &str, value: &str) -> Reference {
@@ -76,15 +77,15 @@
     let committed = client.call(first).await.unwrap();
     assert_eq!(answer(committed.body()).row_version, 1);
 
-    // One of two conditions fails: nothing of it may show.
+    // The second of two conditions fails, so none of the writes may take effect.
     let conditions = vec![condition("b/c", 1), condition("a", 0)];
     let second = transaction(conditions, vec![write("a", "2"), write("d", "2")]);
     let conflict = client.call(second).await.unwrap();
     assert_eq!(conflict.status(), StatusCode::PRECONDITION_FAILED);
-    let held = answer(conflict.body()).rows;
-    assert_eq!(held.len(), 1);
-    assert_eq!((held[0].key.as_str(), held[0].row_version), ("a", 1));
-    assert_eq!(held[0].value.as_deref(), Some(STANDARD.encode("1").as_str()));
+    let rows = answer(conflict.body()).rows;
+    assert_eq!(rows.len(), 1);
+    assert_eq!((rows[0].key.as_str(), rows[0].row_version), ("a", 1));
+    assert_eq!(rows[0].value.as_deref(), Some(STANDARD.encode("1").as_str()));
     assert_eq!(platform.row("t", "d"), None);
 
     let read = answer(client.call(get("b/c")).await.unwrap().body());
@@ -95,20 +96,20 @@
 }
 
 #[tokio::test]
-async fn transaction_over_the_limits_is_refused() {
+async fn transaction_over_the_limits_is_rejected() {
     let platform = platform::start(any_port(), Settings::default()).unwrap();
     let client = Client::new(platform.address);
     let many = (0..101).map(|number| write(&format!("k{number}"), "1")).collect();
     let long = vec![write("k", &"x".repeat(65_537))];
     for writes in [many, long] {
-        let refused = client.call(transaction(Vec::new(), writes)).await.unwrap();
-        assert_eq!(refused.status(), StatusCode::BAD_REQUEST);
+        let rejected = client.call(transaction(Vec::new(), writes)).await.unwrap();
+        assert_eq!(rejected.status(), StatusCode::BAD_REQUEST);
     }
     assert!(platform.rows("t").is_empty());
 }
 
 #[tokio::test]
-async fn transaction_race_has_one_winner() {
+async fn concurrent_transactions_have_one_winner() {
     let platform = platform::start(any_port(), Settings::default()).unwrap();
     let race = |value: usize| {
         let client = Client::new(platform.address);
@@ -124,15 +125,15 @@
 }
 
 #[tokio::test]
-async fn object_is_put_once() {
+async fn second_put_of_an_object_fails() {
     let platform = platform::start(any_port(), Settings::default()).unwrap();
     let client = Client::new(platform.address);
     for (text, status) in [("one", StatusCode::OK), ("two", StatusCode::PRECONDITION_FAILED)] {
         assert_eq!(client.call(put_absent("x/1", text)).await.unwrap().status(), status);
     }
     let path = format!("{}/x%2F1", call::GET_OBJECT);
-    let got = client.call(request(Method::GET, &path, "")).await.unwrap();
-    assert_eq!(got.body().as_ref(), b"one");
+    let object = client.call(request(Method::GET, &path, "")).await.unwrap();
+    assert_eq!(object.body().as_ref(), b"one");
     let path = format!("{}?prefix=x%2F", call::LIST_OBJECTS);
     let listed = client.call(request(Method::GET, &path, "")).await.unwrap();
     let listed: Objects = serde_json::from_slice(listed.body()).unwrap();
@@ -140,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn lost_answer_took_effect() {
+async fn write_takes_effect_when_its_answer_is_lost() {
     let platform = platform::start(any_port(), Settings::default()).unwrap();
     let client = Client::new(platform.address);
     platform.set_faults(Faults { lose_answers: 2, ..Faults::default() });
@@ -148,23 +149,23 @@
     assert!(client.call(first).await.is_err());
     assert!(client.call(put_absent("x", "one")).await.is_err());
     assert_eq!(platform.row("t", "a").unwrap().value, "1");
-    // The count is used up: the same put again is told that it exists.
+    // Both lost answers are used up: the same put is answered, and finds that the object exists.
     let again = client.call(put_absent("x", "one")).await.unwrap();
     assert_eq!(again.status(), StatusCode::PRECONDITION_FAILED);
 }
 
 #[tokio::test]
-async fn slow_write_takes_effect_after_its_caller_left() {
+async fn slow_write_takes_effect_after_its_caller_has_gone() {
     let platform = platform::start(any_port(), Settings::default()).unwrap();
     let client = Client::new(platform.address);
     platform.set_faults(Faults { delay_ms: 1000, ..Faults::default() });
     let put = client.call(put_absent("x", "late"));
     assert!(tokio::time::timeout(std::time::Duration::from_millis(20), put).await.is_err());
-    until(|| platform.objects("").len() == 1).await;
+    wait_until(|| platform.objects("").len() == 1).await;
 }
 
 #[tokio::test]
-async fn faults_have_no_effect_on_rows() {
+async fn rejected_writes_change_no_rows() {
     let platform = platform::start(any_port(), Settings::default()).unwrap();
     let client = Client::new(platform.address);
     let attempt = || client.call(transaction(Vec::new(), vec![write("a", "1")]));
@@ -185,7 +186,7 @@
 }
 
 #[tokio::test]
-async fn hosts_come_late() {
+async fn host_list_is_seen_after_its_lag() {
     let host = |state| Host {
         name: "h".into(),
         role: Role::Backend,
@@ -211,7 +212,7 @@
 }
 
 #[tokio::test]
-async fn bills_show_doubles_and_gaps() {
+async fn bills_show_repeated_missing_and_broken_ones() {
     let platform = platform::start(any_port(), Settings::default()).unwrap();
     let client = Client::new(platform.address);
     for put in [batch("c1", 0, &["a", "b"]), batch("c1", 2, &["c"]), batch("c2", 0, &["b"])] {
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,9 +1,9 @@
-//! The plain service, the rater and the pass-through.
+//! The stand-ins for a plain service and a rater, and the pass-through, answer as documented.
 
 mod common;
 
 use bytes::Bytes;
-use common::{any_port, chat, quick, request};
+use common::{any_port, chat, quick_engine, request};
 use hyper::{Method, Request, StatusCode};
 use standin::backend::Faults;
 use standin::client::Client;
@@ -33,7 +33,7 @@
     assert_eq!(echo, expected);
     assert_eq!(answer.headers()[REQUEST_ID], "r1");
 
-    // A cut answer had its effect: the same order again is a doubled one.
+    // An order whose answer was cut took effect, so the same order sent again counts twice.
     service.set_faults(Faults { cut_after: Some(0), only: Some(1), ..Faults::default() });
     assert!(client.call(order("r2", "more feed")).await.is_err());
     client.call(order("r3", "more feed")).await.unwrap();
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn rater_tells_good_from_bad() {
+async fn rater_reads_quality_and_limits_its_rate() {
     let rater = rater::start(any_port(), rater::Faults::default()).unwrap();
     let client = Client::new(rater.address);
     let rate = |answer: &str| {
@@ -63,26 +63,26 @@
     assert_eq!(rater.records().len(), 2);
     rater.set_faults(rater::Faults { per_second: 1, ..rater::Faults::default() });
     rate("answer good v1 r1 d").await.unwrap();
-    let over = rate("answer good v1 r1 d").await.unwrap();
-    assert_eq!(over.status(), StatusCode::TOO_MANY_REQUESTS);
+    let rejected = rate("answer good v1 r1 d").await.unwrap();
+    assert_eq!(rejected.status(), StatusCode::TOO_MANY_REQUESTS);
 }
 
 #[tokio::test]
-async fn passthrough_changes_nothing() {
-    let engine = engine::start(any_port(), quick()).unwrap();
+async fn passthrough_changes_no_answer_and_reports_a_closed_target() {
+    let engine = engine::start(any_port(), quick_engine()).unwrap();
     let passthrough = passthrough::start(any_port(), engine.address).unwrap();
     let direct = Client::new(engine.address);
-    let through = Client::new(passthrough.address);
+    let proxied = Client::new(passthrough.address);
     for stream in [false, true, false] {
-        let ask = || chat("r1", "v1", "tag this", stream);
-        let expected = direct.call(ask()).await.unwrap();
-        let answer = through.call(ask()).await.unwrap();
+        let chat_request = || chat("r1", "v1", "tag this", stream);
+        let expected = direct.call(chat_request()).await.unwrap();
+        let answer = proxied.call(chat_request()).await.unwrap();
         assert_eq!(answer.headers()[REQUEST_ID], "r1");
         assert_eq!(answer.body(), expected.body());
     }
     engine.close();
     assert!(matches!(
-        through.call(chat("r1", "v1", "tag this", false)).await,
+        proxied.call(chat("r1", "v1", "tag this", false)).await,
         Ok(answer) if answer.status() == StatusCode::BAD_GATEWAY
     ));
 }
