--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,35 +1,38 @@
-//! The text that model engines answer with: it says what it is the answer to.
+//! The text of a stand-in engine's answers: it names the request, prompt and version that it
+//! belongs to, so that a caller can tell an answer to another request from its own.
 
 use policy::name::Name;
 
-const MARK: &str = "answer";
+/// First word of every answer's text.
+const FIRST_WORD: &str = "answer";
 
-/// What an answer's text says about itself.
+/// The content of an answer's text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Answer {
-    /// Whether it is a good one; the rater reads this.
+    /// Whether the answer is good; the stand-in rater rates by this.
     pub good: bool,
-    /// The version that made it.
+    /// The model version that made the answer.
     pub version: Name,
-    /// The request it was made for.
+    /// Id of the request that the answer was made for.
     pub request: Name,
-    /// Digest of the prompt it was made from.
+    /// Digest of the prompt that the answer was made from.
     pub digest: Name,
 }
 
 impl Answer {
-    /// The text, without line breaks.
+    /// Writes the answer's text on one line.
     #[must_use]
     pub fn render(&self) -> String {
         let quality = if self.good { "good" } else { "bad" };
-        format!("{MARK} {quality} {} {} {}", self.version, self.request, self.digest)
+        format!("{FIRST_WORD} {quality} {} {} {}", self.version, self.request, self.digest)
     }
 
-    /// Reads the text; words after the mark's own are ignored.
+    /// Reads an answer's text; `None` if it is no such text. Words behind the digest, which fill up
+    /// the tokens of an answer, are ignored.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let mut words = text.split_whitespace();
-        let mark = words.next()?;
+        let first_word = words.next()?;
         let quality = words.next()?;
         let answer = Self {
             good: quality == "good",
@@ -37,6 +40,6 @@
             request: words.next()?.into(),
             digest: words.next()?.into(),
         };
-        (mark == MARK).then_some(answer)
+        (first_word == FIRST_WORD).then_some(answer)
     }
 }
--- a/crates/standin/src/audit.rs
+++ b/crates/standin/src/audit.rs
@@ -1,7 +1,8 @@
-//! Joins what callers sent and got with what the stand-ins recorded.
+//! Compares what callers sent and received with what the stand-ins recorded.
 //!
-//! Requests and runs are matched by the digest of the request's text, which the system has no
-//! hand in; its own ids serve only to find the bill of a run. Nothing here is the system's word.
+//! Requests and runs are matched by the digest of the request's text, which the system under test
+//! doesn't make. The system's own request ids serve only to find the bill of a run. The audit
+//! relies on no claim of the system about itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,90 +14,93 @@
 use crate::run::Run;
 
 domain! {
-    /// What came of one sending of a request.
+    /// How one call of a client ended.
     #[derive(Eq)]
     pub enum End {
-        /// The whole answer to this request, made under an id that the backend server recorded.
+        /// The caller received the whole answer to its request.
         Answered {
-            /// The id.
+            /// The request id in the answer, which the backend server recorded too.
             request: Name,
         },
-        /// Something that passed for a whole answer, and was not the one to this request.
+        /// The caller received what looked like a whole answer, but it was cut short or belonged to
+        /// another request.
         Wrong,
-        /// A refusal which says that the request did not run.
+        /// The call was rejected with the statement that the request did not run.
         NotRun,
-        /// Any other refusal, or a connection that broke visibly.
+        /// The call was rejected without that statement, or the connection broke visibly: the
+        /// request may have run.
         Unknown,
     }
 
-    /// One sending of a request. A caller that sends a request again sends the same text.
+    /// One call of a client. A client that repeats a request sends the same text again.
     pub struct CallRecord {
-        /// Digest of its text.
+        /// Digest of the request's text.
         pub digest: Name,
-        /// Whose it is.
+        /// The client account that made the call.
         pub account: Name,
-        /// Whether it calls a plain service; otherwise it is a chat completion.
+        /// Whether the call was to a plain service; otherwise it asked for a chat completion.
         pub service: bool,
-        /// Whether it may run more than once.
+        /// Whether the request may run more than once.
         pub may_repeat: bool,
-        /// The session it was sent in, if any.
+        /// The session that the call belonged to; `None` for a call without session.
         pub session: Option<Name>,
-        /// What came of it.
+        /// How the call ended.
         pub end: End,
     }
 
-    /// Numbers that must all be 0.
+    /// Counts of violated promises: in a correct system all are 0.
     #[derive(Default)]
     pub struct Audit {
-        /// Answers that were not, or not wholly, the answer to their request.
+        /// Answers that belonged to another request, or were cut short without a sign of it.
         pub wrong_answers: u64,
-        /// Runs beyond the first of requests that may run once.
+        /// Runs beyond the first of requests that may run only once.
         pub doubled_runs: u64,
-        /// Runs on a version or service that the account does not allow, or that is withdrawn.
+        /// Runs on a version or service that the client account may not use, or on a withdrawn
+        /// version.
         pub disallowed_runs: u64,
         /// Sessions with runs on more than one version.
         pub sessions_moved: u64,
-        /// Requests answered without a bill.
+        /// Answered calls whose request has no bill.
         pub bills_missing: u64,
         /// Requests with more than one bill.
         pub bills_doubled: u64,
-        /// Bills for which no backend server has a run.
+        /// Bills whose request no backend server has run.
         pub bills_unfounded: u64,
-        /// Batches missing in, or strange to, a bill log.
+        /// Batches that are missing in a bill log, and objects in it that are no batch of that log.
         pub bill_gaps: u64,
-        /// Requests refused as not run that ran.
+        /// Requests that ran although every call for them was rejected as not run.
         pub untrue_refusals: u64,
     }
 }
 
-/// All sendings and runs of one request.
+/// All calls and runs of one request.
 #[derive(Default)]
 struct Request<'a> {
-    sent: Vec<&'a CallRecord>,
+    calls: Vec<&'a CallRecord>,
     runs: Vec<&'a Run>,
 }
 
 impl Audit {
-    /// Compares everything sent with everything recorded.
+    /// Compares all calls with all recorded runs and bills.
     #[must_use]
-    pub fn new(document: &Document, sent: &[CallRecord], runs: &[Run], bills: &Bills) -> Self {
-        let requests = requests(sent, runs);
+    pub fn new(document: &Document, calls: &[CallRecord], runs: &[Run], bills: &Bills) -> Self {
+        let requests = group_by_request(calls, runs);
         let sum = |numbers: Vec<u64>| numbers.iter().sum();
-        let each = requests.values();
+        let all = requests.values();
         Self {
-            wrong_answers: sent.iter().filter(|sent| sent.end == End::Wrong).count() as u64,
-            doubled_runs: sum(each.clone().map(Request::doubled).collect()),
-            disallowed_runs: sum(each.clone().map(|r| r.disallowed(document)).collect()),
+            wrong_answers: calls.iter().filter(|call| call.end == End::Wrong).count() as u64,
+            doubled_runs: sum(all.clone().map(Request::doubled_runs).collect()),
+            disallowed_runs: sum(all.clone().map(|r| r.disallowed_runs(document)).collect()),
             sessions_moved: sessions_moved(&requests),
-            bills_missing: bills_missing(sent, bills),
+            bills_missing: bills_missing(calls, bills),
             bills_doubled: bills.doubled.len() as u64,
             bills_unfounded: bills_unfounded(runs, bills),
             bill_gaps: (bills.gaps.len() + bills.broken.len()) as u64,
-            untrue_refusals: sum(each.map(Request::untrue).collect()),
+            untrue_refusals: sum(all.map(Request::untrue_refusals).collect()),
         }
     }
 
-    /// All numbers, with their names.
+    /// All counts, with the names that a report prints.
     #[must_use]
     pub fn counts(&self) -> [(&'static str, u64); 9] {
         [
@@ -113,10 +117,13 @@
     }
 }
 
-fn requests<'a>(sent: &'a [CallRecord], runs: &'a [Run]) -> BTreeMap<&'a Name, Request<'a>> {
+fn group_by_request<'a>(
+    calls: &'a [CallRecord],
+    runs: &'a [Run],
+) -> BTreeMap<&'a Name, Request<'a>> {
     let mut requests: BTreeMap<&Name, Request<'_>> = BTreeMap::new();
-    for sent in sent {
-        requests.entry(&sent.digest).or_default().sent.push(sent);
+    for call in calls {
+        requests.entry(&call.digest).or_default().calls.push(call);
     }
     for run in runs.iter().filter(|run| run.has_begun()) {
         if let Some(request) = requests.get_mut(&run.digest) {
@@ -127,38 +134,38 @@
 }
 
 impl Request<'_> {
-    fn doubled(&self) -> u64 {
-        let once = self.sent.iter().any(|sent| !sent.may_repeat);
-        if once { self.runs.len().saturating_sub(1) as u64 } else { 0 }
+    fn doubled_runs(&self) -> u64 {
+        let runs_once = self.calls.iter().any(|call| !call.may_repeat);
+        if runs_once { self.runs.len().saturating_sub(1) as u64 } else { 0 }
     }
 
-    fn disallowed(&self, document: &Document) -> u64 {
-        let Some(sent) = self.sent.first() else { return 0 };
-        let Some(account) = document.accounts.get(&sent.account) else {
+    fn disallowed_runs(&self, document: &Document) -> u64 {
+        let Some(call) = self.calls.first() else { return 0 };
+        let Some(account) = document.accounts.get(&call.account) else {
             return self.runs.len() as u64;
         };
-        let withdrawn = |version: &Name| {
+        let is_withdrawn = |version: &Name| {
             let version = document.versions.get(version);
             version.is_none_or(|version| version.state == VersionState::Withdrawn)
         };
-        let allowed = |run: &Run| match sent.service {
+        let is_allowed = |run: &Run| match call.service {
             true => account.services.contains(&run.version),
-            false => account.versions.contains(&run.version) && !withdrawn(&run.version),
+            false => account.versions.contains(&run.version) && !is_withdrawn(&run.version),
         };
-        self.runs.iter().filter(|run| !allowed(run)).count() as u64
+        self.runs.iter().filter(|run| !is_allowed(run)).count() as u64
     }
 
-    /// Whether it ran although every sending was refused as not run.
-    fn untrue(&self) -> u64 {
-        let denied = self.sent.iter().all(|sent| sent.end == End::NotRun);
-        u64::from(denied && !self.runs.is_empty())
+    /// 1 if the request ran although every call for it was rejected as not run, else 0.
+    fn untrue_refusals(&self) -> u64 {
+        let is_denied = self.calls.iter().all(|call| call.end == End::NotRun);
+        u64::from(is_denied && !self.runs.is_empty())
     }
 }
 
 fn sessions_moved(requests: &BTreeMap<&Name, Request<'_>>) -> u64 {
     let mut versions: BTreeMap<&Name, BTreeSet<&Name>> = BTreeMap::new();
     for request in requests.values() {
-        let session = request.sent.first().and_then(|sent| sent.session.as_ref());
+        let session = request.calls.first().and_then(|call| call.session.as_ref());
         let Some(session) = session else { continue };
         let seen = versions.entry(session).or_default();
         seen.extend(request.runs.iter().map(|run| &run.version));
@@ -166,13 +173,13 @@
     versions.values().filter(|versions| versions.len() > 1).count() as u64
 }
 
-fn bills_missing(sent: &[CallRecord], bills: &Bills) -> u64 {
+fn bills_missing(calls: &[CallRecord], bills: &Bills) -> u64 {
     let billed = bills.ids();
-    let missing = |sent: &&CallRecord| match &sent.end {
+    let missing = |call: &&CallRecord| match &call.end {
         End::Answered { request } => !billed.contains(request),
         _ => false,
     };
-    sent.iter().filter(missing).count() as u64
+    calls.iter().filter(missing).count() as u64
 }
 
 fn bills_unfounded(runs: &[Run], bills: &Bills) -> u64 {
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,5 +1,5 @@
-//! What model engines and plain services have in common: slots, faults, records and answers that
-//! break where a fault says.
+//! The common part of model engines and plain services: slots and a queue for requests, faults,
+//! records of runs, and answers that break off where a fault says so.
 
 mod fault;
 mod relay;
@@ -13,20 +13,20 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use wire::backend::{LEAVING, Load};
 
-pub use self::fault::{Faults, Plan};
-pub use self::relay::{Piece, wait};
+pub use self::fault::{Faults, RequestFaults};
+pub use self::relay::{Piece, sleep};
 use crate::fault::Outage;
 use crate::reply;
 use crate::run::{Guard, Log, Outcome, Run};
 use crate::server::{Body, Cut};
 
 domain! {
-    /// How much a backend server takes at once.
+    /// The number of requests that a backend server accepts at once.
     #[serde(default, deny_unknown_fields)]
     pub struct Capacity {
-        /// Requests worked on at once.
+        /// Requests that the server works on at once.
         pub slots: u32,
-        /// Requests that wait for a slot; over it 503.
+        /// Requests that may wait for a slot; the server rejects further ones with 503.
         pub queue: u32,
     }
 }
@@ -37,52 +37,54 @@
     }
 }
 
-/// The state that every backend server has.
+/// The state of a stand-in backend server.
 pub struct Backend {
     seed: u64,
     capacity: Capacity,
     slots: Arc<Semaphore>,
     waiting: AtomicU32,
-    turned_away: AtomicUsize,
+    rejected: AtomicUsize,
     faults: Mutex<Faults>,
     log: Arc<Log>,
 }
 
-/// A request that has a slot: what it needs until its answer has ended.
+/// A request that has a slot. The slot is free again when the ticket is dropped, at the end of
+/// the answer.
 pub struct Ticket {
     guard: Guard,
-    plan: Plan,
+    faults: RequestFaults,
     _slot: OwnedSemaphorePermit,
 }
 
 impl Backend {
-    /// A backend server whose draws depend on the seed.
+    /// Makes a backend server without faults. Its random draws depend only on the seed and the
+    /// request's id.
     #[must_use]
     pub fn new(seed: u64, capacity: Capacity) -> Self {
         let slots = Arc::new(Semaphore::new(capacity.slots as usize));
         let log = Arc::new(Log::default());
-        let (waiting, turned_away) = (AtomicU32::new(0), AtomicUsize::new(0));
-        Self { seed, capacity, slots, waiting, turned_away, faults: Mutex::default(), log }
+        let (waiting, rejected) = (AtomicU32::new(0), AtomicUsize::new(0));
+        Self { seed, capacity, slots, waiting, rejected, faults: Mutex::default(), log }
     }
 
-    /// Replaces the faults.
+    /// Replaces all faults; requests that are being answered keep those drawn for them.
     pub fn set_faults(&self, faults: Faults) {
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// The faults as they are.
+    /// The faults in force; [`Faults::only`] counts down.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Every request received, in order.
+    /// One record for each request received, in order of arrival.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
-        self.log.all()
+        self.log.runs()
     }
 
-    /// What `GET /load` says.
+    /// The answer to `GET /load`.
     #[must_use]
     pub fn load(&self) -> Load {
         let free = u32::try_from(self.slots.available_permits()).unwrap_or(u32::MAX);
@@ -91,70 +93,71 @@
         Load { in_flight, slots: self.capacity.slots, draining: self.faults().draining }
     }
 
-    /// Requests that it turned away.
+    /// Number of requests that this server rejected, for lack of room or by a fault.
     #[must_use]
     pub fn rejected_count(&self) -> usize {
-        self.turned_away.load(Ordering::Relaxed)
+        self.rejected.load(Ordering::Relaxed)
     }
 
-    /// Asks for a pause.
-    fn turn_away(&self) -> Response<Body> {
-        self.turned_away.fetch_add(1, Ordering::Relaxed);
+    /// Counts a rejection and makes its answer, which asks the sender for a pause.
+    fn reject(&self) -> Response<Body> {
+        self.rejected.fetch_add(1, Ordering::Relaxed);
         reply::retry_later(StatusCode::SERVICE_UNAVAILABLE)
     }
 
-    /// An answer with what the server says of itself.
+    /// Adds the header that announces the server's leaving, if it is draining.
     #[must_use]
-    pub fn with_state(&self, mut response: Response<Body>) -> Response<Body> {
+    pub fn with_leaving_header(&self, mut response: Response<Body>) -> Response<Body> {
         if self.faults().draining {
             response.headers_mut().insert(LEAVING, reply::static_value("1"));
         }
         response
     }
 
-    /// Records a request and waits for its slot.
+    /// Records a request and waits for a slot.
     ///
     /// # Errors
-    /// The answer that turns it away, or the cut.
+    /// The answer that rejects the request, or [`Cut`] if its connection is to break.
     pub async fn admit(&self, run: Run) -> Result<Ticket, Result<Response<Body>, Cut>> {
         match self.faults().down {
             Outage::No => {}
             Outage::Cut => return Err(Err(Cut)),
-            Outage::Unavailable => return Err(Ok(self.turn_away())),
+            Outage::Unavailable => return Err(Ok(self.reject())),
         }
         let request = run.request.clone();
         let mut guard = self.log.begin(run);
-        match self.slot().await {
+        match self.acquire_slot().await {
             Some(slot) => {
-                let plan = self.plan(&request);
-                Ok(Ticket { guard, plan, _slot: slot })
+                let faults = self.draw_faults(&request);
+                Ok(Ticket { guard, faults, _slot: slot })
             }
             None => {
                 guard.end(Outcome::Refused);
-                Err(Ok(self.turn_away()))
+                Err(Ok(self.reject()))
             }
         }
     }
 
-    async fn slot(&self) -> Option<OwnedSemaphorePermit> {
+    async fn acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(slot) = Arc::clone(&self.slots).try_acquire_owned() {
             return Some(slot);
         }
-        let place = Place::take(&self.waiting, self.capacity.queue)?;
+        let place = QueuePlace::reserve(&self.waiting, self.capacity.queue)?;
         let slot = Arc::clone(&self.slots).acquire_owned().await.ok();
         drop(place);
         slot
     }
 
-    fn plan(&self, request: &str) -> Plan {
+    fn draw_faults(&self, request: &str) -> RequestFaults {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        faults.plan(self.seed, request)
+        faults.draw(self.seed, request)
     }
 
-    /// The request whose answer a crossed one gets: the one received before it.
+    /// Id of the request whose answer a crossed request gets: of the request received before it, or
+    /// `crossed` if there was none.
     #[must_use]
-    pub fn crossed(&self, ticket: &Ticket) -> Name {
-        match self.log.before(ticket.guard.order) {
+    pub fn crossed_request(&self, ticket: &Ticket) -> Name {
+        match self.log.previous(ticket.guard.order) {
             Some(run) => run.request,
             None => Name::from("crossed"),
         }
@@ -162,25 +165,25 @@
 }
 
 impl Ticket {
-    /// What the faults do to the request.
+    /// The faults that were drawn for this request.
     #[must_use]
-    pub fn plan(&self) -> Plan {
-        self.plan
+    pub fn faults(&self) -> RequestFaults {
+        self.faults
     }
 
-    /// Ends the run at once.
+    /// Records the run's outcome and frees the slot.
     pub fn end(mut self, outcome: Outcome) {
         self.guard.end(outcome);
     }
 
-    /// Goes silent or cuts, if the fault is to come before the header.
+    /// Never returns, or ends the run, if the request's fault comes before the answer's header.
     ///
     /// # Errors
-    /// The cut.
+    /// [`Cut`] if the connection is to break here.
     pub async fn before_header(&mut self) -> Result<(), Cut> {
-        match self.plan {
-            Plan { silent_after: Some(0), .. } => std::future::pending().await,
-            Plan { cut_after: Some(0), .. } => {
+        match self.faults {
+            RequestFaults { silent_after: Some(0), .. } => std::future::pending().await,
+            RequestFaults { cut_after: Some(0), .. } => {
                 self.guard.end(Outcome::Cut);
                 Err(Cut)
             }
@@ -189,17 +192,20 @@
     }
 }
 
-/// A place in the queue, given back when the caller goes away.
-struct Place<'a>(&'a AtomicU32);
+/// A place in the queue for slots. Dropping it frees the place, also when the caller has gone.
+struct QueuePlace<'a>(&'a AtomicU32);
 
-impl<'a> Place<'a> {
-    fn take(waiting: &'a AtomicU32, queue: u32) -> Option<Self> {
-        let more = |count: u32| (count < queue).then_some(count + 1);
-        waiting.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more).ok().map(|_| Self(waiting))
+impl<'a> QueuePlace<'a> {
+    fn reserve(waiting: &'a AtomicU32, queue: u32) -> Option<Self> {
+        let increment = |count: u32| (count < queue).then_some(count + 1);
+        waiting
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment)
+            .ok()
+            .map(|_| Self(waiting))
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/standin/src/backend/fault.rs
+++ b/crates/standin/src/backend/fault.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a backend server, and what that does to one request.
+//! Faults of a backend server, and the draw of those that touch one request.
 
 use std::collections::BTreeMap;
 
@@ -9,66 +9,71 @@
 use crate::fault::Outage;
 
 domain! {
-    /// Faults of a backend server; all off by default.
+    /// The faults of a backend server; all are off by default.
     #[derive(Default)]
     #[serde(default, deny_unknown_fields)]
     pub struct Faults {
-        /// Whether it takes requests.
+        /// Whether the server is out of service, and how it shows.
         pub down: Outage,
-        /// It says in its load and its answers that it is leaving.
+        /// Whether the server says in its load and its answers that it is leaving.
         pub draining: bool,
         /// Extra time before each answer, in milliseconds.
         pub delay_ms: u64,
-        /// Versions that have turned bad, with their share of good answers from now on.
+        /// Versions that have turned bad, with the share of good answers (0 to 1) that replaces
+        /// their usual one.
         pub bad: BTreeMap<Name, f64>,
-        /// Share of requests answered with 500 after they began.
+        /// Share of requests (0 to 1) that are answered with 500 after they began to run.
         pub error: f64,
-        /// Share of requests answered with the header and body of the request before them.
+        /// Share of requests (0 to 1) that get the header and body of the answer to the request
+        /// received before them.
         pub crossed: f64,
-        /// Answers come without the request's id.
+        /// Whether answers lack the request's id.
         pub no_echo: bool,
-        /// The connection goes silent after this many bytes of the body; 0 is before the header.
+        /// The connection goes silent after this many bytes of an answer's body; 0 is before the
+        /// header, `None` is never.
         pub silent_after: Option<u64>,
-        /// The connection is cut after this many bytes of the body; 0 is before the header.
+        /// The connection is cut after this many bytes of an answer's body; 0 is before the header,
+        /// `None` is never.
         pub cut_after: Option<u64>,
-        /// `error`, `crossed`, `silent_after` and `cut_after` touch only this many next requests.
-        /// Counts down.
+        /// Number of requests that `error`, `crossed`, `no_echo`, `silent_after` and `cut_after`
+        /// still touch. Counts down; `None` is no limit.
         pub only: Option<u64>,
     }
 }
 
-/// What the faults do to one request.
+/// The faults that touch one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Plan {
-    /// Answer with 500.
+pub struct RequestFaults {
+    /// Whether the answer is status 500.
     pub error: bool,
-    /// Answer with another request's id.
+    /// Whether the answer is that to another request.
     pub crossed: bool,
-    /// Answer without an id.
+    /// Whether the answer lacks the request's id.
     pub no_echo: bool,
-    /// Where the connection goes silent.
+    /// Bytes of the body after which the connection goes silent.
     pub silent_after: Option<u64>,
-    /// Where the connection is cut.
+    /// Bytes of the body after which the connection is cut.
     pub cut_after: Option<u64>,
 }
 
 impl Faults {
-    /// What becomes of a request; uses up one of `only`.
-    pub fn plan(&mut self, seed: u64, request: &str) -> Plan {
-        let drawn = |label: &str, share: f64| draw::uniform(seed, &[label, request]) < share;
-        let plan = match self.only {
-            Some(0) => Plan::default(),
-            _ => Plan {
-                error: drawn("error", self.error),
-                crossed: drawn("crossed", self.crossed),
+    /// Draws the faults that touch a request, and counts `only` down if there is one. The draw
+    /// depends on nothing but the seed and the request's id.
+    pub fn draw(&mut self, seed: u64, request: &str) -> RequestFaults {
+        let is_drawn = |label: &str, share: f64| draw::uniform(seed, &[label, request]) < share;
+        let faults = match self.only {
+            Some(0) => RequestFaults::default(),
+            _ => RequestFaults {
+                error: is_drawn("error", self.error),
+                crossed: is_drawn("crossed", self.crossed),
                 no_echo: self.no_echo,
                 silent_after: self.silent_after,
                 cut_after: self.cut_after,
             },
         };
-        if plan != Plan::default() {
-            self.only = self.only.map(|left| left.saturating_sub(1));
+        if faults != RequestFaults::default() {
+            self.only = self.only.map(|remaining| remaining.saturating_sub(1));
         }
-        plan
+        faults
     }
 }
--- a/crates/standin/src/backend/relay.rs
+++ b/crates/standin/src/backend/relay.rs
@@ -1,4 +1,4 @@
-//! Hands an answer over piece by piece, until a fault or the end.
+//! Sends an answer's body piece by piece, until a fault or its end.
 
 use std::time::Duration;
 
@@ -11,19 +11,21 @@
 use crate::run::Outcome;
 use crate::server::{Body, Cut};
 
-/// Time before a cut in which the bytes before it get out.
-const FLUSH: Duration = Duration::from_millis(2);
+/// Wait between the last bytes and a cut: without it the cut may overtake bytes that are still to
+/// be sent.
+const FLUSH_TIME: Duration = Duration::from_millis(2);
 
-/// A piece of an answer's body, and the pause before it.
+/// A piece of an answer's body, and the pause before the piece.
 pub struct Piece {
-    /// Time since the piece before.
+    /// Time between the piece before and this piece.
     pub pause: Duration,
-    /// Its bytes.
+    /// Content of the piece.
     pub bytes: Bytes,
 }
 
 impl Ticket {
-    /// The body that hands over the pieces, until a fault or the end.
+    /// Makes the body that sends these pieces, until a fault or the end of the last piece. The body
+    /// holds the ticket, and with it the slot.
     #[must_use]
     pub fn body(self, pieces: Vec<Piece>) -> Body {
         let relay = Relay { ticket: self, pieces: pieces.into_iter().peekable(), sent: 0 };
@@ -38,39 +40,40 @@
     sent: u64,
 }
 
-/// How the body goes on after a piece.
+/// The result of one step of the body: the piece to send and the state for the next step; `None` at
+/// the end.
 type Step = Option<(Result<Bytes, Cut>, Option<Relay>)>;
 
 async fn step(relay: Option<Relay>) -> Step {
     let mut relay = relay?;
-    let plan = relay.ticket.plan;
-    if plan.silent_after.is_some_and(|limit| relay.sent >= limit) {
+    let faults = relay.ticket.faults;
+    if faults.silent_after.is_some_and(|limit| relay.sent >= limit) {
         std::future::pending::<()>().await;
     }
-    if plan.cut_after.is_some_and(|limit| relay.sent >= limit) {
-        tokio::time::sleep(FLUSH).await;
+    if faults.cut_after.is_some_and(|limit| relay.sent >= limit) {
+        tokio::time::sleep(FLUSH_TIME).await;
         relay.ticket.guard.end(Outcome::Cut);
         return Some((Err(Cut), None));
     }
     let piece = relay.pieces.next()?;
-    wait(piece.pause).await;
-    let room = plan.silent_after.or(plan.cut_after).map(|limit| limit - relay.sent);
+    sleep(piece.pause).await;
+    let room = faults.silent_after.or(faults.cut_after).map(|limit| limit - relay.sent);
     let bytes = match room.and_then(|room| usize::try_from(room).ok()) {
         Some(room) if room < piece.bytes.len() => piece.bytes.slice(..room),
         _ => piece.bytes,
     };
     relay.sent += bytes.len() as u64;
-    // The server may not ask again after the last piece, so the end is recorded with it.
-    let reached = |limit: Option<u64>| limit.is_some_and(|limit| relay.sent >= limit);
-    let broken = reached(plan.silent_after) || reached(plan.cut_after);
-    if !broken && relay.pieces.peek().is_none() {
+    // hyper may not poll the body again after the last piece, so the run ends with this piece.
+    let is_reached = |limit: Option<u64>| limit.is_some_and(|limit| relay.sent >= limit);
+    let is_broken = is_reached(faults.silent_after) || is_reached(faults.cut_after);
+    if !is_broken && relay.pieces.peek().is_none() {
         relay.ticket.guard.end(Outcome::Whole);
     }
     Some((Ok(bytes), Some(relay)))
 }
 
-/// Waits; no time at all is no wait, where the timer would make a millisecond of it.
-pub async fn wait(time: Duration) {
+/// Sleeps for a time. Returns at once for zero, where the timer would take a millisecond.
+pub async fn sleep(time: Duration) {
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client that keeps connections, for the pass-through, the demo, the load
+//! A small HTTP/1.1 client that reuses its connections, for the pass-through, the demo, the load
 //! driver and tests.
 
 use std::net::SocketAddr;
@@ -16,20 +16,20 @@
 use crate::reply;
 use crate::server::Body;
 
-/// Why there is no whole answer.
+/// The reason why a call has no whole answer.
 #[derive(Debug)]
 pub enum Error {
-    /// No connection: nothing was sent.
+    /// The connection could not be opened: nothing was sent.
     Connect(std::io::Error),
-    /// The connection broke, or what came is no HTTP.
+    /// The connection broke, or the answer is not HTTP.
     Http(hyper::Error),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Connect(error) => write!(f, "no connection: {error}"),
-            Self::Http(error) => write!(f, "no answer: {error}"),
+            Self::Connect(error) => write!(f, "can't connect: {error}"),
+            Self::Http(error) => write!(f, "no whole answer: {error}"),
         }
     }
 }
@@ -42,10 +42,10 @@
     }
 }
 
-/// A whole answer.
+/// An answer whose body has been read whole.
 pub type Answer = Response<Bytes>;
 
-/// Connections to one address, used again once their answer has ended.
+/// A client of one address. A connection is used again once its answer has been read.
 pub struct Client {
     address: SocketAddr,
     host: HeaderValue,
@@ -53,7 +53,7 @@
 }
 
 impl Client {
-    /// Nothing is dialled until the first call.
+    /// Makes a client of an address. The first call opens the first connection.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         let host = HeaderValue::from_str(&address.to_string());
@@ -61,7 +61,7 @@
         Self { address, host, idle: Mutex::default() }
     }
 
-    async fn connection(&self) -> Result<SendRequest<Body>, Error> {
+    async fn acquire(&self) -> Result<SendRequest<Body>, Error> {
         loop {
             let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
             match idle {
@@ -78,28 +78,29 @@
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("client: connection ended: {error}");
+                log::debug!("client: connection failed: {error}");
             }
         });
         Ok(sender)
     }
 
-    /// Sends one request; the answer's body is still to be read. Hand the connection back with
-    /// [`Client::return_connection`] once it is.
+    /// Sends one request and returns its answer, whose body is still to be read, and the
+    /// connection. Hand the connection to [`Client::return_connection`] once the body has been
+    /// read.
     ///
     /// # Errors
-    /// When there is no answer; only [`Error::Connect`] says that nothing was sent.
+    /// When no answer comes. Only [`Error::Connect`] means that nothing was sent.
     pub async fn send(
         &self,
         mut request: Request<Body>,
     ) -> Result<(Response<Incoming>, SendRequest<Body>), Error> {
-        let mut connection = self.connection().await?;
+        let mut connection = self.acquire().await?;
         request.headers_mut().entry(HOST).or_insert_with(|| self.host.clone());
         let response = connection.send_request(request).await?;
         Ok((response, connection))
     }
 
-    /// Keeps a connection for the next call.
+    /// Keeps a connection, whose last answer has been read, for the next call.
     pub fn return_connection(&self, connection: SendRequest<Body>) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(connection);
     }
@@ -107,7 +108,7 @@
     /// Sends one request and reads the whole answer.
     ///
     /// # Errors
-    /// As for [`Client::send`], and when the answer breaks off.
+    /// The errors of [`Client::send`], and [`Error::Http`] when the answer breaks off.
     pub async fn call(&self, request: Request<Bytes>) -> Result<Answer, Error> {
         let request = request.map(reply::full);
         let (response, mut connection) = self.send(request).await?;
@@ -120,10 +121,10 @@
     }
 }
 
-/// A request with a body.
+/// Makes a request with a body.
 ///
 /// # Errors
-/// When the path is no path.
+/// When the path is no valid URI path.
 pub fn request(
     method: Method,
     path: &str,
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments of `examples/`, with what the stand-ins need to play their surroundings.
+//! The two deployments of `examples/`, with the settings of the stand-ins that surround them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,16 +12,17 @@
 use crate::backend::Capacity;
 use crate::{engine, platform, service};
 
-/// The platform's table of configurations.
-const TABLE: &str = "configuration";
-/// Time to the first piece of an answer that every version needs, in milliseconds.
-const SERVICE_MS: u64 = 5;
-/// What each unit of a version's cost adds to it: dearer versions are larger and slower.
+/// The table of the platform's store that holds configurations.
+const CONFIGURATION_TABLE: &str = "configuration";
+/// Time to the first piece of an answer of a version whose cost is 0, in milliseconds.
+const SERVICE_BASE_MS: u64 = 5;
+/// Time that each unit of a version's cost adds to [`SERVICE_BASE_MS`], in milliseconds: dearer
+/// versions are larger and slower.
 const SERVICE_MS_PER_COST: f64 = 1.5;
-/// Pieces of a streamed answer.
-const TOKENS: u32 = 12;
-/// Time one call of a plain service takes, in milliseconds.
-const DESK_MS: u64 = 3;
+/// Tokens of every answer; a streamed answer has a piece for each.
+const ANSWER_TOKENS: u32 = 12;
+/// Time that one call of a plain service takes, in milliseconds.
+const SERVICE_CALL_MS: u64 = 3;
 
 const NL_CENTRAAL: [&str; 2] = [
     include_str!("../../../examples/nl-centraal/configuration.json"),
@@ -37,20 +38,20 @@
 pub struct Deployment {
     /// `nl-centraal` or `midlands`.
     pub name: Name,
-    /// Its first configuration.
+    /// The configuration that the deployment starts with.
     pub document: Document,
-    /// Its hosts, at the addresses of the examples' settings.
+    /// The hosts, at the addresses that the example's settings name.
     pub hosts: Vec<Host>,
 }
 
-/// Why the examples can't be used.
+/// The reason why a deployment can't be loaded.
 #[derive(Debug)]
 pub enum Error {
-    /// No deployment of that name.
+    /// No deployment has this name.
     Unknown(String),
-    /// The configuration document has faults.
+    /// The configuration document is invalid.
     Document(Vec<Fault>),
-    /// The host list is no host list.
+    /// The host list can't be parsed.
     Hosts(serde_json::Error),
 }
 
@@ -58,13 +59,13 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Unknown(name) => {
-                write!(f, "no deployment {name:?}: there are {}", Deployment::NAMES.join(", "))
+                write!(f, "unknown deployment {name:?}; known are {}", Deployment::NAMES.join(", "))
             }
             Self::Document(faults) => {
                 let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                write!(f, "configuration: {}", faults.join("; "))
+                write!(f, "invalid configuration: {}", faults.join("; "))
             }
-            Self::Hosts(error) => write!(f, "hosts: {error}"),
+            Self::Hosts(error) => write!(f, "invalid host list: {error}"),
         }
     }
 }
@@ -84,13 +85,13 @@
 }
 
 impl Deployment {
-    /// The deployments there are.
+    /// Names of all deployments.
     pub const NAMES: [&'static str; 2] = ["nl-centraal", "midlands"];
 
-    /// A deployment by its name.
+    /// Loads the deployment of a name.
     ///
     /// # Errors
-    /// Any [`Error`].
+    /// When no deployment has the name, or its files are invalid.
     pub fn named(name: &str) -> Result<Self, Error> {
         let [document, hosts] = match name {
             "nl-centraal" => NL_CENTRAAL,
@@ -102,30 +103,30 @@
         Ok(Self { name: name.into(), document, hosts })
     }
 
-    /// The key that an account's callers send; the document holds its hash.
+    /// The key that callers of a client account send; the configuration document holds its hash.
     #[must_use]
     pub fn account_key(&self, account: &str) -> String {
         format!("demo-{}-{account}-key", self.name)
     }
 
-    /// The operators' token; controls' settings hold its hash.
+    /// The operators' token; the settings of the control hosts hold its hash.
     #[must_use]
     pub fn operator_token(&self) -> String {
         format!("demo-{}-operator-token", self.name)
     }
 
-    /// Hosts of a role, in the order of the list.
+    /// The hosts that have a role, in the order of the host list.
     pub fn hosts_with_role(&self, role: Role) -> impl Iterator<Item = &Host> {
         self.hosts.iter().filter(move |host| host.role == role)
     }
 
-    /// All failure domains.
+    /// The failure domains of all hosts.
     #[must_use]
     pub fn failure_domains(&self) -> BTreeSet<Name> {
         self.hosts.iter().map(|host| host.failure_domain.clone()).collect()
     }
 
-    /// Settings of a platform with the document in force and the hosts listed.
+    /// Settings of a platform in which this configuration is in force and these hosts are listed.
     #[must_use]
     pub fn platform(&self) -> platform::Settings {
         platform::Settings {
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Settings of the engine that a host runs. Its answers are as good as the document expects.
+    /// Settings of the engine that a host runs. The quality of its answers is what the
+    /// configuration document expects.
     #[must_use]
     pub fn engine(&self, host: &Host, seed: u64) -> engine::Settings {
         engine::Settings {
@@ -150,8 +152,8 @@
 
     fn engine_versions(&self, host: &Host) -> BTreeMap<Name, engine::Version> {
         let served = host.versions.iter();
-        let known = served.filter_map(|name| Some((name, self.document.versions.get(name)?)));
-        known.map(|(name, version)| (name.clone(), engine_version(version))).collect()
+        let configured = served.filter_map(|name| Some((name, self.document.versions.get(name)?)));
+        configured.map(|(name, version)| (name.clone(), engine_version(version))).collect()
     }
 
     /// Settings of the plain service that a host runs.
@@ -161,7 +163,7 @@
             name: host.pool.clone(),
             seed,
             capacity: self.capacity(host),
-            service_ms: DESK_MS,
+            service_ms: SERVICE_CALL_MS,
             ..service::Settings::default()
         }
     }
@@ -174,7 +176,7 @@
     }
 }
 
-/// The platform's rows, as if an operator had put a document in force.
+/// The rows of the platform's store as they are after an operator put a document in force.
 #[must_use]
 pub fn configuration_rows(document: &Document) -> Vec<Row> {
     let change = "first";
@@ -183,7 +185,7 @@
     let current = json!({"generation": generation, "change": change});
     let kept = json!({"change": change, "text": text});
     let row = |key: String, value: serde_json::Value| Row {
-        table: TABLE.into(),
+        table: CONFIGURATION_TABLE.into(),
         key: key.into(),
         version: 1.into(),
         value: value.to_string(),
@@ -193,8 +195,8 @@
 
 fn engine_version(version: &wire::configuration::Version) -> engine::Version {
     engine::Version {
-        service_ms: SERVICE_MS + (version.cost * SERVICE_MS_PER_COST) as u64,
-        tokens: TOKENS,
+        service_ms: SERVICE_BASE_MS + (version.cost * SERVICE_MS_PER_COST) as u64,
+        tokens: ANSWER_TOKENS,
         between_tokens_ms: 1,
         quality: version.quality.clone(),
     }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -24,36 +24,39 @@
 use crate::server::{self, Body, Cut, Handler, Running};
 
 domain! {
-    /// Settings of an engine.
+    /// The settings of an engine.
     #[derive(Default)]
     #[serde(default, deny_unknown_fields)]
     pub struct Settings {
-        /// Its name, for people.
+        /// Name of the engine, for people only.
         pub name: Name,
-        /// What draws depend on.
+        /// Seed of the random draws.
         pub seed: u64,
-        /// What it takes at once.
+        /// The number of requests that the engine accepts at once.
         pub capacity: Capacity,
-        /// The versions it serves; a request for another gets 404.
+        /// The versions that the engine serves; a request for another one gets 404.
         pub versions: BTreeMap<Name, Version>,
-        /// Whether the same prompt is always answered as well, whatever the request's id. Then a
-        /// run with chosen prompts comes out the same each time.
+        /// Whether the quality of an answer depends on the prompt instead of the request's id. Then
+        /// a run with chosen prompts comes out the same each time.
         pub draw_by_prompt: bool,
-        /// Faults from the start.
+        /// Faults that are in force from the start.
         pub faults: Faults,
     }
 
-    /// How one version does.
+    /// Speed and quality of one version.
     #[serde(default, deny_unknown_fields)]
     pub struct Version {
         /// Time from getting a slot to the first piece of the answer, in milliseconds.
         pub service_ms: u64,
-        /// Pieces of a streamed answer after the first; a plain answer takes as long.
+        /// Tokens of an answer; a streamed answer has a piece for each, and at least the words of
+        /// [`Answer::render`].
         pub tokens: u32,
-        /// Time between two pieces, in milliseconds.
+        /// Time between two pieces of a streamed answer, in milliseconds. An answer that isn't
+        /// streamed takes this time for each token.
         pub between_tokens_ms: u64,
-        /// Share of good answers by task, as given in `Chestnutspur-Task` or by the prompt's first
-        /// word; the one under the empty name for all others.
+        /// Share of good answers (0 to 1) by task; the empty name stands for all tasks that aren't
+        /// listed, and 1 holds without it. A request's task is its header `Chestnutspur-Task`, or
+        /// without it the prompt's first word.
         pub quality: BTreeMap<Name, f64>,
     }
 }
@@ -65,9 +68,10 @@
 }
 
 impl Version {
-    /// Time to the first byte of an answer: a plain one comes when all its tokens are there.
-    fn wait_ms(&self, stream: bool) -> u64 {
-        match stream {
+    /// Time to the first byte of an answer, in milliseconds: an answer that isn't streamed begins
+    /// only when all its tokens are made.
+    fn first_byte_ms(&self, is_stream: bool) -> u64 {
+        match is_stream {
             true => self.service_ms,
             false => self.service_ms + self.between_tokens_ms * u64::from(self.tokens),
         }
@@ -78,7 +82,7 @@
     }
 }
 
-/// An engine's state.
+/// The state of a model engine.
 pub struct Engine {
     settings: Settings,
     backend: Backend,
@@ -92,7 +96,7 @@
     }
 }
 
-/// Starts an engine.
+/// Starts a model engine.
 ///
 /// # Errors
 /// When the address can't be listened on.
@@ -102,8 +106,8 @@
     server::start(listen, Engine { settings, backend })
 }
 
-/// What matters of a chat completion request.
-struct Chat {
+/// The parts of a chat completion request that the engine uses.
+struct ChatRequest {
     request: Name,
     version: Name,
     task: Name,
@@ -111,7 +115,7 @@
     stream: bool,
 }
 
-impl Chat {
+impl ChatRequest {
     fn parse(request: &str, task: &str, body: &[u8]) -> Option<Self> {
         let body: Value = serde_json::from_slice(body).ok()?;
         let messages = body.get("messages")?.as_array()?;
@@ -141,7 +145,7 @@
             }
             (&Method::POST, "/v1/chat/completions") => {
                 let answer = self.complete(request).await;
-                answer.map(|answer| self.with_state(answer))
+                answer.map(|answer| self.with_leaving_header(answer))
             }
             _ => Ok(reply::status(StatusCode::NOT_FOUND)),
         }
@@ -153,40 +157,47 @@
         let id = Name::from(reply::header(&request, REQUEST_ID));
         let task = Name::from(reply::header(&request, TASK));
         let body = reply::body(request).await?;
-        let Some(chat) = Chat::parse(&id, &task, &body) else {
+        let Some(chat) = ChatRequest::parse(&id, &task, &body) else {
             return Ok(reply::status(StatusCode::BAD_REQUEST));
         };
         let Some(version) = self.settings.versions.get(&chat.version) else {
             return Ok(reply::status(StatusCode::NOT_FOUND));
         };
-        let good = self.good(&chat, version);
-        let mut ticket = match self.admit(run(&chat, good)).await {
+        let good = self.draw_quality(&chat, version);
+        let mut ticket = match self.admit(new_run(&chat, good)).await {
             Ok(ticket) => ticket,
-            Err(turned_away) => return turned_away,
+            Err(rejected) => return rejected,
         };
-        let wait_ms = version.wait_ms(chat.stream) + self.faults().delay_ms;
-        backend::wait(Duration::from_millis(wait_ms)).await;
+        let wait_ms = version.first_byte_ms(chat.stream) + self.faults().delay_ms;
+        backend::sleep(Duration::from_millis(wait_ms)).await;
         ticket.before_header().await?;
-        if ticket.plan().error {
+        if ticket.faults().error {
             ticket.end(Outcome::Failed);
-            return Ok(echo(reply::status(StatusCode::INTERNAL_SERVER_ERROR), &id));
+            return Ok(with_request_id(reply::status(StatusCode::INTERNAL_SERVER_ERROR), &id));
         }
         Ok(self.answer(&chat, version, good, ticket))
     }
 
-    fn good(&self, chat: &Chat, version: &Version) -> bool {
-        let bad = self.faults().bad.get(&chat.version).copied();
-        let share = bad.unwrap_or_else(|| version.quality(&chat.task));
-        let by = if self.settings.draw_by_prompt { chat.prompt.as_str() } else { &chat.request };
-        draw::uniform(self.settings.seed, &[by, &chat.version]) < share
+    /// Draws whether the answer to a request is good.
+    fn draw_quality(&self, chat: &ChatRequest, version: &Version) -> bool {
+        let bad_share = self.faults().bad.get(&chat.version).copied();
+        let share = bad_share.unwrap_or_else(|| version.quality(&chat.task));
+        let key = if self.settings.draw_by_prompt { chat.prompt.as_str() } else { &chat.request };
+        draw::uniform(self.settings.seed, &[key, &chat.version]) < share
     }
 
-    fn answer(&self, chat: &Chat, version: &Version, good: bool, ticket: Ticket) -> Response<Body> {
-        let request = match ticket.plan().crossed {
-            true => self.crossed(&ticket),
+    fn answer(
+        &self,
+        chat: &ChatRequest,
+        version: &Version,
+        good: bool,
+        ticket: Ticket,
+    ) -> Response<Body> {
+        let request = match ticket.faults().crossed {
+            true => self.crossed_request(&ticket),
             false => chat.request.clone(),
         };
-        let no_echo = ticket.plan().no_echo;
+        let no_echo = ticket.faults().no_echo;
         let digest = match request == chat.request {
             true => draw::digest(&chat.prompt),
             false => draw::digest(&*request),
@@ -194,14 +205,14 @@
         let answer =
             Answer { good, version: chat.version.clone(), request, digest: digest.as_str().into() };
         let response = match chat.stream {
-            true => streamed(&answer, version, ticket),
-            false => plain(&answer, version, ticket),
+            true => streamed_response(&answer, version, ticket),
+            false => whole_response(&answer, version, ticket),
         };
-        if no_echo { response } else { echo(response, &answer.request) }
+        if no_echo { response } else { with_request_id(response, &answer.request) }
     }
 }
 
-fn run(chat: &Chat, good: bool) -> Run {
+fn new_run(chat: &ChatRequest, good: bool) -> Run {
     Run {
         order: 0,
         request: chat.request.clone(),
@@ -213,15 +224,15 @@
     }
 }
 
-fn echo(mut response: Response<Body>, request: &str) -> Response<Body> {
+fn with_request_id(mut response: Response<Body>, request: &str) -> Response<Body> {
     if let Ok(id) = HeaderValue::from_str(request) {
         response.headers_mut().insert(REQUEST_ID, id);
     }
     response
 }
 
-/// The answer's words, with filler for the rest of its tokens.
-fn words(answer: &Answer, tokens: u32) -> Vec<String> {
+/// The words of an answer's text, filled up to its number of tokens.
+fn answer_words(answer: &Answer, tokens: u32) -> Vec<String> {
     let text = answer.render();
     let mut words: Vec<String> = text.split(' ').map(str::to_owned).collect();
     let filler = (words.len()..tokens as usize).map(|number| format!("word{number}"));
@@ -229,8 +240,8 @@
     words
 }
 
-fn plain(answer: &Answer, version: &Version, ticket: Ticket) -> Response<Body> {
-    let content = words(answer, version.tokens).join(" ");
+fn whole_response(answer: &Answer, version: &Version, ticket: Ticket) -> Response<Body> {
+    let content = answer_words(answer, version.tokens).join(" ");
     let body = json!({
         "id": format!("chatcmpl-{}", answer.request),
         "object": "chat.completion",
@@ -252,8 +263,8 @@
     response
 }
 
-fn streamed(answer: &Answer, version: &Version, ticket: Ticket) -> Response<Body> {
-    let words = words(answer, version.tokens);
+fn streamed_response(answer: &Answer, version: &Version, ticket: Ticket) -> Response<Body> {
+    let words = answer_words(answer, version.tokens);
     let last = words.len() - 1;
     let between = Duration::from_millis(version.between_tokens_ms);
     let mut pieces: Vec<Piece> = Vec::with_capacity(words.len() + 1);
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,19 +1,19 @@
-//! Faults that several stand-ins share.
+//! Faults that several stand-ins have in common.
 
 use policy::domain;
 
 domain! {
-    /// Whether a stand-in takes requests. The port itself is closed with
+    /// Whether a stand-in is out of service, with its port still open. To close the port, use
     /// [`crate::server::Running::close`].
     #[derive(Copy, Default, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum Outage {
-        /// It does.
+        /// The stand-in serves requests.
         #[default]
         No,
-        /// Every request has its connection cut, before any effect.
+        /// Each request's connection is cut before the request has any effect.
         Cut,
-        /// Every request gets 503, before any effect.
+        /// Each request is rejected with 503 before it has any effect.
         Unavailable,
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Small stand-ins for what surrounds the system: platform, model engine, rater, plain service,
-//! and a proxy that brings about network faults. For tests and the demo only.
+//! Small stand-ins for the processes around the system: platform, model engine, rater, plain
+//! service, and a proxy that injects network faults. For tests and the demo only.
 //!
-//! Each is started with `start(listen, settings)`, keeps records of what it did and takes faults,
-//! both in memory and over HTTP (`GET /records`, `PUT /faults`).
+//! The platform, engine, rater and plain service are each started with `start(listen, settings)`.
+//! They record what they did and can be given faults, both in memory and over HTTP
+//! (`GET /records`, `PUT /faults`).
 
 pub mod answer;
 pub mod audit;
--- a/crates/standin/src/passthrough.rs
+++ b/crates/standin/src/passthrough.rs
@@ -1,5 +1,5 @@
-//! The plainest pass-through that the same libraries allow: what the latency of entry is
-//! compared with. It decides nothing, checks nothing and records nothing.
+//! The simplest reverse proxy that the same libraries allow, as the baseline for the latency of an
+//! entry host. It decides nothing, checks nothing and records nothing.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     client: Arc<Client>,
 }
 
-/// Starts a pass-through to a target.
+/// Starts a pass-through that sends each request to a target and returns its answer.
 ///
 /// # Errors
 /// When the address can't be listened on.
@@ -33,14 +33,14 @@
         let (response, mut connection) = match self.client.send(request).await {
             Ok(answered) => answered,
             Err(error) => {
-                log::warn!("passthrough: {error}");
+                log::warn!("passthrough: no answer from the target: {error}");
                 return Ok(reply::status(StatusCode::BAD_GATEWAY));
             }
         };
         let (parts, body) = response.into_parts();
         let (ended, end) = oneshot::channel::<()>();
         let client = Arc::clone(&self.client);
-        // The connection is free once the body was read to its end, which drops the sender.
+        // The connection can be reused once the body, and with it the sender `ended`, is dropped.
         tokio::spawn(async move {
             let _ = end.await;
             if connection.ready().await.is_ok() {
@@ -48,7 +48,7 @@
             }
         });
         let body = body.map_frame(move |frame| {
-            let _held = &ended;
+            let _ended = &ended;
             frame
         });
         Ok(Response::from_parts(parts, body.map_err(|_| Cut).boxed_unsync()))
--- a/crates/standin/src/reply.rs
+++ b/crates/standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Small helpers to read requests and build answers.
+//! Helper functions that read requests and build answers.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -10,13 +10,13 @@
 
 use crate::server::{Body, Cut};
 
-/// A body that is all there.
+/// A body whose bytes are all there at once.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer with a status and a body.
+/// Makes an answer with a status and a body.
 #[must_use]
 pub fn bytes(status: StatusCode, bytes: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(full(bytes));
@@ -24,7 +24,7 @@
     response
 }
 
-/// An answer in JSON.
+/// Makes an answer with a JSON body; 500 if the value can't be written as JSON.
 #[must_use]
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
@@ -38,13 +38,13 @@
     }
 }
 
-/// An answer without a body.
+/// Makes an answer without a body.
 #[must_use]
 pub fn status(status: StatusCode) -> Response<Body> {
     bytes(status, Bytes::new())
 }
 
-/// Says that nothing took effect, and to come back in a second.
+/// Makes an answer without a body that asks the sender to try again in a second.
 #[must_use]
 pub fn retry_later(status: StatusCode) -> Response<Body> {
     let mut response = bytes(status, Bytes::new());
@@ -52,7 +52,7 @@
     response
 }
 
-/// Hands a JSON body over to `set`: 204, or 400 with what is wrong.
+/// Parses a JSON body and passes it to `set`. Answers 204, or 400 with the parser's error.
 #[must_use]
 pub fn set<T: DeserializeOwned>(body: &[u8], set: impl FnOnce(T)) -> Response<Body> {
     match serde_json::from_slice(body) {
@@ -64,10 +64,10 @@
     }
 }
 
-/// The whole body of a request.
+/// Reads the whole body of a request.
 ///
 /// # Errors
-/// [`Cut`] when the caller breaks off.
+/// [`Cut`] when the caller breaks off before the end.
 pub async fn body(request: Request<Incoming>) -> Result<Bytes, Cut> {
     match request.into_body().collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
@@ -75,35 +75,36 @@
     }
 }
 
-/// A header's text; empty if absent or not text.
+/// The value of a request's header; empty if it is absent or no visible ASCII text.
 #[must_use]
 pub fn header<'a, B>(request: &'a Request<B>, name: &str) -> &'a str {
     request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
 }
 
-/// Undoes percent encoding; malformed escapes stay as they are.
+/// Decodes percent encoding; malformed escapes stay as they are.
 #[must_use]
 pub fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut decoded = Vec::with_capacity(bytes.len());
-    let mut at = 0;
-    while at < bytes.len() {
-        let escape = text.get(at + 1..at + 3).and_then(|hex| u8::from_str_radix(hex, 16).ok());
-        match (bytes[at], escape) {
+    let mut index = 0;
+    while index < bytes.len() {
+        let escape =
+            text.get(index + 1..index + 3).and_then(|hex| u8::from_str_radix(hex, 16).ok());
+        match (bytes[index], escape) {
             (b'%', Some(byte)) => {
                 decoded.push(byte);
-                at += 3;
+                index += 3;
             }
             (byte, _) => {
                 decoded.push(byte);
-                at += 1;
+                index += 1;
             }
         }
     }
     String::from_utf8_lossy(&decoded).into_owned()
 }
 
-/// A header's value that is written in the source.
+/// A header value from a string literal.
 #[must_use]
 pub fn static_value(text: &'static str) -> HeaderValue {
     HeaderValue::from_static(text)
--- a/crates/standin/src/routed.rs
+++ b/crates/standin/src/routed.rs
@@ -1,5 +1,5 @@
-//! A stand-in for backend servers of routed requests: it answers by a script and records what
-//! reached it.
+//! Stand-in for a backend server of routed requests: it replies as a test sets it to, and records
+//! the requests that reach it.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -18,54 +18,58 @@
 use crate::reply;
 use crate::server::{Body, Cut, Handler};
 
-/// Stands for an event: the connection is cut there.
-const CUT: u64 = u64::MAX - 1;
+/// Event id that stands for a cut of the connection. No stream is that long.
+const CUT_ID: u64 = u64::MAX - 1;
 
-/// What it does with one request.
+/// What the server does with a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Answers with a status and a signature.
+    /// Answers with this status and a signature.
     Answer(u16),
-    /// Answers, but not for the request that was asked.
+    /// Answers with the id of another request.
     AnswerOther,
     /// Answers without a signature.
     Unsigned,
-    /// Says that it did not run the request.
+    /// Rejects the request: answers 503 and says that the request did not run.
     Reject,
-    /// The same, and asks for a pause: what `Retry-After` says.
+    /// Rejects the request with this value of `Retry-After`, which asks for a pause.
     RejectFor(&'static str),
-    /// Says that it is not the server that was meant.
+    /// Answers 421: the request was meant for another server.
     Misdirected,
     /// Closes the connection without an answer.
     Reset,
-    /// Answers nothing.
+    /// Never answers, and keeps the connection open.
     Silence,
-    /// Streams events.
+    /// Answers with a stream of events.
     Stream(Script),
 }
 
 impl Reply {
-    /// The pause that it asks for, if that can be read.
+    /// The pause that this reply asks for; `None` if it asks for none, or if its text is not a
+    /// number of seconds.
     fn retry_after(&self) -> Option<Duration> {
         let Self::RejectFor(text) = self else { return None };
         text.parse().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
     }
 }
 
-/// How it streams.
+/// The course of a stream of events.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// The last event's id; they begin behind the one that the caller has, at 1 if it has none.
+    /// Id of the last event. The first event follows the last one that the caller has, which the
+    /// request's header names; without that header the first id is 1.
     pub events: u64,
-    /// Between two of them.
+    /// Pause before each event but the first.
     pub pause: Duration,
-    /// More behind the first one of a run: the engine reads other prompts.
+    /// Additional pause before the second event of an answer, as when the engine reads other
+    /// prompts.
     pub prompt_delay: Duration,
-    /// Breaks off in the middle of this event.
+    /// Id of the event in whose middle the connection is cut; `None` for no cut.
     pub cut_in_event: Option<u64>,
-    /// Says nothing more behind this event.
+    /// Id of the event after which the server sends nothing more, with the connection open; `None`
+    /// for a stream that ends.
     pub silent_after_event: Option<u64>,
-    /// What it thinks of its answer.
+    /// Confidence that the answer's header states; `None` for no such header.
     pub confidence: Option<u8>,
 }
 
@@ -82,52 +86,59 @@
     }
 }
 
-/// A request that reached it.
+/// A request that reached the server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// As it came.
+    /// Headers of the request.
     pub headers: HeaderMap,
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
-    /// As it came.
+    /// Body of the request.
     pub body: Bytes,
-    /// When.
+    /// Time when the request had arrived whole.
     pub at: Instant,
-    /// The pause that it was answered with.
+    /// The pause that the answer asked for; `None` if it asked for none.
     pub retry_after: Option<Duration>,
 }
 
-/// The backend server.
+/// The state of a backend server of routed requests.
 pub struct ScriptedServer {
-    usual: Mutex<Reply>,
-    script: Mutex<VecDeque<Reply>>,
-    /// Requests a second that it names in its answers.
-    per_second: Mutex<Option<f64>>,
-    /// Rejected requests a second that it says it tolerates.
-    tolerance: Mutex<Option<u32>>,
-    /// How many requests it works on at once, and for how long on each; none if on any number.
-    places: Mutex<Option<(usize, Duration)>>,
-    working: Arc<AtomicUsize>,
-    rejected: Mutex<Vec<Instant>>,
-    /// It says in its answers that it leaves.
-    leaves: AtomicBool,
-    /// It ends when it runs a request whose body is this.
-    ends_by: Mutex<Option<Bytes>>,
-    /// It ends when it runs a request with one of these parts in its prompt; the last part doesn't count.
-    ends_by_parts: Mutex<Vec<String>>,
-    ending: Notify,
+    /// Reply to requests for which none is queued.
+    default: Mutex<Reply>,
+    /// Replies to the next requests, each used once.
+    queue: Mutex<VecDeque<Reply>>,
+    /// Limit of requests a second that the answers announce; `None` for no announcement.
+    rate_limit: Mutex<Option<f64>>,
+    /// Rejected requests a second that the answers announce as tolerated; `None` for no
+    /// announcement.
+    rejection_tolerance: Mutex<Option<u32>>,
+    /// Most requests that the server works on at once, and the time that each takes; `None` for no
+    /// limit.
+    slots: Mutex<Option<(usize, Duration)>>,
+    /// Number of requests that the server works on now.
+    in_flight: Arc<AtomicUsize>,
+    /// Times of rejections for lack of a free slot.
+    rejected_at: Mutex<Vec<Instant>>,
+    /// Whether the answers say that the server is leaving.
+    is_leaving: AtomicBool,
+    /// Body of requests that crash the server; `None` for none.
+    crash_body: Mutex<Option<Bytes>>,
+    /// Ids of prompt parts that crash the server, unless they stand last in the prompt.
+    crash_parts: Mutex<Vec<String>>,
+    crash: Notify,
     arrivals: Mutex<Vec<Arrival>>,
-    dropped: Arc<Mutex<Vec<Instant>>>,
+    /// Times when requests were dropped before their answers ended.
+    dropped_at: Arc<Mutex<Vec<Instant>>>,
 }
 
-/// Notes that a request was dropped before its answer ended.
+/// Records, when dropped, that a request was dropped before its answer ended, unless it is done.
 struct Work {
-    dropped: Arc<Mutex<Vec<Instant>>>,
+    dropped_at: Arc<Mutex<Vec<Instant>>>,
     is_done: bool,
 }
 
 impl Work {
-    fn done(&mut self) {
+    fn finish(&mut self) {
         self.is_done = true;
     }
 }
@@ -135,28 +146,28 @@
 impl Drop for Work {
     fn drop(&mut self) {
         if !self.is_done {
-            lock(&self.dropped).push(Instant::now());
+            lock(&self.dropped_at).push(Instant::now());
         }
     }
 }
 
-/// A request that it works on, until dropped.
-struct Place {
-    working: Arc<AtomicUsize>,
-    /// Requests before it.
+/// Counts a request as in flight until dropped.
+struct Slot {
+    in_flight: Arc<AtomicUsize>,
+    /// Number of requests that were in flight when this request arrived.
     number: usize,
 }
 
-impl Place {
-    fn take(working: &Arc<AtomicUsize>) -> Self {
-        let number = working.fetch_add(1, Ordering::Relaxed);
-        Self { working: Arc::clone(working), number }
+impl Slot {
+    fn take(in_flight: &Arc<AtomicUsize>) -> Self {
+        let number = in_flight.fetch_add(1, Ordering::Relaxed);
+        Self { in_flight: Arc::clone(in_flight), number }
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        self.working.fetch_sub(1, Ordering::Relaxed);
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -165,99 +176,105 @@
 }
 
 impl ScriptedServer {
-    /// One that does this with every request.
+    /// Makes a server that gives this reply to every request.
     #[must_use]
-    pub fn new(usual: Reply) -> Self {
+    pub fn new(default_reply: Reply) -> Self {
         Self {
-            usual: Mutex::new(usual),
-            script: Mutex::default(),
-            per_second: Mutex::default(),
-            tolerance: Mutex::default(),
-            places: Mutex::default(),
-            working: Arc::default(),
-            rejected: Mutex::default(),
-            leaves: AtomicBool::new(false),
-            ends_by: Mutex::default(),
-            ends_by_parts: Mutex::default(),
-            ending: Notify::new(),
+            default: Mutex::new(default_reply),
+            queue: Mutex::default(),
+            rate_limit: Mutex::default(),
+            rejection_tolerance: Mutex::default(),
+            slots: Mutex::default(),
+            in_flight: Arc::default(),
+            rejected_at: Mutex::default(),
+            is_leaving: AtomicBool::new(false),
+            crash_body: Mutex::default(),
+            crash_parts: Mutex::default(),
+            crash: Notify::new(),
             arrivals: Mutex::default(),
-            dropped: Arc::default(),
+            dropped_at: Arc::default(),
         }
     }
 
-    /// From now on it does this.
+    /// Sets the reply to requests for which none is queued.
     pub fn set_reply(&self, default_reply: Reply) {
-        *lock(&self.usual) = default_reply;
+        *lock(&self.default) = default_reply;
     }
 
-    /// With the next request it does this.
+    /// Queues a reply, which is used for one request.
     pub fn queue_reply(&self, reply: Reply) {
-        lock(&self.script).push_back(reply);
+        lock(&self.queue).push_back(reply);
     }
 
-    /// From now on it names a limit in its answers, or none.
+    /// Sets the limit of requests a second that further answers announce; `None` for no
+    /// announcement.
     pub fn announce_rate_limit(&self, per_second: Option<f64>) {
-        *lock(&self.per_second) = per_second;
+        *lock(&self.rate_limit) = per_second;
     }
 
-    /// From now on it says that it tolerates so many rejected requests a second, or nothing.
+    /// Sets the number of rejected requests a second that further answers announce as tolerated;
+    /// `None` for no announcement.
     pub fn announce_rejection_tolerance(&self, per_second: Option<u32>) {
-        *lock(&self.tolerance) = per_second;
+        *lock(&self.rejection_tolerance) = per_second;
     }
 
-    /// From now on it works on so many requests at once, on each for that long, and rejects the others.
+    /// Limits the requests that the server works on at once, each for the time `work`. Further
+    /// requests are rejected.
     pub fn limit_slots(&self, slots: usize, work: Duration) {
-        *lock(&self.places) = Some((slots, work));
+        *lock(&self.slots) = Some((slots, work));
     }
 
-    /// When it rejected requests for want of room.
+    /// Times when the server rejected requests for lack of a free slot.
     #[must_use]
     pub fn rejected_at(&self) -> Vec<Instant> {
-        lock(&self.rejected).clone()
+        lock(&self.rejected_at).clone()
     }
 
-    /// From now on it says in its answers that it leaves, or doesn't.
+    /// Sets whether further answers say that the server is leaving.
     pub fn set_leaving(&self, is_leaving: bool) {
-        self.leaves.store(is_leaving, Ordering::Relaxed);
+        self.is_leaving.store(is_leaving, Ordering::Relaxed);
     }
 
-    /// From now on it ends when it runs a request with this body; see [`Self::crashed`].
+    /// Makes each request with this body crash the server; see [`Self::crashed`].
     pub fn crash_on_body(&self, body: &'static str) {
-        *lock(&self.ends_by) = Some(Bytes::from(body));
+        *lock(&self.crash_body) = Some(Bytes::from(body));
     }
 
-    /// From now on it ends when it runs a request with one of these parts in its prompt, but for the last
-    /// part; see [`Self::crashed`].
+    /// Makes each request crash the server whose prompt has a part with one of these ids before its
+    /// last part; see [`Self::crashed`].
     pub fn crash_on_prompt_parts(&self, ids: &[&str]) {
-        *lock(&self.ends_by_parts) = ids.iter().map(|id| (*id).to_owned()).collect();
+        *lock(&self.crash_parts) = ids.iter().map(|id| (*id).to_owned()).collect();
     }
 
-    /// Whether it ends of this request.
-    fn ends_of(&self, headers: &HeaderMap, body: &Bytes) -> bool {
+    /// Whether this request crashes the server.
+    fn is_crashed_by(&self, headers: &HeaderMap, body: &Bytes) -> bool {
         let prompt = headers.get(names::PROMPT_PARTS).and_then(|parts| parts.to_str().ok());
         let mut ids = prompt.into_iter().flat_map(|parts| parts.split(',').rev().skip(1));
-        let parts = lock(&self.ends_by_parts);
-        let is_deadly = |part: &str| {
-            part.split(':').next().is_some_and(|id| parts.iter().any(|deadly| deadly == id))
+        let crash_parts = lock(&self.crash_parts);
+        let is_crash_part = |part: &str| {
+            part.split(':')
+                .next()
+                .is_some_and(|id| crash_parts.iter().any(|crash_id| crash_id == id))
         };
-        lock(&self.ends_by).as_ref() == Some(body) || ids.any(is_deadly)
+        lock(&self.crash_body).as_ref() == Some(body) || ids.any(is_crash_part)
     }
 
-    /// Waits until it has run such a request. Whoever waits has to close it.
+    /// Waits until a request that crashes the server has arrived. The server doesn't answer that
+    /// request; the caller of this function has to close the server.
     pub async fn crashed(&self) {
-        self.ending.notified().await;
+        self.crash.notified().await;
     }
 
-    /// What reached it.
+    /// All requests that reached the server, in order.
     #[must_use]
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.arrivals).clone()
     }
 
-    /// Requests dropped by the other end before their answers ended.
+    /// Number of requests that the other end dropped before their answers ended.
     #[must_use]
     pub fn dropped_count(&self) -> usize {
-        lock(&self.dropped).len()
+        lock(&self.dropped_at).len()
     }
 }
 
@@ -267,10 +284,10 @@
         let body = body.collect().await.map_err(|_| Cut)?.to_bytes();
         let path = head.uri.to_string();
         let headers = head.headers;
-        let ends = self.ends_of(&headers, &body);
-        let act = || lock(&self.script).pop_front().unwrap_or_else(|| lock(&self.usual).clone());
-        let act = (!ends).then(act);
-        let retry_after = act.as_ref().and_then(Reply::retry_after);
+        let is_crash = self.is_crashed_by(&headers, &body);
+        let reply = || lock(&self.queue).pop_front().unwrap_or_else(|| lock(&self.default).clone());
+        let reply = (!is_crash).then(reply);
+        let retry_after = reply.as_ref().and_then(Reply::retry_after);
         let at = Instant::now();
         lock(&self.arrivals).push(Arrival {
             headers: headers.clone(),
@@ -279,60 +296,62 @@
             at,
             retry_after,
         });
-        let Some(act) = act else {
-            self.ending.notify_one();
+        let Some(reply) = reply else {
+            self.crash.notify_one();
             return std::future::pending().await;
         };
-        let mut work = Work { dropped: Arc::clone(&self.dropped), is_done: false };
-        let places = *lock(&self.places);
-        let place = Place::take(&self.working);
-        let act = match places {
-            Some((places, _)) if place.number >= places => {
-                lock(&self.rejected).push(at);
+        let mut work = Work { dropped_at: Arc::clone(&self.dropped_at), is_done: false };
+        let slots = *lock(&self.slots);
+        let slot = Slot::take(&self.in_flight);
+        let reply = match slots {
+            Some((slots, _)) if slot.number >= slots => {
+                lock(&self.rejected_at).push(at);
                 Reply::Reject
             }
             Some((_, work)) => {
                 tokio::time::sleep(work).await;
-                act
+                reply
             }
-            None => act,
+            None => reply,
         };
-        let made = act_on(act, &headers, &mut work).await?;
-        drop(place);
-        let mut response = match made {
-            Made::Whole(response) => {
-                work.done();
+        let answer = respond(reply, &headers, &mut work).await?;
+        drop(slot);
+        let mut response = match answer {
+            Answer::Whole(response) => {
+                work.finish();
                 response
             }
-            Made::Stream(response, script, first) => response.map(|()| events(script, first, work)),
+            Answer::Stream(response, script, next) => response.map(|()| events(script, next, work)),
         };
-        let limit = lock(&self.per_second).and_then(|rate| rate.to_string().parse().ok());
+        let limit = lock(&self.rate_limit).and_then(|rate| rate.to_string().parse().ok());
         if let Some(limit) = limit {
             response.headers_mut().insert(names::LIMIT, limit);
         }
-        if let Some(places) = places {
-            let working = self.working.load(Ordering::Relaxed);
-            let load = format!("{working},0,{}", places.0).parse();
+        if let Some(slots) = slots {
+            let in_flight = self.in_flight.load(Ordering::Relaxed);
+            let load = format!("{in_flight},0,{}", slots.0).parse();
             response
                 .headers_mut()
                 .extend(load.ok().map(|load| (HeaderName::from_static(names::LOAD), load)));
         }
-        if let Some(per_second) = *lock(&self.tolerance) {
+        if let Some(per_second) = *lock(&self.rejection_tolerance) {
             response.headers_mut().insert(names::BRITTLE, per_second.into());
         }
-        if self.leaves.load(Ordering::Relaxed) {
+        if self.is_leaving.load(Ordering::Relaxed) {
             response.headers_mut().insert(names::LEAVING, reply::static_value("1"));
         }
         Ok(response)
     }
 }
 
-enum Made {
+/// An answer that the server is about to send.
+enum Answer {
     Whole(Response<Body>),
+    /// Header and course of a stream, and the id of its first event.
     Stream(Response<()>, Script, u64),
 }
 
-async fn act_on(act: Reply, headers: &HeaderMap, work: &mut Work) -> Result<Made, Cut> {
+async fn respond(reply: Reply, headers: &HeaderMap, work: &mut Work) -> Result<Answer, Cut> {
     let id = headers.get(names::REQUEST_ID).cloned();
     let sign = |mut response: Response<Body>| {
         if let Some(id) = id.clone() {
@@ -342,7 +361,7 @@
         response
     };
     let status = |status: u16| StatusCode::from_u16(status).unwrap_or_default();
-    Ok(Made::Whole(match act {
+    Ok(Answer::Whole(match reply {
         Reply::Answer(code) => sign(reply::bytes(status(code), "answer")),
         Reply::AnswerOther => {
             let mut response = sign(reply::bytes(StatusCode::OK, "another's answer"));
@@ -367,7 +386,7 @@
         }
         Reply::Misdirected => reply::bytes(StatusCode::MISDIRECTED_REQUEST, ""),
         Reply::Reset => {
-            work.done();
+            work.finish();
             return Err(Cut);
         }
         Reply::Silence => std::future::pending().await,
@@ -380,7 +399,7 @@
             if let Some(confidence) = script.confidence {
                 headers.insert(names::CONFIDENCE, u16::from(confidence).into());
             }
-            return Ok(Made::Stream(response, script, last + 1));
+            return Ok(Answer::Stream(response, script, last + 1));
         }
     }))
 }
@@ -389,8 +408,8 @@
     let pieces = stream::unfold((first, work), move |(id, mut work)| {
         let script = script.clone();
         async move {
-            if id > script.events && id < CUT {
-                work.done();
+            if id > script.events && id < CUT_ID {
+                work.finish();
                 return None;
             }
             if id > first {
@@ -400,17 +419,17 @@
                 tokio::time::sleep(script.prompt_delay).await;
             }
             match () {
-                () if id < CUT && script.silent_after_event.is_some_and(|last| id > last) => {
+                () if id < CUT_ID && script.silent_after_event.is_some_and(|last| id > last) => {
                     std::future::pending().await
                 }
-                () if id == CUT => {
-                    work.done();
-                    Some((Err(Cut), (CUT, work)))
+                () if id == CUT_ID => {
+                    work.finish();
+                    Some((Err(Cut), (CUT_ID, work)))
                 }
-                // The half event goes out first, then the connection is cut.
+                // The first half of the event is sent before the connection is cut.
                 () if script.cut_in_event == Some(id) => {
                     let half = Frame::data(Bytes::from(format!("id: {id}\nda")));
-                    Some((Ok(half), (CUT, work)))
+                    Some((Ok(half), (CUT_ID, work)))
                 }
                 () => {
                     let event = format!("id: {id}\ndata: piece {id}\n\n");
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -1,4 +1,4 @@
-//! Records of what a backend server was asked to run, and how each run ended.
+//! Records of the requests that a backend server received, and how each run ended.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,74 +6,75 @@
 use policy::name::Name;
 
 domain! {
-    /// How a run stands.
+    /// State of a run, or how it ended.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum Outcome {
-        /// Under way.
+        /// The run has not ended yet.
         Running,
-        /// The whole answer was handed over.
+        /// The whole answer was sent.
         Whole,
-        /// The caller went away before that.
+        /// The caller closed the connection before the whole answer was sent.
         Cancelled,
-        /// Cut by a fault.
+        /// A fault cut the connection.
         Cut,
-        /// Answered with an error after it began.
+        /// The request was answered with an error after it began to run.
         Failed,
-        /// Turned away: no run began.
+        /// The request was rejected and did not run.
         Refused,
     }
 
-    /// One request received.
+    /// A request that a backend server received.
     pub struct Run {
-        /// 0, 1, 2 … in the order received.
+        /// Number of the request in the order of arrival, from 0.
         pub order: u64,
-        /// The `x-request-id` it came with.
+        /// Value of the request's header `x-request-id`.
         pub request: Name,
-        /// The version it asked for; the service's name for a plain service.
+        /// The version that the request asked for; for a plain service the service's name.
         pub version: Name,
-        /// Method and path.
+        /// Method and path of the request.
         pub call: Name,
-        /// Digest of the user's prompt, or of a plain service's body.
+        /// Digest of the user's prompt; for a plain service of the request's body.
         pub digest: Name,
-        /// Whether the answer was a good one.
+        /// Whether the answer is good.
         pub good: bool,
-        /// How it stands.
+        /// State of the run, or how it ended.
         pub outcome: Outcome,
     }
 }
 
 impl Run {
-    /// Whether it had, or may have had, an effect.
+    /// Whether the request began to run, so that it may have had an effect.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.outcome != Outcome::Refused
     }
 }
 
-/// The records of one stand-in.
+/// The records of one backend server.
 #[derive(Default)]
 pub struct Log(Mutex<Vec<Run>>);
 
 impl Log {
-    /// Copies of all records.
+    /// Copies of all records, in the order of arrival.
     #[must_use]
-    pub fn all(&self) -> Vec<Run> {
+    pub fn runs(&self) -> Vec<Run> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Records a request as it comes in; its number is filled in here.
+    /// Records a request that has arrived, and sets [`Run::order`].
     #[must_use]
     pub fn begin(self: &Arc<Self>, run: Run) -> Guard {
         let mut runs = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let order = runs.len() as u64;
         runs.push(Run { order, ..run });
-        Guard { log: Arc::clone(self), order, ended: false }
+        Guard { log: Arc::clone(self), order, has_ended: false }
     }
 
-    /// The request id received last before a number, for an answer that goes to the wrong request.
+    /// The record before that of number `order`, for a fault that mixes up answers; `None` for the
+    /// first request.
     #[must_use]
-    pub fn before(&self, order: u64) -> Option<Run> {
+    pub fn previous(&self, order: u64) -> Option<Run> {
         let runs = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let index = usize::try_from(order).ok()?.checked_sub(1)?;
         runs.get(index).cloned()
@@ -88,26 +89,26 @@
     }
 }
 
-/// A run under way: dropping it, as the server does when the caller is gone, records a
-/// cancellation.
+/// A run that has not ended. The server drops it when the caller goes away, which records
+/// [`Outcome::Cancelled`].
 pub struct Guard {
     log: Arc<Log>,
-    /// The run's number.
+    /// Number of the run, see [`Run::order`].
     pub order: u64,
-    ended: bool,
+    has_ended: bool,
 }
 
 impl Guard {
     /// Records how the run ended.
     pub fn end(&mut self, outcome: Outcome) {
         self.log.end(self.order, outcome);
-        self.ended = true;
+        self.has_ended = true;
     }
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.has_ended {
             self.log.end(self.order, Outcome::Cancelled);
         }
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that every stand-in runs on: connections that can be cut and a port that can
+//! The HTTP server of all stand-ins, except the proxy: its connections can be cut, and its port can
 //! be closed and opened again.
 
 use std::future::Future;
@@ -17,13 +17,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Pause between two tries to take a port again that was closed for a while.
-const REBIND: Duration = Duration::from_millis(20);
+/// Interval between attempts to listen again on a port that was closed for a while.
+const REBIND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Body of every answer; an error in it breaks the connection visibly.
+/// Body of an answer. An error in the body breaks the connection visibly.
 pub type Body = UnsyncBoxBody<Bytes, Cut>;
 
-/// The connection is to be broken at this point.
+/// Instead of an answer or its next bytes: the connection has to be broken here.
 #[derive(Clone, Copy, Debug)]
 pub struct Cut;
 
@@ -35,25 +35,29 @@
 
 impl std::error::Error for Cut {}
 
-/// What a stand-in does with one request.
+/// Answers the requests of a stand-in.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers, or cuts the connection. The future is dropped when the caller goes away.
+    /// Answers a request, or has its connection cut. The future is dropped when the caller goes
+    /// away.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Result<Response<Body>, Cut>> + Send;
 }
 
+/// Whether the server's port is open.
 #[derive(Clone, Copy, PartialEq)]
 enum Gate {
     Open,
+    /// The port is closed until it is opened again.
     Closed,
+    /// The port is closed for good.
     Stopped,
 }
 
-/// A started stand-in; dropping it stops it.
+/// A running stand-in. Dropping it stops its server.
 pub struct Running<H> {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
     handler: Arc<H>,
     gate: watch::Sender<Gate>,
@@ -68,23 +72,23 @@
 }
 
 impl<H> Running<H> {
-    /// The stand-in's state, to be kept beyond its server.
+    /// The stand-in's state, which can be read after the server has stopped.
     #[must_use]
     pub fn state(&self) -> Arc<H> {
         Arc::clone(&self.handler)
     }
 
-    /// Cuts every connection and refuses new ones until [`Running::open`].
+    /// Cuts all connections and refuses new ones until [`Running::open`].
     pub fn close(&self) {
         self.gate.send_replace(Gate::Closed);
     }
 
-    /// Listens again, at the same address.
+    /// Listens again on the same address after [`Running::close`].
     pub fn open(&self) {
         self.gate.send_replace(Gate::Open);
     }
 
-    /// Ends it: cuts every connection and refuses new ones for good.
+    /// Cuts all connections and refuses new ones for good.
     pub fn stop(&self) {
         self.gate.send_replace(Gate::Stopped);
     }
@@ -127,8 +131,8 @@
     mut gate: watch::Receiver<Gate>,
 ) {
     let mut listening = Some(listener);
-    // Connections are cut once nothing listens any more: whoever loses one and looks finds the port
-    // closed, as after a process has ended.
+    // Dropping `serving` cuts all connections. That comes after the port is closed, so that a
+    // caller whose connection breaks finds the port closed, as after the end of a process.
     let (mut serving, _) = watch::channel(());
     loop {
         let state = *gate.borrow_and_update();
@@ -138,8 +142,8 @@
                 return;
             }
             (Gate::Closed, listener) => {
-                // Bound here and dropped now: left in the matched value it would go on listening
-                // until the gate opens, and connections would hang instead of being refused.
+                // Dropped explicitly: otherwise the matched value would keep the listener until the
+                // gate opens, and new connections would hang instead of being refused.
                 drop(listener);
                 (serving, _) = watch::channel(());
                 if gate.changed().await.is_err() {
@@ -148,7 +152,7 @@
             }
             (Gate::Open, None) => match bind(address) {
                 Ok(listener) => listening = Some(listener),
-                Err(_) => tokio::time::sleep(REBIND).await,
+                Err(_) => tokio::time::sleep(REBIND_INTERVAL).await,
             },
             (Gate::Open, Some(listener)) => {
                 tokio::select! {
@@ -156,7 +160,7 @@
                         Ok((stream, _)) => {
                             tokio::spawn(connection(stream, Arc::clone(&handler), serving.subscribe()));
                         }
-                        Err(error) => log::warn!("standin: accepting failed: {error}"),
+                        Err(error) => log::warn!("standin: can't accept a connection: {error}"),
                     },
                     changed = gate.changed() => if changed.is_err() {
                         return;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a plain service: says what it was called with, and counts orders so that doubled
-//! calls are visible.
+//! Stand-in for a plain service: its answers name the call that they belong to, and it counts
+//! orders, so that repeated ones are visible.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,36 +23,36 @@
 use crate::server::{self, Body, Cut, Handler, Running};
 
 domain! {
-    /// Settings of a service.
+    /// The settings of a plain service.
     #[derive(Default)]
     #[serde(default, deny_unknown_fields)]
     pub struct Settings {
-        /// Its name.
+        /// Name of the service.
         pub name: Name,
-        /// What draws depend on.
+        /// Seed of the random draws.
         pub seed: u64,
-        /// What it takes at once.
+        /// The number of requests that the service accepts at once.
         pub capacity: Capacity,
-        /// Time one call takes, in milliseconds.
+        /// Time that one call takes, in milliseconds.
         pub service_ms: u64,
-        /// Faults from the start.
+        /// Faults that are in force from the start.
         pub faults: Faults,
     }
 
-    /// What a call is answered with.
+    /// The answer to a call.
     pub struct Echo {
-        /// The service's name.
+        /// Name of the service.
         pub service: Name,
-        /// The call's method and path with query.
+        /// Method and path of the call, with its query.
         pub call: Name,
         /// Digest of the call's body.
         pub digest: Name,
-        /// The request's id.
+        /// Id of the request that the answer was made for.
         pub request: Name,
     }
 }
 
-/// A service's state.
+/// The state of a plain service.
 pub struct Service {
     settings: Settings,
     backend: Backend,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Starts a service.
+/// Starts a plain service.
 ///
 /// # Errors
 /// When the address can't be listened on.
@@ -85,19 +85,20 @@
                 let body = reply::body(request).await?;
                 Ok(reply::set(&body, |faults| self.set_faults(faults)))
             }
-            _ => self.call(request).await.map(|answer| self.with_state(answer)),
+            _ => self.call(request).await.map(|answer| self.with_leaving_header(answer)),
         }
     }
 }
 
 impl Service {
-    /// Orders that took effect: calls other than reads, by the digest of their body.
+    /// Number of times that each order took effect, by the digest of its body. An order is any call
+    /// but a read (`GET`, `HEAD` or `OPTIONS`).
     #[must_use]
     pub fn orders(&self) -> BTreeMap<Name, u64> {
         let mut orders = BTreeMap::new();
-        let reads = ["GET ", "HEAD ", "OPTIONS "];
-        let read = |run: &Run| reads.iter().any(|method| run.call.starts_with(method));
-        for run in self.runs().into_iter().filter(|run| run.has_begun() && !read(run)) {
+        let read_methods = ["GET ", "HEAD ", "OPTIONS "];
+        let is_read = |run: &Run| read_methods.iter().any(|method| run.call.starts_with(method));
+        for run in self.runs().into_iter().filter(|run| run.has_begun() && !is_read(run)) {
             *orders.entry(run.digest).or_default() += 1;
         }
         orders
@@ -107,7 +108,7 @@
         let id = Name::from(reply::header(&request, REQUEST_ID));
         let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
         let call = Name::from(format!("{} {path}", request.method()));
-        let head = request.method() == Method::HEAD;
+        let is_head = request.method() == Method::HEAD;
         let digest = Name::from(draw::digest(reply::body(request).await?));
         let run = Run {
             order: 0,
@@ -120,20 +121,20 @@
         };
         let mut ticket = match self.admit(run).await {
             Ok(ticket) => ticket,
-            Err(turned_away) => return turned_away,
+            Err(rejected) => return rejected,
         };
         let wait_ms = self.settings.service_ms + self.faults().delay_ms;
-        backend::wait(Duration::from_millis(wait_ms)).await;
+        backend::sleep(Duration::from_millis(wait_ms)).await;
         ticket.before_header().await?;
-        let plan = ticket.plan();
-        let request = if plan.crossed { self.crossed(&ticket) } else { id };
+        let faults = ticket.faults();
+        let request = if faults.crossed { self.crossed_request(&ticket) } else { id };
         let echo = Echo { service: self.settings.name.clone(), call, digest, request };
-        let mut response = match plan.error {
+        let mut response = match faults.error {
             true => {
                 ticket.end(Outcome::Failed);
                 reply::status(StatusCode::INTERNAL_SERVER_ERROR)
             }
-            false if head => {
+            false if is_head => {
                 ticket.end(Outcome::Whole);
                 reply::status(StatusCode::OK)
             }
@@ -149,7 +150,7 @@
             }
         };
         match HeaderValue::from_str(&echo.request) {
-            Ok(id) if !plan.no_echo => {
+            Ok(id) if !faults.no_echo => {
                 response.headers_mut().insert(REQUEST_ID, id);
             }
             _ => {}
