--- a/crates/chestnutspur/benches/capacity.rs
+++ b/crates/chestnutspur/benches/capacity.rs
@@ -71,9 +71,9 @@
     fn usage(&self) -> Usage {
         Usage {
             at: Instant::now(),
-            peer_bytes: self.controls.iter().map(|(_, proxy)| proxy.passed()).sum(),
-            platform_bytes: self.to_platform.passed(),
-            platform_calls: self.to_platform.accepted(),
+            peer_bytes: self.controls.iter().map(|(_, proxy)| proxy.passed_bytes()).sum(),
+            platform_bytes: self.to_platform.passed_bytes(),
+            platform_calls: self.to_platform.accepted_count(),
             cpu_seconds: self.controls.iter().map(|(control, _)| control.cpu_seconds()).sum(),
         }
     }
@@ -195,7 +195,7 @@
         per_node(size, &before, &after),
         fleet.memory_mb()
     );
-    assert_eq!(fleet.platform.accepted().len() as u64, CHANGE_COUNT + 1);
+    assert_eq!(fleet.platform.accepted_generations().len() as u64, CHANGE_COUNT + 1);
 }
 
 /// Measures the cost of a long host list: without changes, and while one of many backend servers
--- a/crates/chestnutspur/src/command/demo.rs
+++ b/crates/chestnutspur/src/command/demo.rs
@@ -112,7 +112,7 @@
         "demo: {}: {} failure domains, {} entry hosts, seed {}",
         deployment.name,
         deployment.failure_domains().len(),
-        deployment.of_role(wire::host::Role::Entry).count(),
+        deployment.hosts_with_role(wire::host::Role::Entry).count(),
         arguments.seed
     );
     let mut fleet = Fleet::start(&deployment, arguments.seed).await?;
--- a/crates/chestnutspur/src/command/demo/fleet.rs
+++ b/crates/chestnutspur/src/command/demo/fleet.rs
@@ -122,9 +122,9 @@
         let mut hosts = fleet.start_backends(deployment, seed)?;
         let peers = fleet.start_controls(deployment, &metrics).await?;
         let operators = fleet.start_entries(deployment, &peers, &metrics).await?;
-        let controls = deployment.of_role(Role::Control).zip(&peers);
+        let controls = deployment.hosts_with_role(Role::Control).zip(&peers);
         hosts.extend(controls.map(|(host, peer)| with_address(host, peer.address)));
-        let entries = deployment.of_role(Role::Entry).zip(&operators);
+        let entries = deployment.hosts_with_role(Role::Entry).zip(&operators);
         hosts.extend(entries.map(|(host, (_, address))| with_address(host, *address)));
         fleet.platform.set_hosts(hosts);
         for (host, address) in operators {
@@ -135,7 +135,7 @@
 
     fn start_backends(&mut self, deployment: &Deployment, seed: u64) -> Result<Vec<Host>, Error> {
         let mut hosts = Vec::new();
-        for host in deployment.of_role(Role::Backend) {
+        for host in deployment.hosts_with_role(Role::Backend) {
             let address = match host.versions.is_empty() {
                 true => {
                     let service =
@@ -154,7 +154,7 @@
             };
             hosts.push(with_address(host, address));
         }
-        for host in deployment.of_role(Role::Rater) {
+        for host in deployment.hosts_with_role(Role::Rater) {
             let rater = rater::start(settings::any_port(), rater::Faults::default())?;
             hosts.push(with_address(host, rater.address));
             self.raters.push(rater);
@@ -169,7 +169,7 @@
     ) -> Result<Vec<Peer>, Error> {
         let mut bound = Vec::new();
         let mut peers = Vec::new();
-        for host in deployment.of_role(Role::Control) {
+        for host in deployment.hosts_with_role(Role::Control) {
             let settings = settings::control(host, self.platform.address);
             let listeners = control::Listeners::bind(&settings).await?;
             let address = listeners.peers.local_addr()?;
@@ -195,7 +195,7 @@
         metrics: &PrometheusHandle,
     ) -> Result<Vec<(Name, SocketAddr)>, Error> {
         let mut operators = Vec::new();
-        for host in deployment.of_role(Role::Entry) {
+        for host in deployment.hosts_with_role(Role::Entry) {
             let settings = settings::entry(host, controls);
             let listeners = entry::Listeners::bind(&settings).await?;
             self.entries.push(listeners.callers.local_addr()?);
--- a/crates/chestnutspur/src/command/demo/summary.rs
+++ b/crates/chestnutspur/src/command/demo/summary.rs
@@ -130,7 +130,7 @@
     /// Describes each count that must be 0 and is not, and each unclean stop.
     #[must_use]
     pub fn faults(&self) -> Vec<String> {
-        let numbers = self.audit.numbers();
+        let numbers = self.audit.counts();
         let numbers = numbers.iter().filter(|(_, number)| *number > 0);
         let numbers = numbers.map(|(name, number)| format!("{name}: {number}"));
         let unclean = self.unclean.iter().map(|why| format!("unclean stop: {why}"));
@@ -172,7 +172,7 @@
     let engines = fleet.engines.iter().zip(&journal.runs_before);
     let counts = engines.map(|(engine, before)| {
         let after = engine.runs().into_iter().filter(|run| run.order >= *before);
-        after.filter(|run| run.version == journal.turned_bad && run.began()).count() as u64
+        after.filter(|run| run.version == journal.turned_bad && run.has_begun()).count() as u64
     });
     counts.sum()
 }
@@ -202,7 +202,7 @@
             )?;
         }
         writeln!(f, "audit, from the stand-ins' own records:")?;
-        for (name, number) in self.audit.numbers() {
+        for (name, number) in self.audit.counts() {
             writeln!(f, "  {name:<32}{number:>10}")?;
         }
         Ok(())
--- a/crates/chestnutspur/src/command/demo/traffic.rs
+++ b/crates/chestnutspur/src/command/demo/traffic.rs
@@ -98,7 +98,7 @@
 impl Draw {
     /// Draws a number from 0 to 1.
     fn share(&self, label: &str) -> f64 {
-        draw::share(self.seed, &["demo", label, &self.number.to_string()])
+        draw::uniform(self.seed, &["demo", label, &self.number.to_string()])
     }
 
     /// Draws one of several choices by their weights.
--- a/crates/chestnutspur/src/command/standin.rs
+++ b/crates/chestnutspur/src/command/standin.rs
@@ -143,7 +143,7 @@
                 None => read_settings(settings.as_deref())?,
             };
             if let Some(file) = configuration {
-                settings.rows = deployment::rows(&read_document(&file)?);
+                settings.rows = deployment::configuration_rows(&read_document(&file)?);
             }
             if hosts.is_some() {
                 settings.hosts = read_settings(hosts.as_deref())?;
--- a/crates/chestnutspur/tests/bills.rs
+++ b/crates/chestnutspur/tests/bills.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use policy::name::Name;
-use standin::fault::Down;
+use standin::fault::Outage;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
 use support::call::Call;
@@ -42,7 +42,7 @@
     // that hold them.
     let mut deployment = Deployment::start("bills-kill", Plan::default()).await;
     let mut count = count_answered(&deployment, &[0, 1, 2, 3], 40).await;
-    deployment.platform.set_faults(Faults { down: Down::Cut, ..Faults::default() });
+    deployment.platform.set_faults(Faults { down: Outage::Cut, ..Faults::default() });
     count += count_answered(&deployment, &[0, 1, 2, 3], 80).await;
     assert_eq!(count, 120, "requests are answered during a platform outage");
     deployment.hosts[0].control.kill();
--- a/crates/chestnutspur/tests/soak/faults.rs
+++ b/crates/chestnutspur/tests/soak/faults.rs
@@ -7,7 +7,7 @@
 use policy::place::mix;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
-use standin::routed::Act;
+use standin::routed::Reply;
 
 use wire::routing::Warmup;
 
@@ -218,7 +218,7 @@
         }
         _ => {
             let rate = [None, Some(0.5), Some(2.0), Some(20.0)][rng.index(4)];
-            fleet.backends[backend].name_limit(rate);
+            fleet.backends[backend].announce_rate_limit(rate);
             return format!("backend {backend} limit {rate:?}");
         }
     }
@@ -241,7 +241,7 @@
             format!("node {node}'s connections to the store silent")
         }
         5 => {
-            fleet.store.forget();
+            fleet.store.forget_history();
             "history dropped".to_owned()
         }
         6 => {
@@ -249,7 +249,7 @@
             "long tables from now on".to_owned()
         }
         7 => {
-            fleet.store_proxies[node].set_rate(Some(SLOW_LINK_BYTES_PER_S));
+            fleet.store_proxies[node].set_bytes_per_second(Some(SLOW_LINK_BYTES_PER_S));
             format!("node {node}'s link to the store slow")
         }
         _ => {
@@ -364,14 +364,14 @@
                 fleet.store.set_faults(Faults::unavailable());
             }
             let at = Instant::now();
-            fleet.backends[backend].leave(true);
+            fleet.backends[backend].set_leaving(true);
             tokio::time::sleep(rng.ms(2_500, 4_000)).await;
             history.announced_departures.push(Departure {
                 number: backend,
                 at,
                 ended_at: Instant::now(),
             });
-            fleet.backends[backend].leave(false);
+            fleet.backends[backend].set_leaving(false);
             fleet.store.set_faults(Faults::default());
             fleet.restart_backend(backend);
             format!("backend {backend} said that it leaves")
@@ -391,9 +391,9 @@
         }
         _ => {
             let duration = rng.ms(500, 2_500);
-            fleet.backends[backend].set(Act::Pause(["0.8", "1.5", "3"][rng.index(3)]));
+            fleet.backends[backend].set_reply(Reply::RejectFor(["0.8", "1.5", "3"][rng.index(3)]));
             tokio::time::sleep(duration).await;
-            fleet.backends[backend].set(Act::Stream(callers::script()));
+            fleet.backends[backend].set_reply(Reply::Stream(callers::script()));
             format!("backend {backend} asked for pauses for {duration:?}")
         }
     }
--- a/crates/chestnutspur/tests/soak/verdict.rs
+++ b/crates/chestnutspur/tests/soak/verdict.rs
@@ -67,7 +67,7 @@
 fn runs(fleet: &Fleet) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
     for backend in &fleet.backends {
-        for arrival in backend.arrivals().iter().filter(|arrival| arrival.pause.is_none()) {
+        for arrival in backend.arrivals().iter().filter(|arrival| arrival.retry_after.is_none()) {
             let id = arrival.headers[names::REQUEST_ID].to_str().unwrap_or_default().to_owned();
             *runs.entry(id).or_default() += 1;
         }
@@ -182,7 +182,7 @@
             .filter_map(|one| by_id.get(id(one)).map(|seen| (one, seen.node)))
             .collect();
         for (first, node) in &with_nodes {
-            let Some(pause) = first.pause else { continue };
+            let Some(pause) = first.retry_after else { continue };
             let (from, to) = (first.at + IN_FLIGHT_GRACE, first.at + pause);
             let within =
                 |(one, by): &&(&Arrival, SocketAddr)| by == node && one.at > from && one.at < to;
--- a/crates/chestnutspur/tests/support/mod.rs
+++ b/crates/chestnutspur/tests/support/mod.rs
@@ -352,7 +352,7 @@
     /// Returns all runs that an engine or the service began.
     pub fn runs(&self) -> Vec<Run> {
         let engines = self.engines.iter().flat_map(|(engine, _)| engine.runs());
-        engines.chain(self.service.0.runs()).filter(Run::began).collect()
+        engines.chain(self.service.0.runs()).filter(Run::has_begun).collect()
     }
 
     /// Returns the runs of a prompt.
