--- a/crates/chestnutspur/src/command/check.rs
+++ b/crates/chestnutspur/src/command/check.rs
@@ -33,7 +33,7 @@
 
 /// Checks the platform's table of routes; faults are named by our own names of its members.
 fn table(text: &str) -> Result<String, Vec<Fault>> {
-    let table = platform::document::configuration(text.as_bytes());
+    let table = platform::document::parse_configuration(text.as_bytes());
     let table = table.map_err(|error| vec![Fault::at("", error)])?;
     match routing::check(&table) {
         faults if faults.is_empty() => Ok(format!("table of routes, version {}", table.version)),
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -51,14 +51,14 @@
     /// For the store at an address.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
-        let platform = platform::Client::new(address).within(CALL);
+        let platform = platform::Client::new(address).with_timeout(CALL);
         Self { platform, known: Arc::default() }
     }
 
     /// Sets the longest time one call may take.
     #[must_use]
     pub fn within(self, within: Duration) -> Self {
-        Self { platform: self.platform.within(within), ..self }
+        Self { platform: self.platform.with_timeout(within), ..self }
     }
 
     /// One row, if it exists.
--- a/crates/standin/src/routed.rs
+++ b/crates/standin/src/routed.rs
@@ -302,7 +302,7 @@
         };
         let limit = lock(&self.per_second).and_then(|rate| rate.to_string().parse().ok());
         if let Some(limit) = limit {
-            response.headers_mut().insert(names::LIMIT, limit);
+            response.headers_mut().insert(names::RATE_LIMIT, limit);
         }
         if let Some(places) = places {
             let working = self.working.load(Ordering::Relaxed);
@@ -312,7 +312,7 @@
                 .extend(load.ok().map(|load| (HeaderName::from_static(names::LOAD), load)));
         }
         if let Some(per_second) = *lock(&self.tolerance) {
-            response.headers_mut().insert(names::BRITTLE, per_second.into());
+            response.headers_mut().insert(names::REJECTION_TOLERANCE, per_second.into());
         }
         if self.leaves.load(Ordering::Relaxed) {
             response.headers_mut().insert(names::LEAVING, reply::value("1"));
