--- a/crates/chestnutspur/src/command/check.rs
+++ b/crates/chestnutspur/src/command/check.rs
@@ -35,7 +35,7 @@
 /// Checks the platform's routing table. Faults name its members as `wire::routing` does, not as the
 /// platform's document does.
 fn check_routing_table(text: &str) -> Result<String, Vec<Fault>> {
-    let table = platform::document::configuration(text.as_bytes());
+    let table = platform::document::parse_configuration(text.as_bytes());
     let table = table.map_err(|error| vec![Fault::at("", error)])?;
     match routing::check(&table) {
         faults if faults.is_empty() => Ok(format!("routing table, version {}", table.version)),
--- a/crates/standin/src/routed.rs
+++ b/crates/standin/src/routed.rs
@@ -325,7 +325,7 @@
         };
         let limit = lock(&self.rate_limit).and_then(|rate| rate.to_string().parse().ok());
         if let Some(limit) = limit {
-            response.headers_mut().insert(names::LIMIT, limit);
+            response.headers_mut().insert(names::RATE_LIMIT, limit);
         }
         if let Some(slots) = slots {
             let in_flight = self.in_flight.load(Ordering::Relaxed);
@@ -335,7 +335,7 @@
                 .extend(load.ok().map(|load| (HeaderName::from_static(names::LOAD), load)));
         }
         if let Some(per_second) = *lock(&self.rejection_tolerance) {
-            response.headers_mut().insert(names::BRITTLE, per_second.into());
+            response.headers_mut().insert(names::REJECTION_TOLERANCE, per_second.into());
         }
         if self.is_leaving.load(Ordering::Relaxed) {
             response.headers_mut().insert(names::LEAVING, reply::static_value("1"));
