--- a/crates/chestnutspur/src/command.rs
+++ b/crates/chestnutspur/src/command.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub enum Command {
-    /// Run the data plane of one entry host: relays callers' requests to backend servers
+    /// Run the data plane of one entry host, which relays callers' requests to backend servers
     ///
     /// Prints one JSON line with its listening addresses, then logs on standard error until
     /// SIGTERM. Then it finishes the requests in flight and exits with code 0.
@@ -89,7 +89,7 @@
     /// Count the bills in the object store, and those that are duplicated or missing
     #[bpaf(command)]
     Bills(#[bpaf(external(status::arguments))] status::Arguments),
-    /// Reports on a running deployment
+    /// Print reports on a running deployment
     #[bpaf(command)]
     Report(#[bpaf(external(report::report))] report::Report),
     /// Run a whole deployment on loopback with faults, and audit the results
--- a/crates/chestnutspur/src/command/apply.rs
+++ b/crates/chestnutspur/src/command/apply.rs
@@ -10,7 +10,7 @@
 use crate::http::{Call, Response};
 use crate::{command, process};
 
-/// Arguments of `apply`
+/// Arguments of apply
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
     /// Address of a control's operators' port
--- a/crates/chestnutspur/src/command/demo.rs
+++ b/crates/chestnutspur/src/command/demo.rs
@@ -17,7 +17,7 @@
 use fleet::Fleet;
 use summary::Summary;
 
-/// Arguments of `demo`
+/// Arguments of demo
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
     /// Name of the deployment: nl-centraal or midlands
--- a/crates/chestnutspur/src/command/demo/caller.rs
+++ b/crates/chestnutspur/src/command/demo/caller.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Token(pub Option<String>);
 
-/// Credentials of one client account's callers.
+/// What the callers of one client account put into each request.
 #[derive(Clone)]
 pub struct Caller {
     /// Key of the client account.
--- a/crates/chestnutspur/src/command/experiment.rs
+++ b/crates/chestnutspur/src/command/experiment.rs
@@ -9,7 +9,7 @@
 
 use crate::exit::Exit;
 
-/// Arguments of `experiment`
+/// Arguments of experiment
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
     /// Print one JSON line for each policy (way)
--- a/crates/chestnutspur/src/command/explain.rs
+++ b/crates/chestnutspur/src/command/explain.rs
@@ -48,8 +48,8 @@
     let backends: Vec<&str> = own.iter().map(|line| line.text("backend")).collect();
     let services: Vec<&str> = own.iter().map(|line| line.text("service")).collect();
     let digests: Vec<&str> = own.iter().map(|line| line.text("digest")).collect();
-    // Requests with the same digest are the same request under another id, at any host: retries by
-    // the caller, and backend servers lost while they ran it.
+    // Lines with the same digest are about the same request, perhaps under another id and at another
+    // host: its other attempts, and the backend servers lost with it.
     let is_same = |line: &Line| {
         let digest = line.text("digest");
         !digest.is_empty() && digests.contains(&digest)
--- a/crates/chestnutspur/src/command/load.rs
+++ b/crates/chestnutspur/src/command/load.rs
@@ -11,7 +11,7 @@
 use crate::exit::Exit;
 use crate::process;
 
-/// Arguments of `load`
+/// Arguments of load
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
     /// Address of the first target
--- a/crates/chestnutspur/src/command/replay.rs
+++ b/crates/chestnutspur/src/command/replay.rs
@@ -10,7 +10,7 @@
 
 use crate::exit::Exit;
 
-/// Arguments of `replay`
+/// Arguments of replay
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
     /// Replay with another policy, as a baseline: best, cheapest, split, likelihood, undetected,
--- a/crates/chestnutspur/src/command/report.rs
+++ b/crates/chestnutspur/src/command/report.rs
@@ -30,7 +30,7 @@
     Decisions(#[bpaf(external(decisions::arguments))] decisions::Arguments),
 }
 
-/// Arguments of `report burn`
+/// Arguments of report burn
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
     /// Address of a control's operators' port; that control has the counts of all hosts it can
--- a/crates/chestnutspur/src/command/report/decisions.rs
+++ b/crates/chestnutspur/src/command/report/decisions.rs
@@ -8,7 +8,7 @@
 use crate::command::explain;
 use crate::exit::Exit;
 
-/// Arguments of `report decisions`
+/// Arguments of report decisions
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
     /// Also plot outcomes over time, and expected against measured times, as SVG files in this
--- a/crates/chestnutspur/src/command/standin.rs
+++ b/crates/chestnutspur/src/command/standin.rs
@@ -17,8 +17,9 @@
 /// Kinds of stand-ins
 #[derive(Clone, Debug, Bpaf)]
 pub enum Standin {
-    /// The platform: table, objects and host list. Accepts PUT /hosts and PUT /faults; GET /records
-    /// returns what it recorded
+    /// The platform: table, objects and host list
+    ///
+    /// Accepts PUT /hosts and PUT /faults; GET /records returns what it recorded.
     #[bpaf(command)]
     Platform {
         /// Address to listen on
--- a/crates/chestnutspur/src/command/status.rs
+++ b/crates/chestnutspur/src/command/status.rs
@@ -8,7 +8,7 @@
 use crate::http::Call;
 use crate::{command, process};
 
-/// Arguments of `status` and `bills`
+/// Arguments of status and bills
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
     /// Address of a control's operators' port
--- a/crates/chestnutspur/src/command/trace.rs
+++ b/crates/chestnutspur/src/command/trace.rs
@@ -5,7 +5,7 @@
 
 use crate::exit::Exit;
 
-/// Arguments of `trace`
+/// Arguments of trace
 #[derive(Clone, Debug, Bpaf)]
 pub struct Arguments {
     /// Kind of trace: steady-benefit, steady-feed, sudden, slow, rollout, bad-candidate,
--- a/crates/chestnutspur/tests/answers.rs
+++ b/crates/chestnutspur/tests/answers.rs
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_that_stall_end_at_once_with_the_truth() {
+async fn answers_that_stall_are_refused_at_the_first_byte_timeout() {
     // An engine falls silent before the first byte of its answer. The caller of a letter is told
     // that it may have run as soon as the first-byte timeout has passed, not only at the deadline.
     // The engine's connection is closed, which cancels the work.
@@ -158,7 +158,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_of_engines_out_of_reach_say_not_run() {
+async fn refusals_with_unreachable_engines_are_true() {
     // Connections to the engines are reset. The letter is refused, and a refusal that says it did
     // not run is true. Once the engines are reachable again, a letter is answered.
     let deployment = Deployment::start("out-of-reach", one_host()).await;
--- a/crates/chestnutspur/tests/soak.rs
+++ b/crates/chestnutspur/tests/soak.rs
@@ -36,7 +36,7 @@
 const REGRESSION_SEEDS: [u64; 9] = [5, 35, 47, 50, 56, 4, 10, 19, 37];
 /// Length of the part of a run in which faults are injected.
 const FAULT_DURATION: Duration = Duration::from_secs(6);
-/// Number of seeds run at the same time; each starts a fleet of three processes.
+/// Number of seeds run at the same time; each starts its own fleet with three node processes.
 const PARALLEL_FLEETS: usize = 4;
 /// Environment variable that selects the seeds.
 const SEEDS_VARIABLE: &str = "CHESTNUTSPUR_SOAK_SEEDS";
--- a/crates/chestnutspur/tests/soak/faults.rs
+++ b/crates/chestnutspur/tests/soak/faults.rs
@@ -26,11 +26,11 @@
     /// Failure domains are evacuated, and restarted servers have to warm up.
     Evacuations,
     /// Servers announce in their answers that they leave, or ask for a pause.
-    Statements,
+    Announcements,
     /// Open connections fall silent for good, while new ones work; tables change and servers leave.
     Silences,
     /// The store is restored from a backup; the lost changes are written again after a while.
-    Copies,
+    Restores,
 }
 
 impl Scenario {
@@ -39,9 +39,9 @@
         Self::Store,
         Self::Planned,
         Self::Evacuations,
-        Self::Statements,
+        Self::Announcements,
         Self::Silences,
-        Self::Copies,
+        Self::Restores,
     ];
 
     /// Returns the scenario of a seed. Small seeds kept theirs when scenarios were added, so that
@@ -52,8 +52,8 @@
             1_000..2_000 => Self::Evacuations,
             3_000..4_000 => Self::Network,
             4_000..5_000 => Self::Silences,
-            5_000..6_000 => Self::Copies,
-            2_000..10_000 => Self::Statements,
+            5_000..6_000 => Self::Restores,
+            2_000..10_000 => Self::Announcements,
             _ => Self::ALL[(seed % 7) as usize],
         }
     }
@@ -173,9 +173,9 @@
             Scenario::Store => store(fleet, &mut rng, &mut version).await,
             Scenario::Planned => planned(fleet, &mut rng, &mut version, &mut history).await,
             Scenario::Evacuations => evacuations(fleet, &mut rng, &mut history).await,
-            Scenario::Statements => statements(fleet, &mut rng, &mut history).await,
+            Scenario::Announcements => announcements(fleet, &mut rng, &mut history).await,
             Scenario::Silences => silences(fleet, &mut rng, &mut version, &mut history).await,
-            Scenario::Copies => copies(fleet, &mut rng, &mut version, &mut history).await,
+            Scenario::Restores => restores(fleet, &mut rng, &mut version, &mut history).await,
         };
         history.steps.push(format!("{at} ms: {step}"));
     }
@@ -354,7 +354,7 @@
     }
 }
 
-async fn statements(fleet: &mut Fleet, rng: &mut Rng, history: &mut History) -> String {
+async fn announcements(fleet: &mut Fleet, rng: &mut Rng, history: &mut History) -> String {
     let node = rng.index(fleet.nodes.len());
     let backend = rng.index(fleet.backends.len());
     match rng.below(4) {
@@ -437,7 +437,7 @@
 
 /// Changes the table, then restores the store from a backup made before the change. A server leaves
 /// shortly before the restore or shortly after it.
-async fn copies(
+async fn restores(
     fleet: &mut Fleet,
     rng: &mut Rng,
     version: &mut u64,
--- a/crates/chestnutspur/tests/soak/fleet.rs
+++ b/crates/chestnutspur/tests/soak/fleet.rs
@@ -148,7 +148,7 @@
             fleet.nodes.push(node);
         }
         for number in 0..NODE_COUNT {
-            fleet.until_ready(number).await;
+            fleet.wait_until_ready(number).await;
         }
         fleet
     }
@@ -253,7 +253,7 @@
             .then(|| format!("{more} more servers crashed from one {:?}", self.crash))
     }
 
-    async fn until_ready(&self, number: usize) {
+    async fn wait_until_ready(&self, number: usize) {
         let started_at = Instant::now();
         while !callers::is_ready(self.nodes[number].operators).await {
             let is_late = started_at.elapsed() > Duration::from_secs(20);
@@ -278,7 +278,7 @@
             self.nodes[number].ensure_started();
         }
         for number in 0..NODE_COUNT {
-            self.until_ready(number).await;
+            self.wait_until_ready(number).await;
         }
     }
 
--- a/crates/chestnutspur/tests/soak/verdict.rs
+++ b/crates/chestnutspur/tests/soak/verdict.rs
@@ -35,7 +35,7 @@
     for observation in observations {
         let ran = runs.get(&observation.id).copied().unwrap_or_default();
         let planned = history.scenario == Scenario::Planned && !is_starting(observation, history);
-        if let Some(why) = judge_one(observation, ran, planned) {
+        if let Some(why) = judge_request(observation, ran, planned) {
             let Observation { id, kind, node, outcome, latency, .. } = observation;
             violations.push(format!(
                 "{why}: {id} ({kind:?}) at {node}, {outcome:?} after {latency:?}, ran {ran}"
@@ -84,7 +84,7 @@
     refused && started.into_iter().any(|(_, at)| one.sent_at >= *at && one.sent_at < *at + STARTUP)
 }
 
-fn judge_one(one: &Observation, ran: usize, planned: bool) -> Option<&'static str> {
+fn judge_request(one: &Observation, ran: usize, planned: bool) -> Option<&'static str> {
     match &one.outcome {
         _ if one.kind == Kind::Once && ran > 1 => Some("ran twice"),
         _ if ran > ATTEMPTS_MAX as usize => Some("ran on more servers than its route allows"),
