--- a/crates/chestnutspur/tests/soak/faults.rs
+++ b/crates/chestnutspur/tests/soak/faults.rs
@@ -7,7 +7,7 @@
 use policy::place::mix;
 use standin::platform::fault::Faults;
 use standin::proxy::Mode;
-use standin::routed::Reply;
+use standin::routed::ScriptedReply;
 
 use wire::routing::Warmup;
 
@@ -391,9 +391,10 @@
         }
         _ => {
             let duration = rng.ms(500, 2_500);
-            fleet.backends[backend].set_reply(Reply::RejectFor(["0.8", "1.5", "3"][rng.index(3)]));
+            fleet.backends[backend]
+                .set_reply(ScriptedReply::RejectFor(["0.8", "1.5", "3"][rng.index(3)]));
             tokio::time::sleep(duration).await;
-            fleet.backends[backend].set_reply(Reply::Stream(callers::script()));
+            fleet.backends[backend].set_reply(ScriptedReply::Stream(callers::script()));
             format!("backend {backend} asked for pauses for {duration:?}")
         }
     }
--- a/crates/chestnutspur/tests/soak/fleet.rs
+++ b/crates/chestnutspur/tests/soak/fleet.rs
@@ -12,7 +12,7 @@
 use standin::platform::Platform;
 use standin::platform::fault::Faults;
 use standin::proxy::{self, Mode, Proxy};
-use standin::routed::{Arrival, Reply, ScriptedServer};
+use standin::routed::{Arrival, ScriptedReply, ScriptedServer};
 use standin::server::{Running, start};
 use wire::routing::{Account, Limits, Route, Service, Table, Target, Warmup};
 
@@ -134,7 +134,7 @@
         };
         fleet.put_table(1);
         for number in 0..BACKEND_COUNT {
-            let act = Reply::Stream(callers::script());
+            let act = ScriptedReply::Stream(callers::script());
             let backend = start(any_port(), ScriptedServer::new(act)).expect("backend server");
             backend.crash_on_body(callers::CRASH_BODY);
             backend.crash_on_prompt_parts(&[callers::CRASH_PART]);
@@ -267,7 +267,7 @@
         self.store.set_faults(Faults::default());
         self.backends.iter().for_each(|backend| {
             backend.announce_rate_limit(None);
-            backend.set_reply(Reply::Stream(callers::script()));
+            backend.set_reply(ScriptedReply::Stream(callers::script()));
         });
         for proxy in self.store_proxies.iter().chain(&self.backend_proxies) {
             proxy.set_mode(Mode::Pass);
--- a/crates/standin/src/platform/audit.rs
+++ b/crates/standin/src/platform/audit.rs
@@ -79,7 +79,8 @@
         };
         // Objects come sorted by name, so the batches of a log come in the order of their numbers.
         let expected = next_numbers.entry(batch.incarnation.clone()).or_default();
-        let missing = (*expected..batch.number).map(|n| wire::bill::object_name(&batch.incarnation, n));
+        let missing =
+            (*expected..batch.number).map(|n| wire::bill::object_name(&batch.incarnation, n));
         all.gaps.extend(missing);
         *expected = batch.number + 1;
         let ids = batch.bills.iter().map(|bill| bill.request.clone());
--- a/crates/standin/src/routed.rs
+++ b/crates/standin/src/routed.rs
@@ -23,7 +23,7 @@
 
 /// What the server does with a request.
 #[derive(Clone, Debug)]
-pub enum Reply {
+pub enum ScriptedReply {
     /// Answers with this status and a signature.
     Answer(u16),
     /// Answers with the id of another request.
@@ -44,7 +44,7 @@
     Stream(Script),
 }
 
-impl Reply {
+impl ScriptedReply {
     /// The pause that this reply asks for; `None` if it asks for none, or if its text is not a
     /// number of seconds.
     fn retry_after(&self) -> Option<Duration> {
@@ -104,9 +104,9 @@
 /// The state of a backend server of routed requests.
 pub struct ScriptedServer {
     /// Reply to requests for which none is queued.
-    default: Mutex<Reply>,
+    default: Mutex<ScriptedReply>,
     /// Replies to the next requests, each used once.
-    queue: Mutex<VecDeque<Reply>>,
+    queue: Mutex<VecDeque<ScriptedReply>>,
     /// Limit of requests a second that the answers announce; `None` for no announcement.
     rate_limit: Mutex<Option<f64>>,
     /// Rejected requests a second that the answers announce as tolerated; `None` for no
@@ -178,7 +178,7 @@
 impl ScriptedServer {
     /// Makes a server that gives this reply to every request.
     #[must_use]
-    pub fn new(default_reply: Reply) -> Self {
+    pub fn new(default_reply: ScriptedReply) -> Self {
         Self {
             default: Mutex::new(default_reply),
             queue: Mutex::default(),
@@ -197,12 +197,12 @@
     }
 
     /// Sets the reply to requests for which none is queued.
-    pub fn set_reply(&self, default_reply: Reply) {
+    pub fn set_reply(&self, default_reply: ScriptedReply) {
         *lock(&self.default) = default_reply;
     }
 
     /// Queues a reply, which is used for one request.
-    pub fn queue_reply(&self, reply: Reply) {
+    pub fn queue_reply(&self, reply: ScriptedReply) {
         lock(&self.queue).push_back(reply);
     }
 
@@ -287,7 +287,7 @@
         let is_crash = self.is_crashed_by(&headers, &body);
         let reply = || lock(&self.queue).pop_front().unwrap_or_else(|| lock(&self.default).clone());
         let reply = (!is_crash).then(reply);
-        let retry_after = reply.as_ref().and_then(Reply::retry_after);
+        let retry_after = reply.as_ref().and_then(ScriptedReply::retry_after);
         let at = Instant::now();
         lock(&self.arrivals).push(Arrival {
             headers: headers.clone(),
@@ -306,7 +306,7 @@
         let reply = match slots {
             Some((slots, _)) if slot.number >= slots => {
                 lock(&self.rejected_at).push(at);
-                Reply::Reject
+                ScriptedReply::Reject
             }
             Some((_, work)) => {
                 tokio::time::sleep(work).await;
@@ -351,7 +351,11 @@
     Stream(Response<()>, Script, u64),
 }
 
-async fn respond(reply: Reply, headers: &HeaderMap, work: &mut Work) -> Result<Answer, Cut> {
+async fn respond(
+    reply: ScriptedReply,
+    headers: &HeaderMap,
+    work: &mut Work,
+) -> Result<Answer, Cut> {
     let id = headers.get(names::REQUEST_ID).cloned();
     let sign = |mut response: Response<Body>| {
         if let Some(id) = id.clone() {
@@ -362,35 +366,35 @@
     };
     let status = |status: u16| StatusCode::from_u16(status).unwrap_or_default();
     Ok(Answer::Whole(match reply {
-        Reply::Answer(code) => sign(reply::bytes(status(code), "answer")),
-        Reply::AnswerOther => {
+        ScriptedReply::Answer(code) => sign(reply::bytes(status(code), "answer")),
+        ScriptedReply::AnswerOther => {
             let mut response = sign(reply::bytes(StatusCode::OK, "another's answer"));
             response.headers_mut().insert(names::REQUEST_ID, reply::static_value("another"));
             response
         }
-        Reply::Unsigned => {
+        ScriptedReply::Unsigned => {
             let mut response = sign(reply::bytes(StatusCode::OK, "anybody's answer"));
             response.headers_mut().remove(names::SIGNATURE);
             response
         }
-        Reply::Reject => {
+        ScriptedReply::Reject => {
             let mut response = reply::bytes(StatusCode::SERVICE_UNAVAILABLE, "");
             response.headers_mut().insert(names::NOT_RUN, reply::static_value("1"));
             response
         }
-        Reply::RejectFor(retry_after) => {
+        ScriptedReply::RejectFor(retry_after) => {
             let mut response = reply::bytes(StatusCode::SERVICE_UNAVAILABLE, "");
             response.headers_mut().insert(names::NOT_RUN, reply::static_value("1"));
             response.headers_mut().insert(RETRY_AFTER, reply::static_value(retry_after));
             response
         }
-        Reply::Misdirected => reply::bytes(StatusCode::MISDIRECTED_REQUEST, ""),
-        Reply::Reset => {
+        ScriptedReply::Misdirected => reply::bytes(StatusCode::MISDIRECTED_REQUEST, ""),
+        ScriptedReply::Reset => {
             work.finish();
             return Err(Cut);
         }
-        Reply::Silence => std::future::pending().await,
-        Reply::Stream(script) => {
+        ScriptedReply::Silence => std::future::pending().await,
+        ScriptedReply::Stream(script) => {
             let last = headers.get(names::LAST_EVENT).and_then(|last| last.to_str().ok());
             let last: u64 = last.and_then(|last| last.parse().ok()).unwrap_or_default();
             let mut response = sign(reply::bytes(StatusCode::OK, "")).map(|_| ());
