--- a/crates/entry/src/carry.rs
+++ b/crates/entry/src/carry.rs
@@ -39,11 +39,11 @@
     ) -> impl Future<Output = Step<Self::Answer, Self::Failure>> + Send;
 
     /// A try failed: who is to blame, and what is known of the request now.
-    fn failed(&mut self, server: &Self::Server, failure: Self::Failure);
+    fn record_failure(&mut self, server: &Self::Server, failure: Self::Failure);
 
     /// Whether another try may be made. It must not be one that could run a request twice which
     /// may run once only, and what it costs is paid here.
-    fn may_go_on(&mut self) -> bool;
+    fn may_retry(&mut self) -> bool;
 
     /// What the caller gets when nothing more is tried.
     ///
@@ -63,9 +63,9 @@
             Step::Answered(answer) => return Ok(answer),
             Step::Refused(refusal) => return Err(refusal),
             Step::Dropped => {}
-            Step::Failed(failure) => request.failed(&server, failure),
+            Step::Failed(failure) => request.record_failure(&server, failure),
         }
-        if !request.may_go_on() {
+        if !request.may_retry() {
             return request.give_up();
         }
     }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    fn failed(&mut self, server: &Arc<Server>, failed: Failed) {
+    fn record_failure(&mut self, server: &Arc<Server>, failed: Failed) {
         let Failed { failure, .. } = failed;
         self.tries.sent |= failure.sent;
         self.tries.last = Some(failure.cause);
@@ -115,8 +115,8 @@
             .increment(1);
     }
 
-    fn may_go_on(&mut self) -> bool {
-        may_go_on(self.state, self.job, &self.tries)
+    fn may_retry(&mut self) -> bool {
+        may_retry(self.state, self.job, &self.tries)
     }
 
     fn give_up(&mut self) -> Result<Reply, Refusal> {
@@ -239,7 +239,7 @@
     }
 }
 
-fn may_go_on(state: &State, job: &Job, tries: &Tries) -> bool {
+fn may_retry(state: &State, job: &Job, tries: &Tries) -> bool {
     let attempt = Attempt {
         may_repeat: job.may_repeat,
         first_byte_written: tries.sent,
--- a/crates/gateway/src/carry.rs
+++ b/crates/gateway/src/carry.rs
@@ -218,11 +218,11 @@
         }
     }
 
-    fn failed(&mut self, backend: &Arc<Backend>, failure: Failure) {
+    fn record_failure(&mut self, backend: &Arc<Backend>, failure: Failure) {
         self.blame(backend, failure);
     }
 
-    fn may_go_on(&mut self) -> bool {
+    fn may_retry(&mut self) -> bool {
         self.claim_attempt().is_ok()
     }
 
--- a/crates/gateway/src/resume.rs
+++ b/crates/gateway/src/resume.rs
@@ -118,11 +118,11 @@
         }
     }
 
-    fn failed(&mut self, backend: &Arc<Backend>, failure: Failure) {
+    fn record_failure(&mut self, backend: &Arc<Backend>, failure: Failure) {
         self.job.blame(backend, failure);
     }
 
-    fn may_go_on(&mut self) -> bool {
+    fn may_retry(&mut self) -> bool {
         let leave = self.job.claim_attempt();
         self.obstacle = leave.err().unwrap_or(self.obstacle);
         leave.is_ok()
