--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! The HTTP body of an answer to a caller.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,8 +7,8 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// The answer broke off. hyper then closes the caller's connection without a clean end, so the
-/// caller sees a broken answer and never takes it for a whole one.
+/// The error of an answer that broke off. It makes hyper close the caller's connection without a
+/// clean end, so that the caller can't take the broken answer for a whole one.
 #[derive(Clone, Copy, Debug)]
 pub struct Broken;
 
@@ -20,16 +20,16 @@
 
 impl std::error::Error for Broken {}
 
-/// A body, whole or coming piece by piece from a relay.
+/// A body that is either complete or arrives piece by piece from a relay.
 pub enum Answer {
-    /// All of it; none once sent.
+    /// The complete body; `None` if it is empty or has been sent.
     Whole(Option<Bytes>),
-    /// Pieces; the relay stops when this end is dropped.
+    /// The pieces that a relay sends. The relay stops when the receiver is dropped.
     Pieces(mpsc::Receiver<Result<Bytes, Broken>>),
 }
 
 impl Answer {
-    /// A whole body.
+    /// A complete body.
     #[must_use]
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty()))
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request as the chain sees it.
+//! Reads a caller's request: its route, headers and body.
 
 use std::time::{Duration, Instant};
 
@@ -11,62 +11,66 @@
 use wire::refusal::{Code, Refusal};
 use wire::settings::Bounds;
 
-/// A body may take this many times the limit between two of its pieces altogether, so that a
-/// caller that sends single bytes just in time is cut off too.
+/// Maximum time for a whole body, as a multiple of the longest wait between two of its pieces.
+/// Without it, a caller could send single bytes just in time forever.
 const BODY_SLOW_FACTOR: u32 = 6;
-/// Room made for a body before its first byte. Its length is what the caller says: one that announces a
-/// long body and never sends it would hold that much for nothing.
-const BODY_BEGUN_BYTES_MAX: usize = 64 << 10;
-/// Longest header value taken as a name of the caller's own: key, session, task.
+/// Maximum memory allocated for a body before its first byte. The caller declares the length, and
+/// one that declares a long body and never sends it would occupy that much memory for nothing.
+const BODY_PREALLOCATED_BYTES_MAX: usize = 64 << 10;
+/// Maximum length of a name that the caller chooses and sends in a header: idempotency key or
+/// session.
 pub const NAME_BYTES_MAX: usize = 256;
 
-/// Where a request goes.
+/// The destination of a request, from its path.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Route {
-    /// A model.
+    /// A chat completion by a model.
     Chat,
-    /// A plain service and the path below its name, query included.
+    /// A call of a plain service.
     Service {
-        /// Its name.
+        /// The name of the service.
         name: Name,
-        /// What it is asked for, from the slash on.
+        /// The path below the service's name, with its leading slash and the query.
         path: String,
     },
 }
 
-/// A request, its body not yet read.
+/// The head of a request.
 pub struct Call {
-    /// Unique for all time.
+    /// The id that the entry host gave to the request; never used again.
     pub id: Name,
-    /// When its head was read.
+    /// The time at which the request's head was read.
     pub started: Instant,
-    /// As sent by the caller.
+    /// The method that the caller sent.
     pub method: Method,
-    /// As sent by the caller.
+    /// The headers that the caller sent.
     pub headers: HeaderMap,
-    /// Where it goes.
+    /// The destination of the request.
     pub route: Route,
 }
 
 impl Call {
-    /// One header as text, if it is there.
+    /// The trimmed text of a header; `None` if the request does not have it.
     ///
     /// # Errors
-    /// When it is too long or not plain text.
+    /// [`Code::TooLarge`] if the value is too long, [`Code::BadRequest`] if it is not visible
+    /// ASCII.
     pub fn header(&self, name: &str) -> Result<Option<&str>, Refusal> {
         let Some(value) = self.headers.get(name) else { return Ok(None) };
         match value.to_str() {
             Ok(text) if text.len() <= NAME_BYTES_MAX * 4 => Ok(Some(text.trim())),
             Ok(_) => Err(Refusal::not_run(Code::TooLarge, format!("{name} is too long"))),
-            Err(_) => Err(Refusal::not_run(Code::BadRequest, format!("{name} is not plain text"))),
+            Err(_) => Err(Refusal::not_run(Code::BadRequest, format!("{name} is not ASCII text"))),
         }
     }
 
-    /// A header that holds a name of the caller's own.
+    /// Parses a header that holds a name which the caller chose; `None` if the request does not
+    /// have it.
     ///
     /// # Errors
-    /// When it is empty, too long or not plain text.
-    pub fn named(&self, name: &str) -> Result<Option<Name>, Refusal> {
+    /// [`Code::TooLarge`] if the name is too long, [`Code::BadRequest`] if it is empty or not
+    /// visible ASCII.
+    pub fn parse_name(&self, name: &str) -> Result<Option<Name>, Refusal> {
         match self.header(name)? {
             None => Ok(None),
             Some("") => Err(Refusal::not_run(Code::BadRequest, format!("{name} is empty"))),
@@ -77,40 +81,42 @@
         }
     }
 
-    /// When the caller no longer waits: its own header, bounded by what the task allows.
+    /// The time after which the caller no longer waits: what its deadline header says, but at most
+    /// `bound_ms` after the request's start. Without the header `bound_ms` applies.
     ///
     /// # Errors
-    /// When the header is not a whole number of milliseconds.
+    /// [`Code::BadRequest`] if the header is not a whole number of milliseconds.
     pub fn deadline(&self, bound_ms: u64) -> Result<Instant, Refusal> {
-        let asked = match self.header(wire::backend::DEADLINE)? {
+        let requested_ms = match self.header(wire::backend::DEADLINE)? {
             None => bound_ms,
             Some(text) => text.parse::<u64>().map_err(|_| {
                 Refusal::not_run(
                     Code::BadRequest,
-                    "chestnutspur-deadline must be whole milliseconds",
+                    "chestnutspur-deadline must be a whole number of milliseconds",
                 )
             })?,
         };
-        Ok(self.started + Duration::from_millis(asked.min(bound_ms)))
+        Ok(self.started + Duration::from_millis(requested_ms.min(bound_ms)))
     }
 }
 
-/// Whether a header's value can be a name of the caller's own.
+/// Whether a header value is acceptable as a name that the caller chose.
 #[must_use]
-pub fn can_name(value: &HeaderValue) -> bool {
+pub fn is_valid_name(value: &HeaderValue) -> bool {
     let text = value.to_str().map(str::trim).unwrap_or_default();
     (1..=NAME_BYTES_MAX).contains(&text.len())
 }
 
-/// Where a path leads.
+/// Finds the route of a method and path.
 ///
 /// # Errors
-/// When it leads nowhere, or not with that method.
+/// [`Code::NotFound`] for an unknown path, [`Code::WrongMethod`] if the path does not allow the
+/// method.
 pub fn route(method: &Method, uri: &Uri) -> Result<Route, Refusal> {
     match uri.path() {
         "/v1/chat/completions" if method == Method::POST => Ok(Route::Chat),
         "/v1/chat/completions" => {
-            Err(Refusal::not_run(Code::WrongMethod, "chat completions are asked for by POST"))
+            Err(Refusal::not_run(Code::WrongMethod, "chat completions require the method POST"))
         }
         path => match path.strip_prefix("/services/") {
             Some(rest) => Ok(service(rest, uri.query())),
@@ -129,37 +135,38 @@
     Route::Service { name: Name::from(name), path }
 }
 
-/// Refuses headers over the bound.
+/// Refuses a request whose headers exceed the bound.
 ///
 /// # Errors
-/// [`Code::TooLarge`].
+/// [`Code::TooLarge`] if names and values together exceed `bounds.header_bytes`.
 pub fn check_headers(headers: &HeaderMap, bounds: &Bounds) -> Result<(), Refusal> {
     let bytes: usize = headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
     match bytes {
         over if over > bounds.header_bytes => Err(Refusal::not_run(
             Code::TooLarge,
-            format!("the headers are over {} bytes", bounds.header_bytes),
+            format!("the headers exceed {} bytes", bounds.header_bytes),
         )),
         _ => Ok(()),
     }
 }
 
-/// Reads a body whole, within its bounds.
+/// Reads a whole body within the bounds on its size and time.
 ///
 /// # Errors
 /// [`Code::TooLarge`], [`Code::TooSlow`], or [`Code::BadRequest`] if the caller broke off.
 pub async fn read_body(mut body: Incoming, bounds: &Bounds) -> Result<Bytes, Refusal> {
     let slow = Duration::from_millis(bounds.slow_ms);
-    let whole = tokio::time::Instant::now() + slow * BODY_SLOW_FACTOR;
+    let body_deadline = tokio::time::Instant::now() + slow * BODY_SLOW_FACTOR;
     let declared = body.size_hint().lower();
     let max = bounds.body_bytes;
     if declared > max as u64 {
         return Err(too_large(max));
     }
-    let begun = usize::try_from(declared).unwrap_or_default().min(BODY_BEGUN_BYTES_MAX);
-    let mut bytes = BytesMut::with_capacity(begun);
+    let preallocated =
+        usize::try_from(declared).unwrap_or_default().min(BODY_PREALLOCATED_BYTES_MAX);
+    let mut bytes = BytesMut::with_capacity(preallocated);
     loop {
-        let until = whole.min(tokio::time::Instant::now() + slow);
+        let until = body_deadline.min(tokio::time::Instant::now() + slow);
         let frame = match tokio::time::timeout_at(until, body.frame()).await {
             Ok(None) => return Ok(bytes.freeze()),
             Ok(Some(Ok(frame))) => frame,
@@ -167,7 +174,7 @@
                 return Err(Refusal::not_run(Code::BadRequest, "the body broke off"));
             }
             Err(_) => {
-                return Err(Refusal::not_run(Code::TooSlow, "the body came too slowly"));
+                return Err(Refusal::not_run(Code::TooSlow, "the body arrived too slowly"));
             }
         };
         match frame.into_data() {
@@ -179,5 +186,5 @@
 }
 
 fn too_large(max: usize) -> Refusal {
-    Refusal::not_run(Code::TooLarge, format!("the body is over {max} bytes"))
+    Refusal::not_run(Code::TooLarge, format!("the body exceeds {max} bytes"))
 }
--- a/crates/entry/src/carry.rs
+++ b/crates/entry/src/carry.rs
@@ -1,61 +1,63 @@
-//! Carries a request to a backend server that answers it: the one loop of the data plane.
+//! The attempt loop of the data plane: sends a request to one backend server after another until
+//! one answers it.
 //!
-//! Chat completions, calls of plain services, routed requests and streams that go on elsewhere
-//! differ in which server is next, in what must be done before the first byte goes out, and in
-//! what counts as an answer. That a server is tried after another, that a failure is laid at
-//! somebody's door before the next try, and that nothing is tried without leave, is the same for
-//! all of them and stands here.
+//! Chat completions, calls of plain services, routed requests and streams that are resumed at
+//! another server differ in how the next server is chosen, in what must be done before the first
+//! byte goes out, and in what counts as an answer. The loop is the same for all of them: servers
+//! are attempted one at a time, a failure is attributed before the next attempt, and no further
+//! attempt is made unless [`Request::may_retry`] allows it.
 
 use wire::refusal::Refusal;
 
-/// What one try came to.
+/// The result of one attempt.
 pub enum Step<A, F> {
-    /// An answer that the caller gets.
+    /// The backend server gave the answer that the caller gets.
     Answered(A),
-    /// An answer that is dropped for a better one.
+    /// The backend server answered, but the answer was discarded to look for a better one.
     Dropped,
-    /// No answer.
+    /// The attempt gave no answer.
     Failed(F),
-    /// The request is not to be tried any more.
+    /// The request itself is refused, and no other backend server is attempted.
     Refused(Refusal),
 }
 
-/// A request as the loop sees it.
+/// A request that [`carry`] sends to backend servers.
 pub trait Request: Send {
-    /// Where a try goes.
+    /// The backend server of an attempt.
     type Server: Send + Sync;
-    /// What the caller gets.
+    /// The answer for the caller.
     type Answer: Send;
-    /// Why a try gave no answer.
+    /// Why an attempt gave no answer.
     type Failure: Send;
 
-    /// The server that is tried next; none if there is none.
+    /// Chooses the backend server of the next attempt; `None` ends the loop with
+    /// [`Request::give_up`].
     fn choose(&mut self) -> Option<Self::Server>;
 
-    /// Makes one try.
+    /// Makes one attempt at a backend server.
     fn attempt(
         &mut self,
         server: &Self::Server,
     ) -> impl Future<Output = Step<Self::Answer, Self::Failure>> + Send;
 
-    /// A try failed: who is to blame, and what is known of the request now.
+    /// Records a failed attempt: attributes it, and notes whether the request may have run.
     fn record_failure(&mut self, server: &Self::Server, failure: Self::Failure);
 
-    /// Whether another try may be made. It must not be one that could run a request twice which
-    /// may run once only, and what it costs is paid here.
+    /// Whether another attempt may be made. Returns false if it could run a request twice that may
+    /// run only once. Takes the cost of the attempt from the retry budget.
     fn may_retry(&mut self) -> bool;
 
-    /// What the caller gets when nothing more is tried.
+    /// The result for the caller when no further attempt is made.
     ///
     /// # Errors
-    /// A refusal; one that says "not run" only if no server can have run the request.
+    /// The refusal for the caller. It says "not run" only if no server can have run the request.
     fn give_up(&mut self) -> Result<Self::Answer, Refusal>;
 }
 
-/// Tries one server after another.
+/// Attempts one backend server after another until one answers or no further attempt is allowed.
 ///
 /// # Errors
-/// The refusal of the request itself, see [`Request::give_up`] and [`Step::Refused`].
+/// The refusal of [`Step::Refused`] or of [`Request::give_up`].
 pub async fn carry<R: Request>(request: &mut R) -> Result<R::Answer, Refusal> {
     loop {
         let Some(server) = request.choose() else { return request.give_up() };
--- a/crates/entry/src/chain.rs
+++ b/crates/entry/src/chain.rs
@@ -1,4 +1,4 @@
-//! The filter chain: what a request passes, in order.
+//! The filter chain: runs a request through its filters in order, and answers or refuses it.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -15,33 +15,35 @@
 use crate::state::State;
 use crate::{chat, ending, refuse, service};
 
-/// Echo of the caller's own `X-Request-Id`.
+/// Answer header that echoes the caller's own `X-Request-Id`.
 pub const CALLER_REQUEST: HeaderName = HeaderName::from_static("chestnutspur-caller-request");
+/// A longer `X-Request-Id` of the caller is not echoed.
 const CALLER_REQUEST_BYTES_MAX: usize = 128;
 
-/// What is known of a request so far, for its outcome should it be refused.
+/// What the chain has learned about a request, needed if it is refused.
 #[derive(Default)]
 pub struct Trace {
-    /// The client account.
+    /// The client account; `None` until it is identified.
     pub account: Option<Name>,
-    /// The task, or the service's name.
+    /// The task, or the name of the plain service; `None` until it is found.
     pub task: Option<Name>,
-    /// Whether it has an idempotency key.
-    pub keyed: bool,
+    /// Whether the request carries a well-formed idempotency key.
+    pub has_key: bool,
 }
 
-/// Answers a request, or refuses it.
+/// Answers a request, with a refusal if it can't be served.
 pub async fn handle(state: Arc<State>, request: Request<Incoming>) -> Response<Answer> {
     let started = Instant::now();
     let id = state.request_id();
     let caller_id = caller_id(&request);
-    // A key that is always refused as malformed can't have run before.
-    let keyed = request.headers().get(wire::backend::IDEMPOTENCY_KEY).is_some_and(call::can_name);
-    let mut trace = Trace { keyed, ..Trace::default() };
+    // A malformed key is always refused, so no earlier request with it can have run.
+    let has_key =
+        request.headers().get(wire::backend::IDEMPOTENCY_KEY).is_some_and(call::is_valid_name);
+    let mut trace = Trace { has_key, ..Trace::default() };
     let result = serve(&state, &id, started, request, &mut trace).await;
     let mut response = match result {
         Ok(response) => response,
-        Err(refusal) => refused(&state, &id, started, refusal, trace),
+        Err(refusal) => refusal_response(&state, &id, started, refusal, trace),
     };
     let headers = response.headers_mut();
     if let Ok(id) = HeaderValue::from_str(&id) {
@@ -78,28 +80,28 @@
     trace.account = Some(account_name.clone());
     let call = Call { id: id.clone(), started, method: head.method, headers: head.headers, route };
     let body = call::read_body(body, bounds).await?;
-    let from = From { state, snapshot: &snapshot, account_name, account, call: &call };
+    let ctx = Context { state, snapshot: &snapshot, account_name, account, call: &call };
     match &call.route {
-        Route::Chat => chat::serve(&from, body, slot, trace).await,
-        Route::Service { name, path } => service::serve(&from, name, path, body, slot, trace).await,
+        Route::Chat => chat::serve(&ctx, body, slot, trace).await,
+        Route::Service { name, path } => service::serve(&ctx, name, path, body, slot, trace).await,
     }
 }
 
-/// Where a request comes from, and what it is decided by.
-pub struct From<'a> {
-    /// The process.
+/// A request with the state that decides about it.
+pub struct Context<'a> {
+    /// The state of the entry process.
     pub state: &'a Arc<State>,
-    /// The world when it came in.
+    /// The snapshot that was current when the request arrived.
     pub snapshot: &'a crate::snapshot::Snapshot,
-    /// Its account's name.
+    /// The name of the client account that sent the request.
     pub account_name: &'a Name,
-    /// Its account.
+    /// The client account that sent the request.
     pub account: &'a wire::configuration::Account,
-    /// The request.
+    /// The head of the request.
     pub call: &'a Call,
 }
 
-fn refused(
+fn refusal_response(
     state: &State,
     id: &Name,
     started: Instant,
@@ -107,33 +109,34 @@
     trace: Trace,
 ) -> Response<Answer> {
     refusal.request = Some(id.clone());
-    refusal.ran = ran(&refusal, trace.keyed);
+    refusal.ran = caller_ran(&refusal, trace.has_key);
     let code = code_name(refusal.code);
     log::debug!("entry: request {id} refused: {code}");
     metrics::counter!("entry_refusals_total", "code" => code).increment(1);
-    // A caller's own mistake says nothing of the service level it gets.
+    // A caller's own mistake (4xx) says nothing about the service level that the account gets.
     if let (Some(account), Some(task), 500..) = (trace.account, trace.task, refusal.code.status()) {
         state.reports.outcome(ending::outcome(account, task, started, started.elapsed()));
     }
     refuse::response(refusal)
 }
 
-/// What the caller may learn of its request.
+/// What the refusal tells the caller about whether its request ran.
 ///
-/// With an idempotency key the request is all its tries. An earlier one may have run, its answer
-/// lost, and the caller would take "not run" of this one for leave to send it under another key:
-/// the order would run twice. Only the key's home knows, so until it has granted the key to this
-/// try the answer is "unknown". It costs nothing: to send the same key again is always safe.
-fn ran(refusal: &Refusal, keyed: bool) -> Ran {
-    // What can't be read now could not be read before.
+/// Requests with the same idempotency key count as one request. An earlier one may have run and
+/// its answer may have been lost. If this one were answered "not run", the caller could send the
+/// order again under another key, and it would run twice. Only the key's home knows, so the answer
+/// is "unknown" unless the home has granted the key to this request. That costs nothing, because
+/// sending the same key again is always safe.
+fn caller_ran(refusal: &Refusal, has_key: bool) -> Ran {
+    // A malformed request was malformed before as well, so it never ran.
     let unreadable = matches!(refusal.code, Code::BadRequest | Code::TooLarge | Code::WrongMethod);
     match refusal.ran {
-        Ran::No if keyed && !unreadable && !refusal.key_granted => Ran::Unknown,
+        Ran::No if has_key && !unreadable && !refusal.key_granted => Ran::Unknown,
         ran => ran,
     }
 }
 
-/// A code as in the refusal's body.
+/// The name of a code as it appears in the body of a refusal.
 #[must_use]
 pub fn code_name(code: Code) -> String {
     match serde_json::to_value(code) {
--- a/crates/entry/src/chat.rs
+++ b/crates/entry/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions: session, version, cascade.
+//! Serves chat completions: finds the session, picks a version or a cascade of two, and calls it.
 
 use std::time::{Duration, Instant};
 
@@ -12,11 +12,11 @@
 use wire::refusal::{Code, Ran, Refusal};
 
 use crate::answer::Answer;
-use crate::chain::{From, Trace};
+use crate::chain::{Context, Trace};
 use crate::clock;
 use crate::dispatch;
-use crate::ending::{Ending, Held};
-use crate::filter::admit::{self, Granted, Place};
+use crate::ending::{Ending, Permits};
+use crate::filter::admit::{self, Grant, Place};
 use crate::filter::bill::Billing;
 use crate::filter::chat::Chat;
 use crate::filter::open::Slot;
@@ -29,9 +29,9 @@
 
 const PATH: &str = "/v1/chat/completions";
 
-/// What was found out about a request before it runs.
+/// A chat completion request whose account, task, body and session are known.
 struct Request<'a> {
-    from: &'a From<'a>,
+    ctx: &'a Context<'a>,
     task_name: &'a Name,
     task: &'a Task,
     chat: Chat,
@@ -39,19 +39,19 @@
     deadline: Instant,
 }
 
-/// Which call of a request's plan.
+/// The position of a call in its request's plan.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Step {
-    /// The one of a plan without a cascade.
+enum Stage {
+    /// The single call of a plan without a cascade.
     Only,
-    /// A cascade's cheap one, rated before anything is passed on.
+    /// The cheap call of a cascade, whose answer is rated before any of it reaches the caller.
     First,
-    /// A cascade's better one.
+    /// The call to the better version of a cascade.
     Second,
 }
 
-/// What the calls of a request came to.
-struct Done {
+/// The answer that the caller gets, and what the calls for it cost.
+struct Completion {
     reply: Reply,
     version: Name,
     cost: f64,
@@ -62,25 +62,25 @@
 /// Answers a chat completion.
 ///
 /// # Errors
-/// A refusal.
+/// The refusal that the caller is sent instead of an answer.
 pub async fn serve(
-    from: &From<'_>,
+    ctx: &Context<'_>,
     body: Bytes,
     slot: Slot,
     trace: &mut Trace,
 ) -> Result<Response<Answer>, Refusal> {
-    let (task_name, task) = account::task(from.account, from.call)?;
+    let (task_name, task) = account::find_task(ctx.account, ctx.call)?;
     trace.task = Some(task_name.clone());
     let chat = Chat::parse(&body)?;
-    let deadline = from.call.deadline(task.deadline_ms)?;
-    let session = session::read(from.snapshot, from.account_name, from.call)?;
-    let granted = admit::grant(from.state, from.snapshot, from.account_name, from.account)?;
-    let mut request = Request { from, task_name, task, chat, session, deadline };
+    let deadline = ctx.call.deadline(task.deadline_ms)?;
+    let session = session::read(ctx.snapshot, ctx.account_name, ctx.call)?;
+    let grant = admit::grant(ctx.state, ctx.snapshot, ctx.account_name, ctx.account)?;
+    let mut request = Request { ctx, task_name, task, chat, session, deadline };
     let plan = request.plan().await?;
-    let session = request.token(&plan)?;
-    let done = request.run(plan).await?;
-    let (reply, ending) = request.ending(done, slot, granted);
-    respond::respond(from.state, reply, ending, Extra { session }).await
+    let session = request.sign_token(&plan)?;
+    let completion = request.run(plan).await?;
+    let (reply, ending) = request.ending(completion, slot, grant);
+    respond::respond(ctx.state, reply, ending, Extra { session }).await
 }
 
 impl Request<'_> {
@@ -88,35 +88,36 @@
         let session = match &self.session {
             Session::None | Session::New => return self.draw(),
             Session::Token(token) => token.version.clone(),
-            Session::Chosen(name) => self.pinned(name).await?,
+            Session::Chosen(name) => self.pin_version(name).await?,
         };
         self.check_session(&session)?;
         Ok(Plan::Single(session))
     }
 
     fn draw(&self) -> Result<Plan, Refusal> {
-        let From { snapshot, account_name, account, .. } = *self.from;
-        let ask = select::Ask {
+        let Context { snapshot, account_name, account, .. } = *self.ctx;
+        let query = select::Query {
             account_name,
             account,
             task_name: self.task_name,
             model: &self.chat.model,
-            bound: self.session.is_bound(),
+            is_bound: self.session.is_bound(),
         };
-        select::plan(snapshot, &ask, rand::random())
+        select::plan(snapshot, &query, rand::random())
     }
 
-    /// The version of a caller-chosen session.
+    /// The version of a session that the caller named itself.
     ///
-    /// When nothing takes new sessions the home is asked all the same: old sessions go on while
-    /// their version drains. An empty version asks only, and pins nothing.
-    async fn pinned(&self, name: &Name) -> Result<Name, Refusal> {
+    /// The session's home is asked even if no version accepts new sessions, because existing
+    /// sessions continue while their version drains. In that case the drawn version is empty,
+    /// which queries the home without pinning anything.
+    async fn pin_version(&self, name: &Name) -> Result<Name, Refusal> {
         let (drawn, refusal) = match self.draw() {
             Ok(Plan::Single(version) | Plan::Cascade { first: version, .. }) => (version, None),
             Err(refusal) if refusal.code == Code::NoBackend => (Name::default(), Some(refusal)),
             Err(refusal) => return Err(refusal),
         };
-        let From { state, account_name, .. } = *self.from;
+        let Context { state, account_name, .. } = *self.ctx;
         let version = session::pin(state, account_name, name, drawn, self.deadline).await?;
         match refusal {
             Some(refusal) if version.is_empty() => Err(refusal),
@@ -125,134 +126,142 @@
     }
 
     fn check_session(&self, version: &Name) -> Result<(), Refusal> {
-        session::check(self.from.snapshot, version)?;
-        let model = self.from.snapshot.version(version).map(|version| &version.model);
-        let asked = self.chat.model.as_str();
+        session::check(self.ctx.snapshot, version)?;
+        let model = self.ctx.snapshot.version(version).map(|version| &version.model);
+        let requested = self.chat.model.as_str();
         match () {
-            () if !self.from.account.versions.contains(version) => Err(Refusal::not_run(
+            () if !self.ctx.account.versions.contains(version) => Err(Refusal::not_run(
                 Code::SessionEnded,
                 "the session ended: the account may no longer use its version",
             )),
-            () if asked != version.as_str()
-                && model.is_none_or(|model| asked != model.as_str()) =>
+            () if requested != version.as_str()
+                && model.is_none_or(|model| requested != model.as_str()) =>
             {
-                Err(Refusal::not_run(Code::BadSession, "the session is on another model"))
+                Err(Refusal::not_run(Code::BadSession, "the session uses another model"))
             }
             () => Ok(()),
         }
     }
 
-    /// The token of a session that begins here. A request without a session gets one as well if
-    /// one version answers it, so that a caller can go on with it; a cascade's has no one version.
-    fn token(&self, plan: &Plan) -> Result<Option<String>, Refusal> {
-        let From { state, snapshot, account_name, .. } = *self.from;
-        let begins = matches!(self.session, Session::None | Session::New);
+    /// The signed token if a session begins with this request. A request without a session gets a
+    /// token as well, so that the caller can continue with its version. A cascade gets none,
+    /// because either of two versions may answer.
+    fn sign_token(&self, plan: &Plan) -> Result<Option<String>, Refusal> {
+        let Context { state, snapshot, account_name, .. } = *self.ctx;
+        let is_beginning = matches!(self.session, Session::None | Session::New);
         let Plan::Single(version) = plan else { return Ok(None) };
-        let token = begins.then(|| session::sign(state, snapshot, account_name, version)).flatten();
+        let token =
+            is_beginning.then(|| session::sign(state, snapshot, account_name, version)).flatten();
         match token {
             None if self.session == Session::New => Err(Refusal::not_run(
                 Code::NotReady,
-                "the configuration has no key to sign sessions with",
+                "the configuration has no key for signing sessions",
             )),
             token => Ok(token),
         }
     }
 
-    async fn run(&mut self, plan: Plan) -> Result<Done, Refusal> {
+    async fn run(&mut self, plan: Plan) -> Result<Completion, Refusal> {
         match plan {
-            Plan::Single(version) => self.call(version, Step::Only).await,
+            Plan::Single(version) => self.call(version, Stage::Only).await,
             Plan::Cascade { first, then } => self.cascade(first, then).await,
         }
     }
 
-    /// The cheap version answers, its answer is rated, and the better one answers if it is bad.
+    /// Calls the cheap version, has its answer rated, and calls the better version if the answer
+    /// is bad.
     ///
-    /// Without a rating in time the better one answers too: the cheap one alone does not reach
-    /// the task's target. If the better one can't, the answer at hand is better than none.
-    async fn cascade(&mut self, first: Name, then: Name) -> Result<Done, Refusal> {
-        let mut cheap = match self.call(first, Step::First).await {
+    /// The better version is also called if no rating arrives in time, because the cheap version
+    /// alone does not reach the task's quality target. If the better version fails, the caller
+    /// gets the cheap answer, which is better than none.
+    async fn cascade(&mut self, first: Name, then: Name) -> Result<Completion, Refusal> {
+        let mut cheap = match self.call(first, Stage::First).await {
             Ok(cheap) => cheap,
-            // What the caller learns of the second must stay true of the first.
+            // The second refusal answers for both calls: it may say "not run" only if the first
+            // call did not run either.
             Err(first) => {
-                let result = self.call(then, Step::Second).await;
+                let result = self.call(then, Stage::Second).await;
                 return result
-                    .map_err(|then| if first.ran == Ran::No { then } else { unsure(then) });
+                    .map_err(|then| if first.ran == Ran::No { then } else { run_unknown(then) });
             }
         };
         if !cheap.rate || self.is_good(&cheap).await == Some(true) {
             cheap.rate = false;
             return Ok(cheap);
         }
-        // The second call may need the very place that the first one held.
+        // The second call may need the place in the pool that the first call held.
         cheap.place = None;
-        match self.call(then, Step::Second).await {
-            Ok(better) => Ok(Done { cost: cheap.cost + better.cost, ..better }),
-            Err(_) => Ok(Done { rate: false, ..cheap }),
+        match self.call(then, Stage::Second).await {
+            Ok(better) => Ok(Completion { cost: cheap.cost + better.cost, ..better }),
+            Err(_) => Ok(Completion { rate: false, ..cheap }),
         }
     }
 
-    async fn is_good(&self, done: &Done) -> Option<bool> {
-        let From { state, call, .. } = *self.from;
-        let Content::Whole(bytes) = &done.reply.content else { return None };
-        let text = respond::text(&done.reply.head, bytes)?;
-        rating::rate(state, &call.id, &done.version, self.task_name, text, self.deadline).await
+    async fn is_good(&self, completion: &Completion) -> Option<bool> {
+        let Context { state, call, .. } = *self.ctx;
+        let Content::Whole(bytes) = &completion.reply.content else { return None };
+        let text = respond::text(&completion.reply.head, bytes)?;
+        rating::rate(state, &call.id, &completion.version, self.task_name, text, self.deadline)
+            .await
     }
 
-    /// `continued` is a second call: were it refused under load, the first one's work would be lost
-    /// and its poor answer passed on.
-    async fn place(&self, version: &Name, continued: bool) -> Result<Place, Refusal> {
-        let From { state, snapshot, account_name, .. } = *self.from;
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        let ask = policy::admit::Arrival::new(
+    /// Waits for a place in the version's pool. `is_continued` marks the second call of a cascade:
+    /// if overload refused it, the first call's work would be lost and the caller would get its
+    /// poor answer.
+    async fn enter_pool(&self, version: &Name, is_continued: bool) -> Result<Place, Refusal> {
+        let Context { state, snapshot, account_name, .. } = *self.ctx;
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        let arrival = policy::admit::Arrival::new(
             account_name.clone(),
             self.task.priority,
-            clock::now() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
+            clock::now() + u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX),
         );
-        let ask = if continued { ask.continued() } else { ask };
-        admit::enter(state, snapshot, &self.version(version)?.pool, &ask).await
+        let arrival = if is_continued { arrival.continued() } else { arrival };
+        admit::enter(state, snapshot, &self.version(version)?.pool, &arrival).await
     }
 
     fn version(&self, name: &Name) -> Result<&Version, Refusal> {
-        self.from.snapshot.version(name).ok_or_else(|| {
+        self.ctx.snapshot.version(name).ok_or_else(|| {
             Refusal::not_run(Code::NotFound, format!("no version {:?}", name.as_str()))
         })
     }
 
-    async fn call(&mut self, version: Name, step: Step) -> Result<Done, Refusal> {
-        let place = self.place(&version, step == Step::Second).await?;
-        let (rate, whole) = match step {
-            Step::Only => (self.from.state.ratings.wants(self.from.snapshot, &version), false),
-            Step::First => (true, true),
-            // It answers what the first could not: rated, it would look worse than it is.
-            Step::Second => (false, false),
+    async fn call(&mut self, version: Name, stage: Stage) -> Result<Completion, Refusal> {
+        let place = self.enter_pool(&version, stage == Stage::Second).await?;
+        let (rate, is_buffered) = match stage {
+            Stage::Only => (self.ctx.state.ratings.wants(self.ctx.snapshot, &version), false),
+            Stage::First => (true, true),
+            // The second call gets the requests that the first could not answer well, so ratings of
+            // its answers would make the version look worse than it is.
+            Stage::Second => (false, false),
         };
-        let job = self.job(&version, rate, whole)?;
-        let reply = dispatch::dispatch(self.from.state, &job).await?;
-        // The model engine refused the request itself, so there is no work to pay for or rate.
+        let job = self.job(&version, rate, is_buffered)?;
+        let reply = dispatch::dispatch(self.ctx.state, &job).await?;
+        // A 4xx status means that the model engine rejected the request: nothing to bill or rate.
         let refused = reply.head.status.is_client_error();
         let cost = if refused { 0.0 } else { self.version(&version)?.cost };
-        Ok(Done { reply, version, cost, place: Some(place), rate: rate && !refused })
+        Ok(Completion { reply, version, cost, place: Some(place), rate: rate && !refused })
     }
 
-    fn job(&mut self, name: &Name, text: bool, whole: bool) -> Result<Job, Refusal> {
+    fn job(&mut self, name: &Name, wants_text: bool, is_buffered: bool) -> Result<Job, Refusal> {
         let body = self.chat.body_for(name);
         let version = self.version(name)?;
-        let first_byte = Duration::from_millis(version.first_byte_ms);
+        let first_byte_timeout = Duration::from_millis(version.first_byte_ms);
         Ok(Job {
-            id: self.from.call.id.clone(),
-            account: self.from.account_name.clone(),
+            id: self.ctx.call.id.clone(),
+            account: self.ctx.account_name.clone(),
             task: self.task_name.clone(),
             version: Some(name.clone()),
             pool: version.pool.clone(),
             may_repeat: self.task.may_repeat,
             deadline: self.deadline,
-            first_byte,
-            reused_first_byte: first_byte,
-            between_bytes: Duration::from_millis(version.between_bytes_ms),
+            first_byte_timeout,
+            reused_first_byte_timeout: first_byte_timeout,
+            between_bytes_timeout: Duration::from_millis(version.between_bytes_ms),
             affinity: Some(self.chat.affinity()),
             claim: self.claim()?,
-            whole,
-            text,
+            is_buffered,
+            wants_text,
             method: Method::POST,
             path: PATH.to_owned(),
             headers: self.headers(name),
@@ -261,18 +270,19 @@
     }
 
     fn claim(&self) -> Result<Option<Claim>, Refusal> {
-        let key = self.from.call.named(wire::backend::IDEMPOTENCY_KEY)?;
+        let key = self.ctx.call.parse_name(wire::backend::IDEMPOTENCY_KEY)?;
         Ok(key.filter(|_| !self.task.may_repeat).map(|key| Claim {
-            account: self.from.account_name.clone(),
+            account: self.ctx.account_name.clone(),
             key,
-            request: self.from.call.id.clone(),
-            keep_ms: claim::KEEP_MS,
+            request: self.ctx.call.id.clone(),
+            keep_ms: claim::RETENTION_MS,
         }))
     }
 
     fn headers(&self, version: &Name) -> HeaderMap {
         let mut headers = HeaderMap::new();
-        let accept = if self.chat.stream() { "text/event-stream" } else { "application/json" };
+        let accept =
+            if self.chat.is_streaming() { "text/event-stream" } else { "application/json" };
         headers.insert(ACCEPT, HeaderValue::from_static(accept));
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         if let Ok(version) = HeaderValue::from_str(version) {
@@ -286,33 +296,33 @@
         headers
     }
 
-    fn ending(&self, done: Done, slot: Slot, granted: Granted) -> (Reply, Ending) {
-        let From { state, call, account_name, .. } = *self.from;
+    fn ending(&self, completion: Completion, slot: Slot, grant: Grant) -> (Reply, Ending) {
+        let Context { state, call, account_name, .. } = *self.ctx;
         let mut billing = Billing::new(
             state.clone(),
             call.id.clone(),
             account_name.clone(),
             self.task_name.clone(),
-            done.version.clone(),
+            completion.version.clone(),
         );
-        billing.add(done.cost);
+        billing.add(completion.cost);
         let ending = Ending {
             state: state.clone(),
             id: call.id.clone(),
             account: account_name.clone(),
             task: self.task_name.clone(),
-            version: Some(done.version),
+            version: Some(completion.version),
             started: call.started,
             first_byte: call.started.elapsed(),
             deadline: self.deadline,
-            rate: done.rate,
+            rate: completion.rate,
             billing,
-            held: Held { slot, granted, place: done.place },
+            permits: Permits { slot, grant, place: completion.place },
         };
-        (done.reply, ending)
+        (completion.reply, ending)
     }
 }
 
-fn unsure(refusal: Refusal) -> Refusal {
+fn run_unknown(refusal: Refusal) -> Refusal {
     Refusal { ran: Ran::Unknown, ..refusal }
 }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Sends a request to a backend server, and elsewhere after a failure if that can't double it.
+//! Sends a request to a backend server, and to another one after a failure unless that could run
+//! the request twice.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,62 +19,66 @@
 use crate::snapshot::Snapshot;
 use crate::state::State;
 
-/// Longest wait for a new connection.
-const CONNECT: Duration = Duration::from_millis(1000);
-/// Tries of one request at most, those that wrote nothing included.
-const TRIES_MAX: u32 = 6;
+/// Longest wait for a new connection to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum attempts of one request, including those that wrote nothing.
+const ATTEMPTS_MAX: u32 = 6;
+/// `Retry-After` of a request whose attempts all failed.
 const FAILED_RETRY_MS: u64 = 1_000;
+/// `Retry-After` of a request that no backend server accepts.
 const NO_SERVER_RETRY_MS: u64 = 1_000;
 
-/// What the tries so far have come to.
+/// The state of a call after the attempts made so far.
 #[derive(Default)]
-struct Tries {
+struct Progress {
     count: u32,
-    /// A byte of the request may have been written.
-    sent: bool,
-    /// The key, for as long as the request may not have run.
+    /// Whether a byte of the request may have been written to any backend server.
+    may_be_sent: bool,
+    /// The claim of the idempotency key, once granted.
     claimed: Option<Claimed>,
-    tried: Vec<Name>,
-    last: Option<Cause>,
-    /// The last try failed on a connection that had carried answers before.
-    old_failed: bool,
-    /// Only new connections from now on.
-    new_only: bool,
-    /// No backend server takes new work.
-    no_server: bool,
+    /// Backend servers that failed the request, cleared once all of them were attempted.
+    failed_servers: Vec<Name>,
+    last_cause: Option<Cause>,
+    /// Whether the last attempt failed on a connection that had carried answers before.
+    has_reused_failed: bool,
+    /// Whether all further attempts must open new connections.
+    needs_new_connection: bool,
+    /// Whether no backend server accepts new work for the request.
+    has_no_server: bool,
 }
 
-/// A call that is being made.
+/// A call in progress.
 struct Call<'a> {
     state: &'a Arc<State>,
     job: &'a Job,
-    tries: Tries,
+    progress: Progress,
 }
 
-/// A try that failed, and what else is known of it.
-struct Failed {
+/// A failed attempt with the circumstances that decide who is to blame.
+struct Fault {
     failure: Failure,
-    /// Its connection had carried answers before.
+    /// Whether the connection had carried answers before.
     reused: bool,
-    /// The backend server answered others meanwhile.
-    alone: bool,
-    /// It failed before a connection was open.
+    /// Whether the backend server answered other requests during the attempt, so that the failure
+    /// concerns this request alone.
+    worked: bool,
+    /// Whether the attempt failed before a connection was open.
     unopened: bool,
 }
 
-/// Makes a call.
+/// Sends the request of a job to backend servers until one answers.
 ///
-/// Each try takes the newest snapshot, so a backend server that has left in the meantime, or a
-/// version that was stopped, gets nothing.
+/// Each attempt uses the newest snapshot, so a backend server that has left in the meantime, or a
+/// version that was stopped, receives nothing.
 ///
 /// # Errors
-/// A refusal; `ran: "no"` only if no try can have written a byte.
+/// The refusal for the caller. It says `ran: "no"` only if no attempt can have written a byte.
 pub async fn dispatch(state: &Arc<State>, job: &Job) -> Result<Reply, Refusal> {
     state.budgets.with(&job.account, retry::Budget::fill);
     state.pool_budgets.with(&job.pool, retry::Budget::fill);
-    let mut call = Call { state, job, tries: Tries::default() };
+    let mut call = Call { state, job, progress: Progress::default() };
     let reply = carry(&mut call).await;
-    let granted = call.tries.claimed.is_some();
+    let granted = call.progress.claimed.is_some();
     reply.map_err(|refusal| match refusal.ran {
         Ran::No => Refusal { key_granted: granted, ..refusal },
         Ran::Unknown => refusal,
@@ -83,81 +88,81 @@
 impl Request for Call<'_> {
     type Server = Arc<Server>;
     type Answer = Reply;
-    type Failure = Failed;
+    type Failure = Fault;
 
     fn choose(&mut self) -> Option<Arc<Server>> {
         let snapshot = self.state.snapshot.load_full();
         let server = match is_stopped(&snapshot, self.job) {
             true => None,
-            false => choose(&snapshot, self.job, &mut self.tries),
+            false => choose(&snapshot, self.job, &mut self.progress),
         };
-        self.tries.no_server = server.is_none();
+        self.progress.has_no_server = server.is_none();
         server
     }
 
-    async fn attempt(&mut self, server: &Arc<Server>) -> Step<Reply, Failed> {
-        self.tries.count += 1;
-        self.tries.old_failed = false;
-        match self.try_once(server).await {
+    async fn attempt(&mut self, server: &Arc<Server>) -> Step<Reply, Fault> {
+        self.progress.count += 1;
+        self.progress.has_reused_failed = false;
+        match self.attempt_once(server).await {
             Ok(reply) => Step::Answered(reply),
-            Err(Stop::Refused(refusal)) => Step::Refused(refusal),
-            Err(Stop::Failed(failed)) => Step::Failed(failed),
+            Err(Error::Refused(refusal)) => Step::Refused(refusal),
+            Err(Error::Failed(fault)) => Step::Failed(fault),
         }
     }
 
-    fn record_failure(&mut self, server: &Arc<Server>, failed: Failed) {
-        let Failed { failure, .. } = failed;
-        self.tries.sent |= failure.sent;
-        self.tries.last = Some(failure.cause);
-        blame(self.state, self.job, server, &mut self.tries, &failed);
+    fn record_failure(&mut self, server: &Arc<Server>, fault: Fault) {
+        let Fault { failure, .. } = fault;
+        self.progress.may_be_sent |= failure.sent;
+        self.progress.last_cause = Some(failure.cause);
+        blame(self.state, self.job, server, &mut self.progress, &fault);
         log::debug!("entry: request {} at {}: {failure:?}", self.job.id, server.name);
         metrics::counter!("entry_tries_failed_total", "cause" => failure.cause.label())
             .increment(1);
     }
 
     fn may_retry(&mut self) -> bool {
-        may_retry(self.state, self.job, &self.tries)
+        may_retry(self.state, self.job, &self.progress)
     }
 
     fn give_up(&mut self) -> Result<Reply, Refusal> {
-        Err(match self.tries.no_server {
-            true => no_server(self.job, &self.tries),
-            false => given_up(self.job, &self.tries),
+        Err(match self.progress.has_no_server {
+            true => no_server_refusal(self.job, &self.progress),
+            false => attempts_exhausted(self.job, &self.progress),
         })
     }
 }
 
-/// Why a try gave no reply.
-enum Stop {
-    Failed(Failed),
+/// Why an attempt gave no reply.
+enum Error {
+    Failed(Fault),
     Refused(Refusal),
 }
 
-impl From<Failure> for Stop {
+impl From<Failure> for Error {
     fn from(failure: Failure) -> Self {
-        Self::Failed(Failed { failure, reused: false, alone: false, unopened: true })
+        Self::Failed(Fault { failure, reused: false, worked: false, unopened: true })
     }
 }
 
-impl From<Refusal> for Stop {
+impl From<Refusal> for Error {
     fn from(refusal: Refusal) -> Self {
         Self::Refused(refusal)
     }
 }
 
-/// A backend server that was not tried yet, or else one that was tried and still takes work: it
-/// may have failed this one request only.
-fn choose(snapshot: &Snapshot, job: &Job, tries: &mut Tries) -> Option<Arc<Server>> {
+/// Chooses a backend server that was not attempted yet. If there is none, chooses among all that
+/// still accept work: a server that failed once may have failed this one request only.
+fn choose(snapshot: &Snapshot, job: &Job, progress: &mut Progress) -> Option<Arc<Server>> {
     let servers = job.servers(snapshot);
     let choose = |tried: &[Name]| place::choose(servers, tried, job.affinity, clock::now());
-    choose(&tries.tried).or_else(|| {
-        tries.tried.clear();
+    choose(&progress.failed_servers).or_else(|| {
+        progress.failed_servers.clear();
         choose(&[])
     })
 }
 
-/// A version withdrawn or put under quarantine while a request waited for its place, or between
-/// two of its tries, gets no new work either.
+/// Whether the job's version was withdrawn or put under quarantine while the request waited for a
+/// place in the pool or between two attempts. Such a version gets no new work.
 fn is_stopped(snapshot: &Snapshot, job: &Job) -> bool {
     job.version.as_ref().is_some_and(|name| {
         snapshot.quarantined.contains(name)
@@ -166,118 +171,118 @@
 }
 
 impl Call<'_> {
-    async fn try_once(&mut self, server: &Arc<Server>) -> Result<Reply, Stop> {
-        let (state, job, tries) = (self.state, self.job, &mut self.tries);
-        let reuse = (job.may_repeat && !tries.new_only).then_some(IDLE);
-        let mut connection = server.connect(reuse, CONNECT.min(job.left())).await?;
-        // The claim comes last before the first byte. A key that is granted and then not used, for
-        // want of a backend server, would stay taken though its request never ran.
-        if let Some(wanted) = job.claim.as_ref().filter(|_| tries.claimed.is_none()) {
-            tries.claimed = Some(claim::claim(state, wanted, job.deadline).await?);
+    async fn attempt_once(&mut self, server: &Arc<Server>) -> Result<Reply, Error> {
+        let (state, job, progress) = (self.state, self.job, &mut self.progress);
+        let reuse = (job.may_repeat && !progress.needs_new_connection).then_some(IDLE);
+        let mut connection = server.connect(reuse, CONNECT_TIMEOUT.min(job.remaining())).await?;
+        // The key is claimed last, once a connection is open. If it were claimed earlier and no
+        // backend server could be reached, it would stay taken although its request never ran.
+        if let Some(wanted) = job.claim.as_ref().filter(|_| progress.claimed.is_none()) {
+            progress.claimed = Some(claim::claim(state, wanted, job.deadline).await?);
         }
         let reused = connection.reused();
         let unsent =
-            |failure| Stop::Failed(Failed { failure, reused, alone: false, unopened: false });
-        if job.left().is_zero() {
+            |failure| Error::Failed(Fault { failure, reused, worked: false, unopened: false });
+        if job.remaining().is_zero() {
             return Err(unsent(Failure::not_sent(Cause::Deadline)));
         }
         let lease = Lease::new(Arc::clone(server));
         let request = job.request(server).map_err(unsent)?;
-        let limit = if reused { job.reused_first_byte } else { job.first_byte };
+        let limit = if reused { job.reused_first_byte_timeout } else { job.first_byte_timeout };
         let (sent_at, began, sent) = (Instant::now(), clock::now(), clock::steady());
         if server.is_restricted() {
             server.with_intake(sent, |intake| intake.record_sent(None, sent));
         }
-        if let Some(claimed) = &mut tries.claimed {
-            claimed.use_up();
+        if let Some(claimed) = &mut progress.claimed {
+            claimed.mark_used();
         }
-        let result = match connection.send(request, limit.min(job.left())).await {
+        let result = match connection.send(request, limit.min(job.remaining())).await {
             Ok(response) => reply::read(job, response, connection, lease, sent, sent_at).await,
             Err(failure) => Err(failure),
         };
-        result.inspect(|_| self.answered(server)).map_err(|failure| {
-            if let Some(claimed) = self.tries.claimed.as_mut().filter(|_| !failure.sent) {
-                claimed.not_used();
+        result.inspect(|_| self.record_answer(server)).map_err(|failure| {
+            if let Some(claimed) = self.progress.claimed.as_mut().filter(|_| !failure.sent) {
+                claimed.mark_unused();
             }
-            let alone = failure.cause == Cause::Silent && server.worked_since(began);
-            Stop::Failed(Failed { failure, reused, alone, unopened: false })
+            let worked = failure.cause == Cause::Silent && server.worked_since(began);
+            Error::Failed(Fault { failure, reused, worked, unopened: false })
         })
     }
 
-    fn answered(&self, server: &Server) {
+    fn record_answer(&self, server: &Server) {
         server.note_success(clock::now());
-        self.job.note(self.state, false);
+        self.job.record_attempt(self.state, false);
     }
 }
 
-/// Who is to blame for a failure: an old connection, the backend server, or nobody.
-fn blame(state: &State, job: &Job, server: &Server, tries: &mut Tries, failed: &Failed) {
-    let Failed { failure, reused, alone, unopened } = *failed;
+/// Attributes a failure to a reused connection, to the backend server, or to neither.
+fn blame(state: &State, job: &Job, server: &Server, progress: &mut Progress, fault: &Fault) {
+    let Fault { failure, reused, worked, unopened } = *fault;
     match failure.cause {
-        // The caller's time was over; that says nothing of the server.
-        _ if job.left().is_zero() => {}
+        // The caller's deadline passed, which says nothing about the server.
+        _ if job.remaining().is_zero() => {}
         Cause::Deadline => {}
         _ if unopened => {
             server.note_failure(clock::now());
-            tries.tried.push(server.name.clone());
+            progress.failed_servers.push(server.name.clone());
         }
         Cause::Silent | Cause::Broken if reused => {
             server.note_suspicion();
-            tries.old_failed = true;
-            tries.new_only = true;
+            progress.has_reused_failed = true;
+            progress.needs_new_connection = true;
         }
-        Cause::Silent | Cause::Broken | Cause::Refused | Cause::Unreachable if !alone => {
+        Cause::Silent | Cause::Broken | Cause::Refused | Cause::Unreachable if !worked => {
             server.note_failure(clock::now());
-            tries.tried.push(server.name.clone());
-            job.note(state, true);
+            progress.failed_servers.push(server.name.clone());
+            job.record_attempt(state, true);
         }
-        // It works, but not for this request.
+        // The server works, but not for this request.
         _ => {
-            tries.tried.push(server.name.clone());
-            job.note(state, true);
+            progress.failed_servers.push(server.name.clone());
+            job.record_attempt(state, true);
         }
     }
 }
 
-fn may_retry(state: &State, job: &Job, tries: &Tries) -> bool {
+fn may_retry(state: &State, job: &Job, progress: &Progress) -> bool {
     let attempt = Attempt {
         may_repeat: job.may_repeat,
-        first_byte_written: tries.sent,
+        first_byte_written: progress.may_be_sent,
         answer_begun: false,
-        left_ms: u64::try_from(job.left().as_millis()).unwrap_or(u64::MAX),
+        left_ms: u64::try_from(job.remaining().as_millis()).unwrap_or(u64::MAX),
         expected_ms: 1,
     };
-    // A try that wrote nothing made no work, so it costs nothing of the budget. Nor does one that
-    // an old connection failed: when many go silent at once the budget would be gone before all
-    // their requests were tried on new ones. The next try is on a new one, so this is met once
-    // by a request at most.
-    let paid = || {
-        !tries.sent
-            || tries.old_failed
+    // An attempt that wrote nothing caused no work, so it costs no retry budget. Neither does an
+    // attempt that failed on a reused connection: when many connections go silent at once, the
+    // budget would be used up before all their requests were retried on new connections. Each
+    // request gets this exemption at most once, because its next attempt opens a new connection.
+    let has_budget = || {
+        !progress.may_be_sent
+            || progress.has_reused_failed
             || (state.budgets.with(&job.account, retry::Budget::take)
                 && state.pool_budgets.with(&job.pool, retry::Budget::take))
     };
-    tries.count < TRIES_MAX && retry::may_retry_elsewhere(&attempt) && paid()
+    progress.count < ATTEMPTS_MAX && retry::may_retry_elsewhere(&attempt) && has_budget()
 }
 
-fn refusal(code: Code, message: String, tries: &Tries) -> Refusal {
-    match tries.sent {
+fn refusal(code: Code, message: String, progress: &Progress) -> Refusal {
+    match progress.may_be_sent {
         true => Refusal::may_have_run(code, message),
         false => Refusal::not_run(code, message),
     }
 }
 
-fn no_server(job: &Job, tries: &Tries) -> Refusal {
+fn no_server_refusal(job: &Job, progress: &Progress) -> Refusal {
     let what = job.version.as_ref().unwrap_or(&job.task);
     let message = format!("no backend server takes new work for {what} now");
-    refusal(Code::NoBackend, message, tries).retry_after(NO_SERVER_RETRY_MS)
+    refusal(Code::NoBackend, message, progress).retry_after(NO_SERVER_RETRY_MS)
 }
 
-fn given_up(job: &Job, tries: &Tries) -> Refusal {
-    let cause = tries.last.map_or("failed", Cause::message);
-    match job.left().is_zero() {
-        true => refusal(Code::DeadlinePassed, "the deadline passed".to_owned(), tries),
-        false => refusal(Code::BackendFailed, format!("the backend server {cause}"), tries)
+fn attempts_exhausted(job: &Job, progress: &Progress) -> Refusal {
+    let cause = progress.last_cause.map_or("failed", Cause::message);
+    match job.remaining().is_zero() {
+        true => refusal(Code::DeadlinePassed, "the deadline passed".to_owned(), progress),
+        false => refusal(Code::BackendFailed, format!("the backend server {cause}"), progress)
             .retry_after(FAILED_RETRY_MS),
     }
 }
--- a/crates/entry/src/ending.rs
+++ b/crates/entry/src/ending.rs
@@ -1,4 +1,5 @@
-//! What is noted when an answer has ended: bill, outcome, rating, log, metrics.
+//! Records the end of an answer: settles the bill, reports the outcome, starts the rating, and
+//! writes log and metrics.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,54 +8,55 @@
 use wire::evidence::Outcome;
 
 use crate::connection::Cause;
-use crate::filter::admit::{Granted, Place};
+use crate::filter::admit::{Grant, Place};
 use crate::filter::bill::Billing;
 use crate::filter::open::Slot;
 use crate::rating;
 use crate::state::State;
 
-/// What a request holds until its answer has ended.
-pub struct Held {
-    /// Among the requests of the process.
+/// The capacity that a request occupies until its answer has ended.
+pub struct Permits {
+    /// Counts the request among those in flight in the process.
     pub slot: Slot,
-    /// Among those of its account.
-    pub granted: Granted,
-    /// In its pool.
+    /// Counts the request against the limit of its client account.
+    pub grant: Grant,
+    /// The request's place in its pool; `None` if it was given back earlier.
     pub place: Option<Place>,
 }
 
-/// Everything that an answer's end needs to know.
+/// A request whose answer has begun, with what its end records.
 pub struct Ending {
-    /// The process.
+    /// The state of the entry process.
     pub state: Arc<State>,
     /// The request's id.
     pub id: Name,
     /// The client account.
     pub account: Name,
-    /// The task, or the service's name.
+    /// The task, or the name of the plain service.
     pub task: Name,
-    /// The version that answers; none for a plain service.
+    /// The version that answers; `None` for a plain service.
     pub version: Option<Name>,
-    /// When the request came in.
+    /// The time at which the request arrived.
     pub started: Instant,
-    /// When the answer's first byte came.
+    /// Time from the request's arrival to the answer's first byte.
     pub first_byte: Duration,
-    /// When the caller no longer waits.
+    /// The time after which the caller no longer waits.
     pub deadline: Instant,
-    /// Whether the answer is to be rated.
+    /// Whether the answer is sent to the rating service.
     pub rate: bool,
-    /// Its one bill.
+    /// The pending bill of the request.
     pub billing: Billing,
-    /// Given back at the end.
-    pub held: Held,
+    /// The capacity that is given back at the end.
+    pub permits: Permits,
 }
 
 impl Ending {
-    /// The answer is whole: true once its bill is held and its last byte may go out.
-    pub async fn whole(self, text: Option<String>) -> bool {
-        let Self { state, billing, held, .. } = self;
-        // The backend server is done, so the place is free for the next request.
-        drop(held.place);
+    /// Records a whole answer. Returns true once controls hold its bill, so that its last byte may
+    /// go out; false if the deadline passed first.
+    pub async fn record_whole(self, text: Option<String>) -> bool {
+        let Self { state, billing, permits, .. } = self;
+        // The backend server has finished, so the next request may have the place.
+        drop(permits.place);
         let billed = billing.settle(self.deadline).await;
         let outcome = outcome(self.account, self.task.clone(), self.started, self.first_byte);
         state.reports.outcome(Outcome { answered: billed, ..outcome });
@@ -62,7 +64,10 @@
         match billed {
             true => metrics::counter!("entry_answers_total", "end" => "whole").increment(1),
             false => {
-                log::warn!("bills: the answer of request {} breaks: its bill is not held", self.id);
+                log::warn!(
+                    "bills: the answer of request {} is cut off: no control holds its bill",
+                    self.id
+                );
                 metrics::counter!("entry_answers_total", "end" => "unbilled").increment(1);
             }
         }
@@ -75,9 +80,9 @@
         billed
     }
 
-    /// The answer broke after some of it was passed on.
-    pub fn broken(self, cause: Cause) {
-        log::info!("entry: the answer of request {} breaks: {cause:?}", self.id);
+    /// Records an answer that broke off after a part of it was passed on.
+    pub fn record_broken(self, cause: Cause) {
+        log::info!("entry: the answer of request {} broke off: {cause:?}", self.id);
         metrics::counter!("entry_answers_total", "end" => "broken").increment(1);
         if let Some(version) = &self.version {
             self.state.reports.call(version, &self.task, true);
@@ -86,14 +91,14 @@
         reports.outcome(outcome(self.account, self.task, self.started, self.first_byte));
     }
 
-    /// The caller went away before the answer's end.
-    pub fn caller_gone(self) {
+    /// Records that the caller went away before the answer's end.
+    pub fn record_caller_gone(self) {
         log::debug!("entry: the caller of request {} went away", self.id);
         metrics::counter!("entry_answers_total", "end" => "caller_gone").increment(1);
     }
 }
 
-/// An outcome that was not answered.
+/// The outcome of a request that was not answered.
 #[must_use]
 pub fn outcome(account: Name, task: Name, started: Instant, first_byte: Duration) -> Outcome {
     let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
--- a/crates/entry/src/filter.rs
+++ b/crates/entry/src/filter.rs
@@ -1,4 +1,4 @@
-//! The steps of the chain, one small module each.
+//! The filters of the chain, one module for each step.
 
 pub mod account;
 pub mod admit;
--- a/crates/entry/src/filter/account.rs
+++ b/crates/entry/src/filter/account.rs
@@ -1,4 +1,4 @@
-//! Which client account a request comes from, and for which of its tasks.
+//! Identifies the client account of a request, and finds the account's task that it is for.
 
 use hyper::HeaderMap;
 use hyper::header::AUTHORIZATION;
@@ -10,10 +10,10 @@
 use crate::call::Call;
 use crate::snapshot::Snapshot;
 
-/// The account whose key the request carries.
+/// Finds the client account by the key in the `Authorization` header.
 ///
 /// # Errors
-/// [`Code::UnknownAccount`]; the message says nothing of the key.
+/// [`Code::UnknownAccount`]; the message never contains the key.
 pub fn identify<'a>(
     snapshot: &'a Snapshot,
     headers: &HeaderMap,
@@ -25,17 +25,20 @@
     });
     let hash = key.map(|key| Sha256::digest(key).into());
     hash.and_then(|hash| snapshot.account(&hash)).ok_or_else(|| {
-        Refusal::not_run(Code::UnknownAccount, "Authorization: Bearer KEY names no client account")
+        Refusal::not_run(
+            Code::UnknownAccount,
+            "no client account has the key of the header Authorization: Bearer KEY",
+        )
     })
 }
 
 const SCHEME: &[u8] = b"Bearer ";
 
-/// The task that the request names, or the account's default.
+/// The task that the request names in its header, or the account's default task.
 ///
 /// # Errors
-/// [`Code::NotFound`].
-pub fn task<'a>(account: &'a Account, call: &Call) -> Result<(&'a Name, &'a Task), Refusal> {
+/// [`Code::NotFound`] if the account has no task of that name.
+pub fn find_task<'a>(account: &'a Account, call: &Call) -> Result<(&'a Name, &'a Task), Refusal> {
     let name = call.header(wire::backend::TASK)?.unwrap_or(&account.default_task);
     account
         .tasks
--- a/crates/entry/src/filter/admit.rs
+++ b/crates/entry/src/filter/admit.rs
@@ -1,4 +1,5 @@
-//! Whether a request may go to its pool now, waits, or is refused at once.
+//! Admission to a pool: a request is admitted, waits in a queue, or is refused at once. Also counts
+//! requests against the limit of their client account.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -16,35 +17,36 @@
 use crate::snapshot::Snapshot;
 use crate::state::State;
 
-/// First guess of the time that a request takes, in milliseconds.
-const SERVICE_MS: f64 = 100.0;
-/// Requests that wait for one pool at most, if the document does not name the pool.
-const QUEUE: usize = 64;
-/// A pool without backend servers gets none within any deadline; refused callers come back then.
-const NEVER_MS: u64 = 10_000;
-/// How often waiting requests are looked at.
-const TICK: Duration = Duration::from_millis(50);
+/// Estimate of the time that a request takes until the first ones have been measured.
+const INITIAL_SERVICE_MS: f64 = 100.0;
+/// Maximum requests that wait for a pool which the configuration document does not name.
+const DEFAULT_QUEUE_MAX: usize = 64;
+/// `Retry-After` for a pool that has no backend servers, or only leaving ones. Such a pool gets no
+/// server within any deadline, so its requests are refused instead of waiting.
+const NO_SERVER_RETRY_MS: u64 = 10_000;
+/// Interval at which the queues are checked for requests to admit or refuse.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The gates of all pools.
+/// The gates of all pools that have had a request.
 #[derive(Default)]
 pub struct Gates {
     gates: RwLock<HashMap<Name, Arc<Gate>>>,
 }
 
-/// The queue before one pool.
+/// Admits requests to one pool, and queues those that must wait.
 struct Gate {
     pool: Name,
-    inner: Mutex<Inner>,
+    inner: Mutex<GateState>,
 }
 
-struct Inner {
+struct GateState {
     queue: Queue,
     waiting: HashMap<Ticket, oneshot::Sender<Result<Place, u64>>>,
-    /// Requests of this process that hold a place.
+    /// Requests of this process that hold a place in the pool.
     admitted: u32,
 }
 
-/// A place in a pool, given back when dropped.
+/// A request's place in a pool, given back when dropped.
 pub struct Place {
     state: Arc<State>,
     gate: Arc<Gate>,
@@ -59,17 +61,17 @@
             inner.admitted -= 1;
             inner.queue.record_service_ms(ms);
         }
-        Gate::let_in(&self.gate, &self.state);
+        Gate::admit_waiting(&self.gate, &self.state);
     }
 }
 
-/// A request that waits; its caller's leaving takes it out of the queue.
-struct Waiting<'a> {
+/// Removes a waiting request from the queue when dropped, for example because its caller left.
+struct WaitGuard<'a> {
     gate: &'a Gate,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         let sender = {
             let mut inner = self.gate.lock();
@@ -82,9 +84,9 @@
 
 impl Gates {
     fn gate(&self, snapshot: &Snapshot, pool: &Name) -> Arc<Gate> {
-        let known = self.gates.read().unwrap_or_else(PoisonError::into_inner).get(pool).cloned();
-        known.unwrap_or_else(|| {
-            let limit = snapshot.pool(pool).map_or(QUEUE, |pool| pool.queue as usize);
+        let existing = self.gates.read().unwrap_or_else(PoisonError::into_inner).get(pool).cloned();
+        existing.unwrap_or_else(|| {
+            let limit = snapshot.pool(pool).map_or(DEFAULT_QUEUE_MAX, |pool| pool.queue as usize);
             let mut gates = self.gates.write().unwrap_or_else(PoisonError::into_inner);
             let gate =
                 gates.entry(pool.clone()).or_insert_with(|| Arc::new(Gate::new(pool, limit)));
@@ -92,7 +94,7 @@
         })
     }
 
-    fn all(&self) -> Vec<Arc<Gate>> {
+    fn list(&self) -> Vec<Arc<Gate>> {
         let gates = self.gates.read().unwrap_or_else(PoisonError::into_inner);
         gates.values().cloned().collect()
     }
@@ -100,20 +102,20 @@
 
 impl Gate {
     fn new(pool: &Name, limit: usize) -> Self {
-        let queue = Queue::new(limit, SERVICE_MS);
-        let inner = Inner { queue, waiting: HashMap::new(), admitted: 0 };
+        let queue = Queue::new(limit, INITIAL_SERVICE_MS);
+        let inner = GateState { queue, waiting: HashMap::new(), admitted: 0 };
         Self { pool: pool.clone(), inner: Mutex::new(inner) }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, GateState> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets waiting requests in while there are places.
+    /// Admits waiting requests while the pool has free places.
     ///
-    /// The places are handed over outside of the lock: a caller that left in between drops its
-    /// place, which takes the lock again.
-    fn let_in(gate: &Arc<Self>, state: &Arc<State>) {
+    /// Each place is sent without holding the lock: if the caller has left in the meantime, the
+    /// place is dropped, which takes the lock again.
+    fn admit_waiting(gate: &Arc<Self>, state: &Arc<State>) {
         let snapshot = state.snapshot.load();
         loop {
             let sender = {
@@ -140,22 +142,23 @@
         let mut inner = self.lock();
         for evicted in evicted {
             if let Some(sender) = inner.waiting.remove(&evicted.ticket) {
-                // It holds no place yet, so nothing is given back if its caller left.
+                // A failed send means that the caller left; it holds no place to give back.
                 let _ = sender.send(Err(evicted.retry_after_ms));
             }
         }
     }
 }
 
-/// The pool as this process knows it: its own requests, and others' as far as reports tell.
+/// The load of a pool as far as this process knows it: its own requests, plus those of other hosts
+/// as the backend servers report them.
 fn load(snapshot: &Snapshot, pool: &Name, admitted: u32, now: Millis) -> Load {
-    let slots_each = snapshot.pool(pool).map_or(1, |pool| pool.slots);
+    let default_slots = snapshot.pool(pool).map_or(1, |pool| pool.slots);
     let mut slots = 0;
     let mut others = 0.0;
     for server in snapshot.pools.get(pool).into_iter().flatten() {
         let placed = server.placed();
         if placed.takes_work(now) {
-            slots += placed.report.map_or(slots_each, |report| report.slots);
+            slots += placed.report.map_or(default_slots, |report| report.slots);
             others += placed.load(now) - f64::from(placed.in_flight);
         }
     }
@@ -164,51 +167,52 @@
     Load { slots, in_flight, own: admitted, entries: snapshot.entries, closed_ms }
 }
 
-/// How long until a backend server of a pool that has none may take work again.
+/// Time until a backend server may accept work again, for a pool where none does now.
 ///
-/// Without it a request would wait for servers that are held ill for longer than its caller
-/// does, and be refused only when its deadline comes.
+/// Without this time, a request would wait for servers that count as ill beyond its deadline, and
+/// be refused only when the deadline comes.
 fn closed_ms(snapshot: &Snapshot, pool: &Name, now: Millis) -> u64 {
     let servers = snapshot.pools.get(pool).into_iter().flatten().map(|server| server.placed());
     let staying = servers.filter(|server| !server.draining);
-    staying.map(|server| server.ill_until.since(now)).min().unwrap_or(NEVER_MS)
+    staying.map(|server| server.ill_until.since(now)).min().unwrap_or(NO_SERVER_RETRY_MS)
 }
 
 /// Waits for a place in a pool.
 ///
 /// # Errors
-/// [`Code::Overloaded`] as soon as the deadline can't be met any more; nothing ran.
+/// [`Code::Overloaded`] as soon as the deadline can't be met any more, [`Code::NoBackend`] if the
+/// pool has no backend server that accepts work. The request did not run in either case.
 pub async fn enter(
     state: &Arc<State>,
     snapshot: &Snapshot,
     pool: &Name,
-    ask: &Arrival,
+    arrival: &Arrival,
 ) -> Result<Place, Refusal> {
     let gate = state.gates.gate(snapshot, pool);
-    let (ticket, waits, evicted) = {
+    let (ticket, receiver, evicted) = {
         let mut inner = gate.lock();
         let now = clock::now();
         let load = load(snapshot, pool, inner.admitted, now);
-        match inner.queue.offer(ask, load, rand::random(), now) {
+        match inner.queue.offer(arrival, load, rand::random(), now) {
             Verdict::Admit => {
                 inner.admitted += 1;
                 drop(inner);
                 return Ok(Gate::place(&gate, state));
             }
             Verdict::Refuse { retry_after_ms } if load.slots == 0 => {
-                return Err(closed(pool, retry_after_ms));
+                return Err(no_server(pool, retry_after_ms));
             }
             Verdict::Refuse { retry_after_ms } => return Err(overloaded(pool, retry_after_ms)),
             Verdict::Wait { ticket, evicted } => {
-                let (sender, waits) = oneshot::channel();
+                let (sender, receiver) = oneshot::channel();
                 inner.waiting.insert(ticket, sender);
-                (ticket, waits, evicted)
+                (ticket, receiver, evicted)
             }
         }
     };
     gate.refuse(evicted.as_slice());
-    let _waiting = Waiting { gate: &gate, ticket };
-    match waits.await {
+    let _guard = WaitGuard { gate: &gate, ticket };
+    match receiver.await {
         Ok(Ok(place)) => Ok(place),
         Ok(Err(retry_after_ms)) => Err(overloaded(pool, retry_after_ms)),
         Err(_) => Err(overloaded(pool, 1_000)),
@@ -220,17 +224,17 @@
     Refusal::not_run(Code::Overloaded, message).retry_after(retry_after_ms)
 }
 
-fn closed(pool: &Name, retry_after_ms: u64) -> Refusal {
+fn no_server(pool: &Name, retry_after_ms: u64) -> Refusal {
     let message = format!("no backend server of pool {pool} takes new work now");
     Refusal::not_run(Code::NoBackend, message).retry_after(retry_after_ms)
 }
 
-/// Refuses waiting requests as soon as they are hopeless, and lets in those that a report has
-/// made room for. Runs until the process ends.
+/// Refuses waiting requests as soon as they can't meet their deadline, and admits requests after a
+/// load report has shown free places. Runs until the process ends.
 pub async fn tick(state: Arc<State>) {
     loop {
-        tokio::time::sleep(TICK).await;
-        for gate in state.gates.all() {
+        tokio::time::sleep(TICK_INTERVAL).await;
+        for gate in state.gates.list() {
             let evicted = {
                 let mut inner = gate.lock();
                 let now = clock::now();
@@ -238,18 +242,18 @@
                 inner.queue.evict_overdue(load, rand::random(), now)
             };
             gate.refuse(&evicted);
-            Gate::let_in(&gate, &state);
+            Gate::admit_waiting(&gate, &state);
         }
     }
 }
 
-/// A request counted against its account's limit until dropped.
-pub struct Granted {
+/// Counts a request as in flight against its account's limit until dropped.
+pub struct Grant {
     state: Arc<State>,
     account: Name,
 }
 
-impl Drop for Granted {
+impl Drop for Grant {
     fn drop(&mut self) {
         self.state.usage.with(&self.account, Usage::release);
     }
@@ -258,21 +262,21 @@
 /// Counts a request against its account's limit.
 ///
 /// # Errors
-/// [`Code::AccountLimit`].
+/// [`Code::AccountLimit`] if the account has reached its rate or its requests in flight.
 pub fn grant(
     state: &Arc<State>,
     snapshot: &Snapshot,
     name: &Name,
     account: &Account,
-) -> Result<Granted, Refusal> {
+) -> Result<Grant, Refusal> {
     let limit = Limit {
         requests_per_second: account.limit.requests_per_second,
         in_flight: account.limit.in_flight,
     };
-    let take =
+    let acquire =
         |usage: &mut Usage| usage.acquire(&limit, snapshot.entries, rand::random(), clock::now());
-    match state.usage.with(name, take) {
-        LimitVerdict::Granted => Ok(Granted { state: Arc::clone(state), account: name.clone() }),
+    match state.usage.with(name, acquire) {
+        LimitVerdict::Granted => Ok(Grant { state: Arc::clone(state), account: name.clone() }),
         LimitVerdict::Refused { retry_after_ms } => {
             Err(Refusal::not_run(Code::AccountLimit, "the account's limit is reached")
                 .retry_after(retry_after_ms))
--- a/crates/entry/src/filter/bill.rs
+++ b/crates/entry/src/filter/bill.rs
@@ -1,4 +1,4 @@
-//! The one bill of a request.
+//! The bill of a request, submitted exactly once.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,17 +9,17 @@
 use crate::clock;
 use crate::state::State;
 
-/// A request whose answer has begun: it is billed once, whatever happens from here on.
+/// The pending bill of a request whose answer has begun. It is submitted exactly once.
 ///
-/// Dropped without [`Billing::settle`] (the backend server broke off, the caller went away), it
-/// bills the answer as not whole.
+/// If it is dropped without [`Billing::settle`], because the backend server broke off or the caller
+/// went away, the answer is billed as not whole.
 pub struct Billing {
     state: Arc<State>,
     bill: Option<Bill>,
 }
 
 impl Billing {
-    /// When the first piece of an answer is there.
+    /// Starts a bill; to be called when the first piece of an answer has arrived.
     #[must_use]
     pub fn new(state: Arc<State>, request: Name, account: Name, task: Name, version: Name) -> Self {
         let at = clock::now();
@@ -28,15 +28,15 @@
         Self { state, bill: Some(bill) }
     }
 
-    /// Adds the cost of one call.
+    /// Adds the cost of one call to a backend server, in the deployment's unit.
     pub fn add(&mut self, cost: f64) {
         if let Some(bill) = &mut self.bill {
             bill.cost += cost;
         }
     }
 
-    /// Bills a whole answer; true once controls hold the bill, false if the deadline passed
-    /// first. The bill is on its way in either case.
+    /// Submits the bill of a whole answer, and waits until controls hold it. Returns false if the
+    /// deadline passed first; the bill is still delivered in that case.
     pub async fn settle(mut self, deadline: Instant) -> bool {
         let Some(mut bill) = self.bill.take() else { return false };
         bill.whole = true;
@@ -50,7 +50,7 @@
     fn drop(&mut self) {
         if let Some(mut bill) = self.bill.take() {
             bill.at = clock::now();
-            // Nobody waits for it: the caller has seen the answer break.
+            // Nothing waits for this bill: the answer has already broken off for the caller.
             drop(self.state.bills.submit(bill));
         }
     }
--- a/crates/entry/src/filter/chat.rs
+++ b/crates/entry/src/filter/chat.rs
@@ -1,22 +1,23 @@
-//! Bodies of chat completions.
+//! Parses and rewrites the bodies of chat completions.
 
 use bytes::Bytes;
 use policy::place;
 use serde_json::{Map, Value};
 use wire::refusal::{Code, Refusal};
 
-/// How much of the prompt decides which backend server's prefix cache fits.
-const AFFINITY_BYTES: usize = 1024;
+/// Length of the prompt's beginning whose hash selects the backend server, so that prompts which
+/// begin alike find their prefix in that server's cache.
+const AFFINITY_BYTES_MAX: usize = 1024;
 
-/// A body, read.
+/// The parsed body of a chat completion.
 pub struct Chat {
     members: Map<String, Value>,
-    /// The model or version asked for.
+    /// The name of the requested model or version.
     pub model: String,
 }
 
 impl Chat {
-    /// Reads a body. Members that we don't know are the model engine's and pass untouched.
+    /// Parses a body. Unknown members are meant for the model engine and are passed on unchanged.
     ///
     /// # Errors
     /// [`Code::BadRequest`]; the message never quotes the body.
@@ -28,11 +29,11 @@
         let Value::Object(members) = value else { return Err(bad("the body is not an object")) };
         let model = match members.get("model") {
             Some(Value::String(model)) if !model.is_empty() => model.clone(),
-            _ => return Err(bad("model must be a text")),
+            _ => return Err(bad("model must be a string that is not empty")),
         };
         match members.get("messages") {
             Some(Value::Array(messages)) if !messages.is_empty() => {}
-            _ => return Err(bad("messages must be a list that is not empty")),
+            _ => return Err(bad("messages must be an array that is not empty")),
         }
         match members.get("stream") {
             None | Some(Value::Bool(_) | Value::Null) => {}
@@ -41,22 +42,22 @@
         Ok(Self { members, model })
     }
 
-    /// Whether the answer is wanted piece by piece.
+    /// Whether the caller wants the answer as a stream of events.
     #[must_use]
-    pub fn stream(&self) -> bool {
+    pub fn is_streaming(&self) -> bool {
         matches!(self.members.get("stream"), Some(Value::Bool(true)))
     }
 
-    /// Alike for requests whose prompts begin alike.
+    /// A hash of the prompt's beginning, equal for requests whose prompts begin alike.
     #[must_use]
     pub fn affinity(&self) -> u64 {
         let messages = self.members.get("messages").and_then(Value::as_array);
         let contents = messages.into_iter().flatten().map(|message| &message["content"]);
         let bytes = contents.filter_map(Value::as_str).flat_map(str::bytes);
-        place::hash(&bytes.take(AFFINITY_BYTES).collect::<Vec<u8>>())
+        place::hash(&bytes.take(AFFINITY_BYTES_MAX).collect::<Vec<u8>>())
     }
 
-    /// The body for a backend server.
+    /// The body for a backend server, with `model` replaced by the version's name.
     #[must_use]
     pub fn body_for(&mut self, version: &str) -> Bytes {
         self.members.insert("model".to_owned(), Value::from(version));
--- a/crates/entry/src/filter/claim.rs
+++ b/crates/entry/src/filter/claim.rs
@@ -1,4 +1,5 @@
-//! Claims of idempotency keys: the one run of a key is granted before the first byte goes out.
+//! Claims idempotency keys at their homes: a key is granted to one request only, before that
+//! request's first byte goes out.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,45 +9,46 @@
 
 use crate::state::State;
 
-/// How long a key is remembered at least.
-pub const KEEP_MS: u64 = 24 * 3_600_000;
-/// Longest wait for a key's home.
-const WITHIN: Duration = Duration::from_secs(3);
+/// Minimum time for which a key's home remembers the key.
+pub const RETENTION_MS: u64 = 24 * 3_600_000;
+/// Longest wait for a key's home to answer.
+const HOME_TIMEOUT: Duration = Duration::from_secs(3);
+/// `Retry-After` if no control can be reached to claim a key.
 const HOME_RETRY_MS: u64 = 1_000;
 
-/// Between two tries to give a claim back.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Tries to give a claim back.
-const TRIES: u32 = 10;
+/// Interval between two attempts to give a claim back.
+const ABANDON_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum attempts to give a claim back. After them the key stays taken.
+const ABANDON_ATTEMPTS_MAX: u32 = 10;
 
-/// A key that a request holds, or may hold, and has not used yet.
+/// An idempotency key that was granted to a request, or may have been.
 ///
-/// Dropped unused (no connection, an answer of the home that got lost, a caller that went away),
-/// it is given back: the caller knows that its request did not run, and its next try with the
-/// key must not be answered otherwise.
+/// A key that is dropped unused is given back. That happens if no connection could be opened, if
+/// the home's answer was lost, or if the caller went away. The request did not run then, and the
+/// caller's next request with the key must not be refused as if it had.
 pub struct Claimed {
     state: Arc<State>,
     claim: Claim,
-    used: bool,
+    is_used: bool,
 }
 
 impl Claimed {
-    /// The request goes out now: from here on it may have run.
-    pub fn use_up(&mut self) {
-        self.used = true;
+    /// Records that the request is being sent, so that it may run.
+    pub fn mark_used(&mut self) {
+        self.is_used = true;
     }
 
-    /// It turned out that not one byte of the request went out.
-    pub fn not_used(&mut self) {
-        self.used = false;
+    /// Records that not a single byte of the request went out after all.
+    pub fn mark_unused(&mut self) {
+        self.is_used = false;
     }
 }
 
 impl Drop for Claimed {
     fn drop(&mut self) {
-        if !self.used {
+        if !self.is_used {
             let (state, claim) = (Arc::clone(&self.state), self.claim.clone());
-            // Among the relays, so that a shutdown waits for it.
+            // Spawned among the relays, so that a shutdown waits for the task.
             self.state.relays.spawn(async move { abandon(&state, &claim).await });
         }
     }
@@ -57,44 +59,50 @@
         let claim = claim.clone();
         async move { client.abandon(context, claim).await }
     };
-    for _ in 0..TRIES {
-        match state.controls.ask(WITHIN, call).await {
+    for _ in 0..ABANDON_ATTEMPTS_MAX {
+        match state.controls.ask(HOME_TIMEOUT, call).await {
             Ok(true) => return,
-            Ok(false) | Err(_) => tokio::time::sleep(PAUSE).await,
+            Ok(false) | Err(_) => tokio::time::sleep(ABANDON_INTERVAL).await,
         }
     }
-    log::warn!("entry: the key of request {} stays taken, its home is out of reach", claim.request);
+    log::warn!(
+        "entry: the key of request {} stays taken: its home can't be reached",
+        claim.request
+    );
 }
 
-/// Claims a key for a request. Asking again is safe: the home knows the request by its id.
+/// Claims a key for a request. A repeated claim is safe, because the home recognizes the request by
+/// its id.
 ///
 /// # Errors
-/// [`Code::KeyTaken`] if another request has it, [`Code::HomeUnavailable`] if nobody knows.
+/// [`Code::KeyTaken`] if another request has the key, [`Code::HomeUnavailable`] if the key's home
+/// can't be asked.
 pub async fn claim(
     state: &Arc<State>,
     claim: &Claim,
     deadline: Instant,
 ) -> Result<Claimed, Refusal> {
-    let mut claimed = Claimed { state: Arc::clone(state), claim: claim.clone(), used: false };
-    let within = deadline.saturating_duration_since(Instant::now()).min(WITHIN);
+    let mut claimed = Claimed { state: Arc::clone(state), claim: claim.clone(), is_used: false };
+    let timeout = deadline.saturating_duration_since(Instant::now()).min(HOME_TIMEOUT);
     let call = |client: wire::rpc::ControlClient, context| {
         let claim = claim.clone();
         async move { client.claim(context, claim).await }
     };
-    let answer = state.controls.ask(within, call).await;
+    let answer = state.controls.ask(timeout, call).await;
     if matches!(answer, Ok(ClaimAnswer::Taken { .. })) {
-        // There is nothing to give back. After any other answer there may be: one control may
-        // have lost the home's grant before another said that it can't reach it.
-        claimed.use_up();
+        // Another request has the key, so there is nothing to give back. After any other answer
+        // there may be: one control may have lost the home's grant on the way before another
+        // control reported that it can't reach the home.
+        claimed.mark_used();
     }
     match answer {
         Ok(ClaimAnswer::Granted) => Ok(claimed),
         Ok(ClaimAnswer::Taken { request }) => Err(Refusal::may_have_run(
             Code::KeyTaken,
-            format!("request {request} has this idempotency key: it ran, or may be running"),
+            format!("request {request} has this idempotency key; it ran or may be running"),
         )),
         Ok(ClaimAnswer::Unavailable { home, may_have_run, retry_after_ms }) => {
-            let message = format!("the key's home {home} is out of reach");
+            let message = format!("the idempotency key's home {home} can't be reached");
             let refusal = match may_have_run {
                 true => Refusal::may_have_run(Code::HomeUnavailable, message),
                 false => Refusal::not_run(Code::HomeUnavailable, message),
@@ -102,7 +110,7 @@
             Err(refusal.retry_after(retry_after_ms))
         }
         Err(_) => {
-            let message = "no control is in reach to claim the idempotency key";
+            let message = "no control can be reached to claim the idempotency key";
             Err(Refusal::not_run(Code::HomeUnavailable, message).retry_after(HOME_RETRY_MS))
         }
     }
--- a/crates/entry/src/filter/open.rs
+++ b/crates/entry/src/filter/open.rs
@@ -1,4 +1,4 @@
-//! Whether the process takes new work at all.
+//! Refuses requests while the process accepts no new work at all.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,11 +8,14 @@
 use crate::snapshot::Snapshot;
 use crate::state::State;
 
+/// `Retry-After` while the process has no configuration.
 const NOT_READY_RETRY_MS: u64 = 1_000;
-const BILLS_RETRY_MS: u64 = 2_000;
-const BUSY_RETRY_MS: u64 = 500;
+/// `Retry-After` while no further bills can be kept safe.
+const BILLS_FULL_RETRY_MS: u64 = 2_000;
+/// `Retry-After` while the process has its maximum of requests in flight.
+const OVERLOADED_RETRY_MS: u64 = 500;
 
-/// A request under way; counted until dropped.
+/// Counts a request as in flight in this process until dropped.
 pub struct Slot(Arc<State>);
 
 impl Drop for Slot {
@@ -21,10 +24,11 @@
     }
 }
 
-/// Takes a request on.
+/// Accepts a request into the process.
 ///
 /// # Errors
-/// When there is no configuration, bills can't be kept safe, or too many are under way.
+/// [`Code::NotReady`] without a configuration, [`Code::BillsFull`] while bills can't be kept safe,
+/// [`Code::Overloaded`] if too many requests are in flight.
 pub fn enter(state: &Arc<State>, snapshot: &Snapshot) -> Result<Slot, Refusal> {
     let before = state.in_flight.fetch_add(1, Ordering::Relaxed);
     let slot = Slot(Arc::clone(state));
@@ -32,12 +36,12 @@
         () if !snapshot.is_ready() => Err(Refusal::not_run(Code::NotReady, "no configuration yet")
             .retry_after(NOT_READY_RETRY_MS)),
         () if snapshot.bills_full || state.bills.full() => {
-            Err(Refusal::not_run(Code::BillsFull, "bills can't be kept safe at the moment")
-                .retry_after(BILLS_RETRY_MS))
+            Err(Refusal::not_run(Code::BillsFull, "bills can't be stored safely at the moment")
+                .retry_after(BILLS_FULL_RETRY_MS))
         }
         () if before >= state.settings.bounds.in_flight => {
-            Err(Refusal::not_run(Code::Overloaded, "this host has too many requests under way")
-                .retry_after(BUSY_RETRY_MS))
+            Err(Refusal::not_run(Code::Overloaded, "this host has too many requests in flight")
+                .retry_after(OVERLOADED_RETRY_MS))
         }
         () => Ok(slot),
     }
--- a/crates/entry/src/filter/place.rs
+++ b/crates/entry/src/filter/place.rs
@@ -1,4 +1,4 @@
-//! Which backend server takes a request.
+//! Chooses the backend server of an attempt.
 
 use std::sync::Arc;
 
@@ -8,17 +8,18 @@
 
 use crate::server::Server;
 
-/// A backend server that takes new work and is not among `tried`; none if there is none.
+/// Chooses a backend server that accepts new work and is not among `excluded`; `None` if there is
+/// none.
 #[must_use]
 pub fn choose(
     servers: &[Arc<Server>],
-    tried: &[Name],
+    excluded: &[Name],
     affinity: Option<u64>,
     now: Millis,
 ) -> Option<Arc<Server>> {
-    let open: Vec<&Arc<Server>> =
-        servers.iter().filter(|server| !tried.contains(&server.name)).collect();
-    let known: Vec<place::Server> = open.iter().map(|server| server.placed()).collect();
-    let index = place::choose(&known, affinity, rand::random(), now)?;
-    open.get(index).map(|server| Arc::clone(server))
+    let candidates: Vec<&Arc<Server>> =
+        servers.iter().filter(|server| !excluded.contains(&server.name)).collect();
+    let placed: Vec<place::Server> = candidates.iter().map(|server| server.placed()).collect();
+    let index = place::choose(&placed, affinity, rand::random(), now)?;
+    candidates.get(index).map(|server| Arc::clone(server))
 }
--- a/crates/entry/src/filter/select.rs
+++ b/crates/entry/src/filter/select.rs
@@ -1,4 +1,4 @@
-//! Which version answers a request, or which cascade of two.
+//! Selects the version that answers a request, or a cascade of two versions.
 
 use std::collections::HashMap;
 
@@ -11,64 +11,65 @@
 
 use crate::snapshot::Snapshot;
 
-/// Cost of one rating, in the deployment's unit: the rating service is not billed.
+/// Cost of one rating in the deployment's unit. Zero, because the rating service is not billed.
 const RATING_COST: f64 = 0.0;
-/// Time that most ratings take, in milliseconds.
+/// Assumed time of a rating; most take no longer.
 const RATING_MS: f64 = 50.0;
+/// `Retry-After` if no version accepts new work.
 const NO_VERSION_RETRY_MS: u64 = 2_000;
 
-/// Plans of one account, task and model.
+/// The selection tables for one account, task and model.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
-    /// For requests without a session.
+    /// Plans for requests without a session, which may be cascades.
     pub free: Table,
-    /// For sessions, which run on one version.
+    /// Plans for sessions, which run on a single version.
     pub bound: Table,
-    /// `free` without candidates.
+    /// Plans like those of `free`, but without candidate versions.
     pub free_live: Table,
-    /// `bound` without candidates.
+    /// Plans like those of `bound`, but without candidate versions.
     pub bound_live: Table,
 }
 
-/// Tables by account, task and model.
+/// Selection tables by the names of account, task and model.
 pub type Index = HashMap<(Name, Name, Name), Tables>;
 
-/// What a request asks for.
-pub struct Ask<'a> {
-    /// The account's name.
+/// The properties of a request that select its plan.
+pub struct Query<'a> {
+    /// The name of the client account.
     pub account_name: &'a Name,
-    /// The account.
+    /// The client account.
     pub account: &'a Account,
     /// The task's name.
     pub task_name: &'a Name,
-    /// A model's name, or a version's.
+    /// The requested model's name, or a version's name.
     pub model: &'a str,
-    /// Whether it must be one version for good.
-    pub bound: bool,
+    /// Whether the request belongs to a session and so must run on a single version.
+    pub is_bound: bool,
 }
 
-/// Builds all tables of a snapshot, once for each view.
+/// Builds the selection tables of a snapshot. Runs once for each view that control sends.
 #[must_use]
-pub fn index(snapshot: &Snapshot, now: Millis) -> Index {
+pub fn build_index(snapshot: &Snapshot, now: Millis) -> Index {
     let mut index = Index::new();
     for (account_name, account) in &snapshot.document.accounts {
         let mut models: HashMap<&Name, Vec<&Name>> = HashMap::new();
         for version in &account.versions {
-            if let Some(held) = snapshot.version(version) {
-                models.entry(&held.model).or_default().push(version);
+            if let Some(found) = snapshot.version(version) {
+                models.entry(&found.model).or_default().push(version);
             }
         }
         for (task_name, task) in &account.tasks {
             for (model, versions) in &models {
                 let key = (account_name.clone(), task_name.clone(), (*model).clone());
-                index.insert(key, tables(snapshot, versions, task_name, task, now));
+                index.insert(key, build_tables(snapshot, versions, task_name, task, now));
             }
         }
     }
     index
 }
 
-fn tables(
+fn build_tables(
     snapshot: &Snapshot,
     versions: &[&Name],
     task_name: &Name,
@@ -100,7 +101,8 @@
     snapshot.version(version).is_some_and(|version| version.state == VersionState::Live)
 }
 
-/// A version as selection sees it; none if it takes no new sessions or no host serves it.
+/// A version as input of selection. `None` if it accepts no new sessions, has no backend server, or
+/// is a candidate without a share of the requests.
 fn candidate(snapshot: &Snapshot, name: &Name, task: &Name, now: Millis) -> Option<Candidate> {
     let version = snapshot.version(name).filter(|_| snapshot.opens_sessions(name))?;
     snapshot.versions.get(name).filter(|servers| !servers.is_empty())?;
@@ -120,21 +122,21 @@
     }
 }
 
-/// The plan for a request, by a uniform draw from 0 to 1.
+/// Draws the plan for a request. `unit` is a uniform random number from 0 to 1.
 ///
 /// # Errors
-/// [`Code::NotFound`] for an unknown model, [`Code::NotAllowed`] for one that the account may
-/// not use, [`Code::NoBackend`] if nothing can take it now.
-pub fn plan(snapshot: &Snapshot, ask: &Ask<'_>, unit: f64) -> Result<Plan, Refusal> {
-    match snapshot.document.versions.get_key_value(ask.model) {
-        Some((name, _)) => one(snapshot, ask, name),
-        None => drawn(snapshot, ask, unit),
+/// [`Code::NotFound`] for an unknown model, [`Code::NotAllowed`] for a model or version that the
+/// account may not use, [`Code::NoBackend`] if no version accepts new work now.
+pub fn plan(snapshot: &Snapshot, query: &Query<'_>, unit: f64) -> Result<Plan, Refusal> {
+    match snapshot.document.versions.get_key_value(query.model) {
+        Some((name, _)) => plan_version(snapshot, query, name),
+        None => draw_plan(snapshot, query, unit),
     }
 }
 
-fn one(snapshot: &Snapshot, ask: &Ask<'_>, name: &Name) -> Result<Plan, Refusal> {
+fn plan_version(snapshot: &Snapshot, query: &Query<'_>, name: &Name) -> Result<Plan, Refusal> {
     match () {
-        () if !ask.account.versions.contains(name) => Err(Refusal::not_run(
+        () if !query.account.versions.contains(name) => Err(Refusal::not_run(
             Code::NotAllowed,
             format!("the account may not use version {name}"),
         )),
@@ -143,26 +145,27 @@
     }
 }
 
-fn drawn(snapshot: &Snapshot, ask: &Ask<'_>, unit: f64) -> Result<Plan, Refusal> {
-    let key = (ask.account_name.clone(), ask.task_name.clone(), Name::from(ask.model));
+fn draw_plan(snapshot: &Snapshot, query: &Query<'_>, unit: f64) -> Result<Plan, Refusal> {
+    let key = (query.account_name.clone(), query.task_name.clone(), Name::from(query.model));
     let Some(tables) = snapshot.tables.get(&key) else {
-        let known = snapshot.document.versions.values().any(|v| v.model.as_str() == ask.model);
-        return Err(match known {
+        let is_known = snapshot.document.versions.values().any(|v| v.model.as_str() == query.model);
+        return Err(match is_known {
             true => Refusal::not_run(
                 Code::NotAllowed,
-                format!("the account may not use model {:?}", ask.model),
+                format!("the account may not use model {:?}", query.model),
             ),
-            false => Refusal::not_run(Code::NotFound, format!("no model {:?}", ask.model)),
+            false => Refusal::not_run(Code::NotFound, format!("no model {:?}", query.model)),
         });
     };
-    let (table, live) = match ask.bound {
+    let (table, live) = match query.is_bound {
         true => (&tables.bound, &tables.bound_live),
         false => (&tables.free, &tables.free_live),
     };
-    // The table may be older than a candidate's `stale_limit`, so the plan drawn is looked at.
-    let open = |plan: &&Plan| versions(plan).all(|name| snapshot.opens_sessions(name));
-    let plan = table.draw(unit).filter(open).or_else(|| live.draw(unit).filter(open));
-    plan.cloned().ok_or_else(|| no_version(ask.model))
+    // A candidate's `stale_limit` may have passed since the table was built, so the drawn plan is
+    // checked again.
+    let is_open = |plan: &&Plan| versions(plan).all(|name| snapshot.opens_sessions(name));
+    let plan = table.draw(unit).filter(is_open).or_else(|| live.draw(unit).filter(is_open));
+    plan.cloned().ok_or_else(|| no_version(query.model))
 }
 
 /// The versions of a plan, in order.
@@ -175,6 +178,6 @@
 }
 
 fn no_version(model: &str) -> Refusal {
-    Refusal::not_run(Code::NoBackend, format!("no version of {model} takes new work now"))
+    Refusal::not_run(Code::NoBackend, format!("no version of {model} accepts new work now"))
         .retry_after(NO_VERSION_RETRY_MS)
 }
--- a/crates/entry/src/filter/service.rs
+++ b/crates/entry/src/filter/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, passed through.
+//! Finds plain services, and filters the headers that pass between callers and backend servers.
 
 use hyper::HeaderMap;
 use hyper::header::{
@@ -11,8 +11,8 @@
 
 use crate::snapshot::Snapshot;
 
-/// Headers that speak of one connection only.
-const DROPPED: [HeaderName; 8] = [
+/// Headers that are never passed on, because they concern a single connection.
+const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     HOST,
     PROXY_AUTHENTICATE,
@@ -22,13 +22,14 @@
     TRANSFER_ENCODING,
     UPGRADE,
 ];
-/// Headers that we set ourselves, or keep to ourselves, begin so.
-const OURS: &str = "chestnutspur-";
+/// Prefix of the product's own headers, which it sets itself and never passes on.
+const OWN_PREFIX: &str = "chestnutspur-";
 
-/// The service that a path names.
+/// Finds the service that a path names.
 ///
 /// # Errors
-/// [`Code::NotFound`] or [`Code::NotAllowed`].
+/// [`Code::NotFound`] for an unknown service, [`Code::NotAllowed`] for a service that the account
+/// may not use.
 pub fn find<'a>(
     snapshot: &'a Snapshot,
     account: &Account,
@@ -44,21 +45,22 @@
     }
 }
 
-/// Headers to pass on, in either direction, without the caller's key and those that are ours.
+/// The headers of a request or an answer that are passed on: without the caller's key, the request
+/// id and the product's own headers.
 #[must_use]
-pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = end_to_end(headers);
     kept.remove(AUTHORIZATION);
     kept.remove(wire::backend::REQUEST_ID);
-    let ours: Vec<HeaderName> =
-        kept.keys().filter(|name| name.as_str().starts_with(OURS)).cloned().collect();
-    for name in ours {
+    let own: Vec<HeaderName> =
+        kept.keys().filter(|name| name.as_str().starts_with(OWN_PREFIX)).cloned().collect();
+    for name in own {
         kept.remove(name);
     }
     kept
 }
 
-/// Headers without those that speak of one connection only, or of one message's framing.
+/// Headers without those that concern a single connection or the framing of a message.
 #[must_use]
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let connection = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
@@ -66,12 +68,12 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let keeps = |name: &HeaderName| {
-        !DROPPED.contains(name)
+    let is_kept = |name: &HeaderName| {
+        !HOP_BY_HOP.contains(name)
             && *name != CONTENT_LENGTH
             && *name != "keep-alive"
             && !named.iter().any(|listed| listed == name.as_str())
     };
-    let kept = headers.iter().filter(|(name, _)| keeps(name));
+    let kept = headers.iter().filter(|(name, _)| is_kept(name));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
--- a/crates/entry/src/filter/session.rs
+++ b/crates/entry/src/filter/session.rs
@@ -1,4 +1,4 @@
-//! Which session a request belongs to, and the version that the session is on.
+//! Reads the session of a request, and finds the version that the session runs on.
 
 use std::time::{Duration, Instant};
 
@@ -13,27 +13,28 @@
 use crate::snapshot::Snapshot;
 use crate::state::State;
 
-/// The header's value that asks for a new session.
-pub const NEW: &str = "new";
-/// How long a home remembers a caller-chosen session after its last use.
-const KEEP_MS: u64 = 24 * 3_600_000;
+/// Value of the session header that requests a new session.
+pub const NEW_SESSION: &str = "new";
+/// Time for which a home remembers a session that the caller named, after the session's last use.
+const RETENTION_MS: u64 = 24 * 3_600_000;
+/// `Retry-After` if no control can be reached to find a session's version.
 const HOME_RETRY_MS: u64 = 1_000;
 
-/// What a request says of its session.
+/// The session that a request's header names.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Session {
-    /// Nothing.
+    /// The request has no session header.
     None,
-    /// It wants a new one.
+    /// The request begins a new session.
     New,
-    /// It shows a token of ours.
+    /// The request carries a valid token that an entry host signed.
     Token(Token),
-    /// It goes by a name of the caller's own.
+    /// The request carries a session name that the caller chose.
     Chosen(Name),
 }
 
 impl Session {
-    /// Whether all its requests must run on one version.
+    /// Whether the request belongs to a session, so that it must run on a single version.
     #[must_use]
     pub fn is_bound(&self) -> bool {
         *self != Self::None
@@ -43,17 +44,18 @@
 /// Reads the session header.
 ///
 /// # Errors
-/// [`Code::BadSession`] for a token that is not ours, or is another account's.
+/// [`Code::BadSession`] for a token with an invalid signature or of another account; also if the
+/// header is malformed or too long, the refusal of [`Call::parse_name`].
 pub fn read(snapshot: &Snapshot, account: &Name, call: &Call) -> Result<Session, Refusal> {
     match call.header(SESSION)? {
         None => Ok(Session::None),
-        Some(NEW) => Ok(Session::New),
+        Some(NEW_SESSION) => Ok(Session::New),
         Some(text) if token::is_token(text) => match snapshot.keyring.verify(text) {
             Ok(token) if token.account == *account => Ok(Session::Token(token)),
-            Ok(_) => Err(bad_session("the session is another account's")),
+            Ok(_) => Err(bad_session("the session belongs to another account")),
             Err(error) => Err(bad_session(&error.to_string())),
         },
-        Some(_) => Ok(call.named(SESSION)?.map_or(Session::None, Session::Chosen)),
+        Some(_) => Ok(call.parse_name(SESSION)?.map_or(Session::None, Session::Chosen)),
     }
 }
 
@@ -61,7 +63,7 @@
     Refusal::not_run(Code::BadSession, message)
 }
 
-/// The signed token of a session that begins.
+/// Signs the token of a new session; `None` if the configuration has no key for signing.
 #[must_use]
 pub fn sign(state: &State, snapshot: &Snapshot, account: &Name, version: &Name) -> Option<String> {
     let home = state.settings.failure_domain.clone();
@@ -70,11 +72,12 @@
     snapshot.keyring.sign(&token)
 }
 
-/// The version that a caller-chosen session is on: the one drawn here if it is new.
+/// Pins a session that the caller named to a version. Returns the version that the session already
+/// runs on, or `drawn` if the session is new.
 ///
 /// # Errors
-/// [`Code::HomeUnavailable`] when the home can't be asked. Running on the drawn version then
-/// could put one session on two versions, so nothing runs.
+/// [`Code::HomeUnavailable`] if the session's home can't be asked. The request does not run then,
+/// because running it on the drawn version could spread the session over two versions.
 pub async fn pin(
     state: &State,
     account: &Name,
@@ -89,35 +92,35 @@
         account: account.clone(),
         session: session.clone(),
         version: drawn,
-        keep_ms: KEEP_MS,
+        keep_ms: RETENTION_MS,
     };
-    let within = deadline.saturating_duration_since(Instant::now()).min(Duration::from_secs(3));
+    let timeout = deadline.saturating_duration_since(Instant::now()).min(Duration::from_secs(3));
     let call = |client: wire::rpc::ControlClient, context| {
         let pin = pin.clone();
         async move { client.pin(context, pin).await }
     };
-    match state.controls.ask(within, call).await {
+    match state.controls.ask(timeout, call).await {
         Ok(PinAnswer::Pinned { version }) => {
             state.pins.put(account, session, version.clone());
             Ok(version)
         }
         Ok(PinAnswer::Unavailable { home, retry_after_ms }) => Err(Refusal::not_run(
             Code::HomeUnavailable,
-            format!("the session's home {home} is out of reach"),
+            format!("the session's home {home} can't be reached"),
         )
         .retry_after(retry_after_ms)),
         Err(_) => Err(Refusal::not_run(
             Code::HomeUnavailable,
-            "no control is in reach to ask for the session's version",
+            "no control can be reached to ask for the session's version",
         )
         .retry_after(HOME_RETRY_MS)),
     }
 }
 
-/// Whether a session's version still takes its requests.
+/// Checks that a session's version still accepts the session's requests.
 ///
 /// # Errors
-/// [`Code::SessionEnded`]: a session is never moved to another version silently.
+/// [`Code::SessionEnded`] if it does not. A session is never moved to another version silently.
 pub fn check(snapshot: &Snapshot, version: &Name) -> Result<(), Refusal> {
     let ended = |why: &str| {
         let message = format!("the session ended: its version {why}; begin a new one");
@@ -125,7 +128,7 @@
     };
     match snapshot.version(version) {
         None => ended("is gone"),
-        Some(held) if held.state == VersionState::Withdrawn => ended("was withdrawn"),
+        Some(found) if found.state == VersionState::Withdrawn => ended("was withdrawn"),
         Some(_) if snapshot.quarantined.contains(version) => ended("is under quarantine"),
         Some(_) => Ok(()),
     }
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -1,4 +1,4 @@
-//! One call to a backend server, as the chain decided it.
+//! A call to backend servers, prepared by the filter chain.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,54 +16,58 @@
 use crate::snapshot::Snapshot;
 use crate::state::State;
 
-/// One call to make.
+/// A call that [`crate::dispatch`] makes.
 pub struct Job {
-    /// The request's id.
+    /// The id of the caller's request.
     pub id: Name,
     /// The client account.
     pub account: Name,
-    /// The task, or the service's name.
+    /// The task, or the name of the plain service.
     pub task: Name,
-    /// The version; none for a plain service.
+    /// The version that must answer; `None` for a plain service.
     pub version: Option<Name>,
-    /// The pool that serves it.
+    /// The pool of backend servers for the call.
     pub pool: Name,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub may_repeat: bool,
-    /// When the caller no longer waits.
+    /// The time after which the caller no longer waits.
     pub deadline: Instant,
-    /// Longest wait for the first byte of an answer.
-    pub first_byte: Duration,
-    /// The same on a connection that has carried answers before.
-    pub reused_first_byte: Duration,
-    /// Longest wait between two pieces of it.
-    pub between_bytes: Duration,
-    /// What decides which backend server's cache fits.
+    /// Longest wait for the first byte of an answer on a new connection.
+    pub first_byte_timeout: Duration,
+    /// Longest wait for the first byte on a connection that has carried answers before, which may
+    /// have gone silent.
+    pub reused_first_byte_timeout: Duration,
+    /// Longest wait between two pieces of an answer.
+    pub between_bytes_timeout: Duration,
+    /// Hash that sends requests with alike prompts to the same backend server, whose prefix cache
+    /// then fits; `None` if any server is as good.
     pub affinity: Option<u64>,
-    /// What must be granted before the first byte goes out.
+    /// The idempotency key that must be granted before the first byte goes out; `None` if the
+    /// request has none or may run more than once.
     pub claim: Option<Claim>,
-    /// Whether the answer must be read to its end before it is looked at.
-    pub whole: bool,
-    /// Whether the answer's text is wanted.
-    pub text: bool,
-    /// For the backend server.
+    /// Whether a streamed answer is also read to its end before it is passed on, if it is small.
+    pub is_buffered: bool,
+    /// Whether the text of a streamed answer is collected for the rating service.
+    pub wants_text: bool,
+    /// Method of the request to the backend server.
     pub method: Method,
-    /// For the backend server.
+    /// Path and query of the request to the backend server.
     pub path: String,
-    /// For the backend server.
+    /// Headers of the request to the backend server, without `Host` and the request id.
     pub headers: HeaderMap,
-    /// For the backend server.
+    /// Body of the request to the backend server.
     pub body: Bytes,
 }
 
 impl Job {
-    /// Time that the caller still waits.
+    /// Time until the deadline; zero once it has passed.
     #[must_use]
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Backend servers that may take it.
+    /// Backend servers that may answer the call: those of its version, or of its pool for a plain
+    /// service.
     #[must_use]
     pub fn servers<'a>(&self, snapshot: &'a Snapshot) -> &'a [Arc<Server>] {
         let servers = match &self.version {
@@ -73,10 +77,11 @@
         servers.map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// What a backend server is sent.
+    /// The HTTP request for a backend server.
     ///
     /// # Errors
-    /// Never for what the chain lets through; nothing is written then.
+    /// A [`Failure`] that says that nothing was sent. It can't happen for requests that passed the
+    /// chain.
     pub fn request(&self, server: &Server) -> Result<Request<Full<Bytes>>, Failure> {
         let broken = Failure::not_sent(Cause::Broken);
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -90,10 +95,10 @@
         Ok(request)
     }
 
-    /// Counts a try for the version's evidence.
-    pub fn note(&self, state: &State, failed: bool) {
+    /// Counts an attempt as evidence for or against its version; plain services are not counted.
+    pub fn record_attempt(&self, state: &State, has_failed: bool) {
         if let Some(version) = &self.version {
-            state.reports.call(version, &self.task, failed);
+            state.reports.call(version, &self.task, has_failed);
         }
     }
 }
--- a/crates/entry/src/refuse.rs
+++ b/crates/entry/src/refuse.rs
@@ -1,4 +1,4 @@
-//! Refusals as HTTP answers.
+//! Converts refusals to HTTP answers.
 
 use hyper::Response;
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
@@ -7,7 +7,7 @@
 
 use crate::answer::Answer;
 
-/// The answer that tells a caller of a refusal.
+/// The HTTP answer for a refusal, with its status, JSON body, `Retry-After` and request id.
 #[must_use]
 pub fn response(refusal: Refusal) -> Response<Answer> {
     let status = refusal.code.status();
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -39,16 +39,16 @@
             let text = stream.text();
             // The backend server is done; its connection need not wait for the bill.
             drop(stream.finish());
-            release(last, ending.whole(text).await, &pieces).await;
+            release(last, ending.record_whole(text).await, &pieces).await;
         }
         Err(End::CallerGone) => {
             // Dropping the stream closes its connection, which stops the backend server's work.
             drop(stream);
-            ending.caller_gone();
+            ending.record_caller_gone();
         }
         Err(End::Broken(cause)) => {
             drop(stream);
-            ending.broken(cause);
+            ending.record_broken(cause);
             let _ = pieces.send(Err(Broken)).await;
         }
     }
@@ -67,10 +67,10 @@
 
 /// Passes on all but the last piece, which it gives back.
 async fn pass_on(stream: &mut Stream, pieces: &Pieces, deadline: Instant) -> Result<Bytes, End> {
-    let begun = std::mem::take(&mut stream.begun);
-    send(pieces, begun, deadline).await?;
+    let received = std::mem::take(&mut stream.received);
+    send(pieces, received, deadline).await?;
     loop {
-        let within = stream.between_bytes;
+        let within = stream.between_bytes_timeout;
         let piece = tokio::select! {
             // Also while nothing comes: the caller's leaving must stop the work at once.
             () = pieces.closed() => return Err(End::CallerGone),
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -1,4 +1,4 @@
-//! The answer of a backend server, checked before anything of it is passed on.
+//! Reads the answer of a backend server and checks it before any of it reaches the caller.
 
 use std::time::{Duration, Instant};
 
@@ -19,52 +19,53 @@
 use crate::server::{Lease, Server};
 use crate::sse::Watch;
 
-/// An answer up to this size is read to its end before it is passed on: if it breaks off, the
-/// caller has seen nothing of it yet, and the request may be tried again.
+/// An answer up to this size is read to its end before any of it is passed on. If such an answer
+/// breaks off, the caller has seen nothing of it, and the request may be attempted again.
 const WHOLE_BYTES_MAX: usize = 1 << 20;
-/// Text kept of a stream for the rating service.
+/// Maximum text of a streamed answer that is collected for the rating service.
 const TEXT_BYTES_MAX: usize = 64 << 10;
-/// Longest wait for a connection to be ready again after an answer.
-const READY: Duration = Duration::from_secs(1);
+/// Longest wait for a connection to become ready for reuse after an answer.
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a backend server answered.
+/// The answer of a backend server.
 pub struct Reply {
-    /// Status and headers.
+    /// Status and headers of the answer.
     pub head: Parts,
-    /// The body.
+    /// The body, read whole or still arriving.
     pub content: Content,
-    /// From the request's first byte to the answer's first byte.
+    /// Time from the request's first byte to the answer's first byte.
     pub first_byte: Duration,
 }
 
 /// The body of an answer.
 pub enum Content {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Its beginning, and where the rest comes from.
+    /// The received beginning of the body, and the source of the rest.
     Stream(Box<Stream>),
 }
 
-/// An answer that is still coming.
+/// An answer that is still arriving.
 pub struct Stream {
-    /// What has come so far.
-    pub begun: Bytes,
-    /// The rest.
+    /// The part of the body that was read so far.
+    pub received: Bytes,
+    /// The part of the body that is still to be read.
     pub body: Incoming,
-    /// Looks for the final event, if the answer is a stream of events of a model engine.
+    /// Detects the final event. `None` unless the answer is an event stream of a model engine.
     pub watch: Option<Watch>,
-    /// Longest wait for the next piece.
-    pub between_bytes: Duration,
-    /// Closed when this is dropped, which stops the backend server's work.
+    /// Longest wait for the next piece of the body.
+    pub between_bytes_timeout: Duration,
+    /// The connection that carries the answer. Dropping the stream closes it, which stops the
+    /// backend server's work.
     pub connection: Connection,
-    /// Counts the request at its backend server.
+    /// Counts the request as in flight at its backend server until dropped.
     pub lease: Lease,
 }
 
-/// Reads an answer whole if it is small, or else its beginning.
+/// Reads a small answer whole, and the beginning of a large or streamed one.
 ///
 /// # Errors
-/// Always with `sent: true`; the connection is closed by then.
+/// The failure always has `sent: true`, and its connection is closed.
 pub async fn read(
     job: &Job,
     response: Response<Incoming>,
@@ -74,48 +75,49 @@
     sent_at: Instant,
 ) -> Result<Reply, Failure> {
     let (head, body) = response.into_parts();
-    note_statement(&lease.server, &head, sent);
-    check(job, &head).map_err(Failure::sent)?;
+    record_statement(&lease.server, &head, sent);
+    check_answer(job, &head).map_err(Failure::sent)?;
     let is_events = is_event_stream(&head);
     let is_stream = is_events && job.version.is_some();
-    let watch = is_stream.then(|| match job.text {
+    let watch = is_stream.then(|| match job.wants_text {
         true => Watch::default().with_text(TEXT_BYTES_MAX),
         false => Watch::default(),
     });
-    let between_bytes = job.between_bytes;
-    let begun = Bytes::new();
-    let mut stream = Stream { begun, body, watch, between_bytes, connection, lease };
-    let limit = job.first_byte.saturating_sub(sent_at.elapsed());
-    let whole = job.whole || !is_events;
-    let ended = stream.begin(job, limit, whole).await.map_err(Failure::sent)?;
+    let between_bytes_timeout = job.between_bytes_timeout;
+    let received = Bytes::new();
+    let mut stream = Stream { received, body, watch, between_bytes_timeout, connection, lease };
+    let limit = job.first_byte_timeout.saturating_sub(sent_at.elapsed());
+    let is_buffered = job.is_buffered || !is_events;
+    let has_ended = stream.read_beginning(job, limit, is_buffered).await.map_err(Failure::sent)?;
     let first_byte = sent_at.elapsed();
-    let content = match ended {
+    let content = match has_ended {
         true => Content::Whole(stream.finish()),
         false => Content::Stream(Box::new(stream)),
     };
     Ok(Reply { head, content, first_byte })
 }
 
-/// Whether an answer belongs to its request, and is one that may be passed on.
-fn check(job: &Job, head: &Parts) -> Result<(), Cause> {
+/// Checks that the answer belongs to its request and may be passed on.
+fn check_answer(job: &Job, head: &Parts) -> Result<(), Cause> {
     let echo = head.headers.get(REQUEST_ID).map(|value| value.as_bytes());
     let status = head.status;
-    let failed = status.is_server_error() || status.as_u16() == 429;
+    let is_failure = status.is_server_error() || status.as_u16() == 429;
     match echo {
-        // A server that can't answer may not know whom.
-        None if failed => Err(Cause::Failed(status.as_u16())),
-        // Something on the way has mixed up answers. Whatever else is on this connection is
-        // suspect as well, so it is closed.
+        // A server that fails or is busy may not be able to echo the request's id.
+        None if is_failure => Err(Cause::Failed(status.as_u16())),
+        // Answers were mixed up on the way. Anything else on this connection may be wrong as well,
+        // so the connection is closed.
         echo if echo != Some(job.id.as_bytes()) => Err(Cause::Crossed),
         _ if job.version.is_none() => Ok(()),
-        _ if failed => Err(Cause::Failed(status.as_u16())),
+        _ if is_failure => Err(Cause::Failed(status.as_u16())),
         _ => Ok(()),
     }
 }
 
-/// What a server says of how much it takes binds whoever sends there next, whatever becomes of this
-/// answer.
-fn note_statement(server: &Server, head: &Parts, sent: Millis) {
+/// Records what the answer's headers say about the work that the server accepts: that the server
+/// is leaving, or wants a pause. This applies to all later requests to the server, even if the
+/// answer itself turns out to be unusable.
+fn record_statement(server: &Server, head: &Parts, sent: Millis) {
     let statement = Statement {
         per_second: None,
         is_leaving: is_set(&head.headers, LEAVING),
@@ -128,32 +130,35 @@
     let news = server
         .with_intake(now, |intake| intake.record_answer(&statement, sent, rand::random(), now));
     if news.has_begun_leaving || news.has_begun_pause {
-        log::info!("entry: backend server {} says: {statement:?}", server.name);
+        log::info!("entry: backend server {} restricts its work: {statement:?}", server.name);
     }
 }
 
-/// A flag counts as set unless it says that it is not: to take a leave for none is the graver error.
+/// Whether a header that is a flag is set: any value other than `0` or `false` counts. Unclear
+/// values count as set because the flag tells that a server is leaving, and missing that is the
+/// worse error.
 #[must_use]
 pub fn is_set(headers: &HeaderMap, name: &str) -> bool {
     let value = headers.get(name).map(|value| value.as_bytes().trim_ascii());
     value.is_some_and(|value| !matches!(value, b"0" | b"false"))
 }
 
-/// The pause that a server asks for as it turns a request away, in milliseconds.
+/// The pause in milliseconds that a server asks for in `Retry-After` of a 503 answer; `None` if it
+/// asks for none.
 ///
-/// One that can't be read is a short one: the server wants less work, so none at all is the graver
-/// error.
+/// An unreadable value counts as a short pause: the server wants less work, so ignoring its wish
+/// would be the worse error.
 #[must_use]
 pub fn pause_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(RETRY_AFTER).filter(|_| status == StatusCode::SERVICE_UNAVAILABLE)?;
     let ms = value.to_str().ok().and_then(pause::parse_seconds);
     if ms.is_none() {
-        log::warn!("entry: a backend server asks for a pause that can't be read: {value:?}");
+        log::warn!("entry: a backend server sent an unreadable Retry-After: {value:?}");
     }
     Some(ms.unwrap_or(pause::UNREADABLE_MS))
 }
 
-/// Whether an answer is a stream of events.
+/// Whether an answer is a stream of server-sent events.
 #[must_use]
 pub fn is_event_stream(head: &Parts) -> bool {
     let kind = head.headers.get(CONTENT_TYPE).map(|value| value.as_bytes()).unwrap_or_default();
@@ -161,44 +166,51 @@
 }
 
 impl Stream {
-    /// Reads the beginning, or all if `whole` and it is small; true if the answer has ended.
-    async fn begin(&mut self, job: &Job, limit: Duration, whole: bool) -> Result<bool, Cause> {
+    /// Reads the beginning of the answer: the first piece, or if `is_buffered` up to
+    /// [`WHOLE_BYTES_MAX`]. Returns true if the answer has ended.
+    async fn read_beginning(
+        &mut self,
+        job: &Job,
+        limit: Duration,
+        is_buffered: bool,
+    ) -> Result<bool, Cause> {
         let mut limit = limit;
         loop {
             match self.next(limit, job.deadline).await? {
-                Piece::Data(data) => self.add(data),
+                Piece::Data(data) => self.append(data),
                 Piece::Final(data) => {
-                    self.add(data);
+                    self.append(data);
                     return Ok(true);
                 }
                 Piece::End => return Ok(true),
             }
-            limit = self.between_bytes;
-            let enough = match whole {
-                true => self.begun.len() > WHOLE_BYTES_MAX,
-                false => !self.begun.is_empty(),
+            limit = self.between_bytes_timeout;
+            let is_enough = match is_buffered {
+                true => self.received.len() > WHOLE_BYTES_MAX,
+                false => !self.received.is_empty(),
             };
-            if enough {
+            if is_enough {
                 return Ok(false);
             }
         }
     }
 
-    /// Adds a piece to what has come; the first one, most often the only one, is not copied.
-    fn add(&mut self, data: Bytes) {
-        if self.begun.is_empty() {
-            self.begun = data;
+    /// Appends a piece to the received part. The first piece, usually the only one, is not copied.
+    fn append(&mut self, data: Bytes) {
+        if self.received.is_empty() {
+            self.received = data;
             return;
         }
-        let mut begun = BytesMut::from(std::mem::take(&mut self.begun));
-        begun.extend_from_slice(&data);
-        self.begun = begun.freeze();
+        let mut received = BytesMut::from(std::mem::take(&mut self.received));
+        received.extend_from_slice(&data);
+        self.received = received.freeze();
     }
 
-    /// The next piece.
+    /// Reads the next piece of the body.
     ///
     /// # Errors
-    /// [`Cause::Silent`], [`Cause::Broken`] or [`Cause::Deadline`].
+    /// [`Cause::Silent`] if no piece arrived within the time, [`Cause::Truncated`] if the answer
+    /// broke off, [`Cause::Deadline`] if the request's deadline passed.
     pub async fn next(&mut self, within: Duration, deadline: Instant) -> Result<Piece, Cause> {
         let until = (Instant::now() + within).min(deadline);
         loop {
@@ -223,43 +235,44 @@
         }
     }
 
-    /// The answer is whole: gives back what was read, and the connection to its server.
+    /// Ends a whole answer: returns the received part, and gives the connection back to its server
+    /// for reuse.
     pub fn finish(self) -> Bytes {
-        let Self { begun, body, mut connection, lease, .. } = self;
+        let Self { received, body, mut connection, lease, .. } = self;
         match body.is_end_stream() {
             true => {
                 connection.mark_proven();
                 lease.server.put_idle(connection);
             }
             false => {
-                tokio::spawn(give_back(body, connection, lease));
+                tokio::spawn(return_connection(body, connection, lease));
             }
         }
-        begun
+        received
     }
 
-    /// The text collected for the rating service.
+    /// Takes the text collected for the rating service; `None` if it was not wanted.
     #[must_use]
     pub fn text(&mut self) -> Option<String> {
         self.watch.take().and_then(Watch::into_text)
     }
 }
 
-/// A piece of an answer.
+/// A piece of an answer's body.
 pub enum Piece {
-    /// More follows.
+    /// A piece that another one may follow.
     Data(Bytes),
-    /// The last one: the answer's length is met, or its final event is complete.
+    /// The last piece: the answer's length is reached, or its final event is complete.
     Final(Bytes),
-    /// A clean end.
+    /// A clean end of the body, without data.
     End,
 }
 
-/// Keeps a connection whose answer has ended, once nothing more is left on it.
-async fn give_back(mut body: Incoming, mut connection: Connection, lease: Lease) {
-    let rest = tokio::time::timeout(READY, body.frame()).await;
-    // Anything after the end, or no end at all, leaves the connection in doubt.
-    if matches!(rest, Ok(None)) && connection.proved(READY).await {
+/// Returns the connection of an ended answer to its server once nothing is left on it.
+async fn return_connection(mut body: Incoming, mut connection: Connection, lease: Lease) {
+    let rest = tokio::time::timeout(READY_TIMEOUT, body.frame()).await;
+    // A connection with data after the end, or without an end in time, can't be trusted.
+    if matches!(rest, Ok(None)) && connection.proved(READY_TIMEOUT).await {
         lease.server.put_idle(connection);
     }
 }
--- a/crates/entry/src/respond.rs
+++ b/crates/entry/src/respond.rs
@@ -11,22 +11,23 @@
 
 use crate::answer::Answer;
 use crate::ending::Ending;
-use crate::filter::service::passed_on;
+use crate::filter::service::forwarded_headers;
 use crate::reply::{Content, Reply};
 use crate::state::State;
 use crate::{rating, relay};
 
-/// Headers of ours on an answer.
+/// Values of the product's own headers on an answer.
 #[derive(Default)]
 pub struct Extra {
-    /// The signed token of the session that began with this request.
+    /// The signed token of the session that began with this request; `None` if none began.
     pub session: Option<String>,
 }
 
-/// The answer, its bill on the way or held.
+/// Makes the caller's answer. A complete body is returned once controls hold its bill; a stream is
+/// billed by its relay.
 ///
 /// # Errors
-/// [`Code::BillsFull`] if no control held the bill of a whole answer in time.
+/// [`Code::BillsFull`] if no control held the bill of a complete body before the deadline.
 pub async fn respond(
     state: &Arc<State>,
     reply: Reply,
@@ -37,18 +38,18 @@
     match reply.content {
         Content::Whole(bytes) => {
             let text = ending.rate.then(|| text(&reply.head, &bytes)).flatten();
-            match ending.whole(text).await {
+            match ending.record_whole(text).await {
                 true => Ok(Response::from_parts(head, Answer::whole(bytes))),
                 false => Err(Refusal::may_have_run(
                     Code::BillsFull,
-                    "the answer is withheld: its bill could not be kept safe",
+                    "the answer is withheld because its bill could not be stored safely",
                 )),
             }
         }
         Content::Stream(stream) => {
             let mut head = head;
             if let Some(rest) = stream.body.size_hint().exact() {
-                let length = HeaderValue::from(rest + stream.begun.len() as u64);
+                let length = HeaderValue::from(rest + stream.received.len() as u64);
                 head.headers.insert(CONTENT_LENGTH, length);
             }
             Ok(Response::from_parts(head, relay::start(state, stream, ending)))
@@ -56,7 +57,7 @@
     }
 }
 
-/// The text of a whole answer, whichever way it came.
+/// The text of a whole answer, from a JSON body or from a stream of events.
 #[must_use]
 pub fn text(head: &Parts, bytes: &Bytes) -> Option<String> {
     match crate::reply::is_event_stream(head) {
@@ -68,12 +69,12 @@
 fn head(from: &Parts, ending: &Ending, extra: Extra) -> Parts {
     let (mut head, ()) = Response::new(()).into_parts();
     head.status = from.status;
-    head.headers = passed_on(&from.headers);
-    let ours = [
+    head.headers = forwarded_headers(&from.headers);
+    let own = [
         (wire::backend::VERSION, ending.version.as_ref().map(ToString::to_string)),
         (wire::backend::SESSION, extra.session),
     ];
-    for (name, value) in ours {
+    for (name, value) in own {
         if let Some(value) = value.and_then(|value| HeaderValue::try_from(value).ok()) {
             head.headers.insert(HeaderName::from_static(name), value);
         }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -9,10 +9,10 @@
 use wire::refusal::Refusal;
 
 use crate::answer::Answer;
-use crate::chain::{From, Trace};
+use crate::chain::{Context, Trace};
 use crate::clock;
 use crate::dispatch;
-use crate::ending::{Ending, Held};
+use crate::ending::{Ending, Permits};
 use crate::filter::bill::Billing;
 use crate::filter::open::Slot;
 use crate::filter::{admit, claim, service};
@@ -29,24 +29,24 @@
 /// # Errors
 /// A refusal.
 pub async fn serve(
-    from: &From<'_>,
+    ctx: &Context<'_>,
     name: &Name,
     path: &str,
     body: Bytes,
     slot: Slot,
     trace: &mut Trace,
 ) -> Result<Response<Answer>, Refusal> {
-    let From { state, snapshot, account_name, account, call } = *from;
+    let Context { state, snapshot, account_name, account, call } = *ctx;
     let held = service::find(snapshot, account, name)?;
     trace.task = Some(name.clone());
     let deadline = call.deadline(held.deadline_ms)?;
-    let granted = admit::grant(state, snapshot, account_name, account)?;
+    let grant = admit::grant(state, snapshot, account_name, account)?;
     let left = deadline.saturating_duration_since(Instant::now());
     let until = clock::now() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
     let ask = policy::admit::Arrival::new(account_name.clone(), PRIORITY, until);
     let place = admit::enter(state, snapshot, &held.pool, &ask).await?;
     let may_repeat = held.repeatable.iter().any(|method| method.as_str() == call.method.as_str());
-    let key = call.named(wire::backend::IDEMPOTENCY_KEY)?.filter(|_| !may_repeat);
+    let key = call.parse_name(wire::backend::IDEMPOTENCY_KEY)?.filter(|_| !may_repeat);
     let job = Job {
         id: call.id.clone(),
         account: account_name.clone(),
@@ -55,22 +55,22 @@
         pool: held.pool.clone(),
         may_repeat,
         deadline,
-        first_byte: left,
+        first_byte_timeout: left,
         // An old connection may have gone silent; half of the time is left to try a new one.
-        reused_first_byte: left / 2,
-        between_bytes: BETWEEN_BYTES,
+        reused_first_byte_timeout: left / 2,
+        between_bytes_timeout: BETWEEN_BYTES,
         affinity: None,
         claim: key.map(|key| Claim {
             account: account_name.clone(),
             key,
             request: call.id.clone(),
-            keep_ms: claim::KEEP_MS,
+            keep_ms: claim::RETENTION_MS,
         }),
-        whole: false,
-        text: false,
+        is_buffered: false,
+        wants_text: false,
         method: call.method.clone(),
         path: path.to_owned(),
-        headers: service::passed_on(&call.headers),
+        headers: service::forwarded_headers(&call.headers),
         body,
     };
     let reply = dispatch::dispatch(state, &job).await?;
@@ -93,7 +93,7 @@
         deadline,
         rate: false,
         billing,
-        held: Held { slot, granted, place: Some(place) },
+        permits: Permits { slot, grant, place: Some(place) },
     };
     respond::respond(state, reply, ending, Extra::default()).await
 }
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -93,7 +93,7 @@
         for host in &Arc::clone(&next.hosts).hosts {
             next.add_host(previous, host);
         }
-        next.tables = select::index(&next, clock::now());
+        next.tables = select::build_index(&next, clock::now());
         next
     }
 
