--- a/crates/entry/tests/answers.rs
+++ b/crates/entry/tests/answers.rs
@@ -1,4 +1,5 @@
-//! A caller gets the whole answer to its own request, or sees that it broke.
+//! Checks that a caller gets the whole answer to its own request, or can see that the answer broke
+//! off.
 
 mod common;
 
@@ -13,15 +14,16 @@
 use tokio::net::TcpStream;
 use wire::refusal::{Code, Ran};
 
+/// Task whose requests may run only once.
 const ORDER: (&str, &str) = ("chestnutspur-task", "order");
-/// Answered by one version alone.
+/// Task whose requests may be repeated, and which a single version answers.
 const TAG: (&str, &str) = ("chestnutspur-task", "tag");
 
 #[tokio::test(flavor = "multi_thread")]
 async fn crossed_answer_is_never_passed_on() {
-    // The backend server answers with the request before this one. The caller must not see that
-    // answer: the connection is closed, and since the request may be repeated, another backend
-    // server is asked and the caller sees its own answer.
+    // The backend server sends the answer to the previous request. The caller must not see it: the
+    // connection is closed and, because the request may be repeated, another backend server
+    // answers.
     let bench = Bench::start().await;
     bench.fault(&Faults { crossed: 1.0, only: Some(1), ..Faults::default() });
     for _ in 0..6 {
@@ -34,9 +36,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn crossed_answer_to_a_request_that_may_not_repeat() {
-    // It ran, but its answer is lost. A second run could double it, so the caller is told at
-    // once that it may have run.
+async fn crossed_answer_to_a_request_that_may_not_repeat_is_refused() {
+    // The request ran, but its answer is lost. A second run could double the order, so the caller
+    // is told at once that the request may have run.
     let bench = Bench::start().await;
     bench.fault(&Faults { crossed: 1.0, only: Some(1), ..Faults::default() });
     let answer = bench.chat(&[ORDER], false).await.unwrap();
@@ -53,9 +55,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn truncated_json_is_tried_elsewhere() {
-    // Half of an answer comes, then the connection breaks. Nothing of it has been passed on, so
-    // the caller sees only the whole answer of the second try, billed once.
+async fn truncated_json_is_retried_elsewhere() {
+    // The connection breaks after half of an answer. Nothing of it has been passed on, so the
+    // caller sees only the whole answer of the second attempt, billed once.
     let bench = Bench::start().await;
     bench.fault(&Faults { cut_after: Some(40), only: Some(1), ..Faults::default() });
     for _ in 0..4 {
@@ -69,9 +71,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn truncated_stream_is_visibly_broken() {
-    // A stream breaks after its first events were passed on. The caller must not take it for
-    // whole: its own connection breaks as well, without a clean end. It is billed once, as not
-    // whole.
+    // A stream breaks after its first events were passed on. So that the caller can't take it for
+    // whole, the caller's connection breaks as well, without a clean end. The answer is billed
+    // once, as not whole.
     let bench = Bench::start().await;
     bench.fault(&Faults { cut_after: Some(400), ..Faults::default() });
     let broken = bench.chat(&[TAG], true).await.unwrap_err();
@@ -84,8 +86,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_with_a_clean_end_but_no_final_event_is_broken() {
-    // The backend server's program ends a stream early but closes it properly, so HTTP sees a
-    // whole body. Only the missing final event tells; the caller must see a broken answer.
+    // The backend server ends a stream early but closes it properly, so the body is complete as far
+    // as HTTP can tell. Only the missing final event shows that the answer is broken.
     let bench = Bench::start().await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -108,7 +110,7 @@
     assert_eq!(broken.0, Some(200));
 }
 
-/// Answers every request with a stream that ends cleanly after one event.
+/// Answers a request with a stream that ends cleanly after one event, without the final event.
 async fn early_end(mut stream: TcpStream) {
     let mut head = Vec::new();
     while !head.windows(4).any(|window| window == b"\r\n\r\n") {
@@ -132,8 +134,8 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
 }
 
-/// A service's only server, whose answers have neither a length nor chunks and end with their
-/// connections, in order or by a reset.
+/// Replaces the only server of the service `desk` by one whose answers have neither a length nor
+/// chunks, so that they end with their connections: cleanly, or with a reset if `is_reset`.
 async fn unframed(bench: &Bench, is_reset: bool) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -165,9 +167,10 @@
     bench.settled().await;
 }
 
-/// Guards against a whole answer that is taken for a broken one.
+/// Guards against taking a whole answer for a broken one: the clean end of the connection is the
+/// answer's end.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_without_a_length_is_whole_if_its_connection_ends_in_order() {
+async fn answer_without_a_length_is_whole_if_its_connection_ends_cleanly() {
     let bench = Bench::start().await;
     unframed(&bench, false).await;
     for _ in 0..3 {
@@ -176,7 +179,7 @@
     }
 }
 
-/// Guards against one that was cut short and looks whole to its caller.
+/// Guards against passing on an answer as whole that a connection reset cut short.
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_without_a_length_is_broken_if_its_connection_is_reset() {
     let bench = Bench::start().await;
@@ -186,9 +189,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_connection_is_found_and_another_tried() {
-    // The backend server takes the request and then nothing comes, not even an end. After the
-    // version's first-byte limit the connection is closed and the request goes elsewhere.
+async fn silent_connection_is_closed_and_the_request_retried() {
+    // The backend server accepts the request and then sends nothing, not even an end. After the
+    // version's first-byte limit the connection is closed and the request is sent to another
+    // server.
     let bench = Bench::start().await;
     let silent = Faults { silent_after: Some(0), only: Some(1), ..Faults::default() };
     bench.engines[0].set_faults(silent);
@@ -219,9 +223,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_gone_stops_the_backend_server() {
-    // The caller reads the beginning of a long stream and goes away. The backend server must not
-    // go on working for nobody: its connection is closed, and it sees that. No limit of ours
-    // would end the run within the test's time.
+    // The caller reads the beginning of a long stream and goes away. The backend server must stop
+    // its work, so its connection is closed. The time limits are set so long that none of them can
+    // end the run within the test.
     let mut document = common::bench::document();
     document["versions"]["feed-1"]["between_bytes_ms"] = 100_000.into();
     document["accounts"]["mill"]["tasks"]["tag"]["deadline_ms"] = 100_000.into();
@@ -236,8 +240,8 @@
         body.len()
     );
     stream.write_all(request.as_bytes()).await.unwrap();
-    // All that the engine sends before it goes silent, so that no later piece can find out that
-    // the caller left.
+    // Reads everything that the engine sends before it goes silent. No later piece can then reveal
+    // that the caller left.
     let mut read = Vec::new();
     while body_bytes(&read) < 407 {
         assert!(stream.read_buf(&mut read).await.unwrap() > 0);
@@ -252,14 +256,14 @@
     assert!(!bench.control.bills.lock().unwrap()[0].whole);
 }
 
-/// Bytes after the head, sizes of chunks included.
+/// The count of bytes after the head, including the chunk sizes.
 fn body_bytes(read: &[u8]) -> usize {
     let head = read.windows(4).position(|window| window == b"\r\n\r\n");
     head.map_or(0, |head| read.len() - head - 4)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn failure_of_every_backend_server_is_told_at_once() {
+async fn failure_of_every_backend_server_is_refused_at_once() {
     let bench = Bench::start().await;
     bench.fault(&Faults { error: 1.0, ..Faults::default() });
     let answer = bench.chat(&[TAG], false).await.unwrap();
@@ -268,7 +272,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn deadline_passes_before_the_answer() {
+async fn deadline_passed_before_the_answer_is_refused() {
     let bench = Bench::start().await;
     bench.fault(&Faults { delay_ms: 350, ..Faults::default() });
     let headers = [TAG, ("chestnutspur-deadline", "150")];
--- a/crates/entry/tests/bad_input.rs
+++ b/crates/entry/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! What callers may get wrong: each gets a clear refusal, and the process goes on.
+//! Checks that each mistake of a caller gets a clear refusal, and that the process continues to
+//! serve.
 
 mod common;
 
@@ -15,7 +16,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn body_malformed() {
+async fn malformed_body_is_refused() {
     let bench = Bench::start().await;
     let bodies = [
         "",
@@ -37,7 +38,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn body_malformed_is_not_quoted() {
+async fn malformed_body_is_not_quoted() {
     let bench = Bench::start().await;
     let body = r#"{"model": "feed", "messages": secret-herd-record"#;
     let answer = bench.call(Method::POST, CHAT, &[], body).await.unwrap();
@@ -46,7 +47,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn names_unknown() {
+async fn unknown_names_are_refused() {
     let bench = Bench::start().await;
     let known = chat_body("feed", false);
     let task = [("chestnutspur-task", "dance")];
@@ -64,7 +65,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn version_not_allowed() {
+async fn version_not_allowed_is_refused() {
     let mut document = common::bench::document();
     document["accounts"]["mill"]["versions"] = serde_json::json!(["feed-2"]);
     let bench = Bench::with(document, |_| {}).await;
@@ -74,7 +75,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn account_unknown() {
+async fn unknown_account_is_refused() {
     let bench = Bench::start().await;
     for value in [None, Some("Bearer nobody"), Some("Basic a2V5"), Some("Bearer"), Some("")] {
         let mut request = Request::post(CHAT);
@@ -89,7 +90,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn headers_malformed() {
+async fn malformed_headers_are_refused() {
     let bench = Bench::start().await;
     let body = chat_body("feed", false);
     let long = "k".repeat(300);
@@ -107,7 +108,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn header_and_body_too_large() {
+async fn header_and_body_too_large_are_refused() {
     let bench = Bench::start().await;
     let body = chat_body("feed", false);
     let large = "x".repeat(5000);
@@ -117,9 +118,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_too_slow() {
-    // The caller sends a head that promises ten bytes, and then three. The process gives up on
-    // it after `slow_ms` and says so, and no backend server ever hears of the request.
+async fn slow_caller_is_refused() {
+    // The caller declares a body of ten bytes and sends three. After `slow_ms` the request is
+    // refused, and no backend server ever receives it.
     let bench = Bench::start().await;
     let mut stream = TcpStream::connect(bench.callers).await.unwrap();
     let head = format!("POST {CHAT} HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {KEY}\r\n");
@@ -134,8 +135,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_gone_while_sending() {
-    // The caller promises a body and goes away. The request is never seen by a backend server.
+async fn caller_gone_while_sending_reaches_no_backend_server() {
+    // The caller declares a body and goes away before sending it. No backend server receives the
+    // request.
     let bench = Bench::start().await;
     let mut stream = TcpStream::connect(bench.callers).await.unwrap();
     let head = format!("POST {CHAT} HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {KEY}\r\n");
@@ -148,20 +150,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn request_is_not_http() {
+async fn request_that_is_not_http_does_not_stop_the_process() {
     let bench = Bench::start().await;
     for text in ["\u{1}\u{2}\u{3}\r\n\r\n", "GET\r\n\r\n", "POST / HTTP/9.9\r\n\r\n"] {
         let mut stream = TcpStream::connect(bench.callers).await.unwrap();
         stream.write_all(text.as_bytes()).await.unwrap();
         let mut answer = Vec::new();
-        // The connection may be reset with or without an answer.
+        // The process may reset the connection with or without an answer.
         let _ = stream.read_to_end(&mut answer).await;
     }
     assert_eq!(bench.chat(&[], false).await.unwrap().status(), 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn account_limit_reached() {
+async fn request_over_the_account_limit_is_refused() {
     let mut document = common::bench::document();
     document["accounts"]["mill"]["limit"] = serde_json::json!({"requests_per_second": 0.001});
     let bench = Bench::with(document, |_| {}).await;
--- a/crates/entry/tests/once.rs
+++ b/crates/entry/tests/once.rs
@@ -1,4 +1,5 @@
-//! A request that may not be repeated runs at most once, and "not run" is true.
+//! Checks that a request which may not be repeated runs at most once, and that a refusal says "not
+//! run" only if the request did not run.
 
 mod common;
 
@@ -13,11 +14,13 @@
 use wire::host::List;
 use wire::refusal::{Code, Ran};
 
+/// Task whose requests may run only once.
 const ORDER: (&str, &str) = ("chestnutspur-task", "order");
+/// Path of a plain service whose calls may run only once unless they are reads.
 const DESK: &str = "/services/desk/orders";
 
-/// Puts a proxy before the first engine, and takes the second one out.
-async fn behind_proxy(bench: &Bench) -> proxy::Proxy {
+/// Puts a proxy in front of the first engine, and removes the second engine.
+async fn start_proxy(bench: &Bench) -> proxy::Proxy {
     let proxy = proxy::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
     proxy.set_target(bench.engines[0].address);
     let address = Name::from(proxy.address.to_string());
@@ -31,12 +34,13 @@
     proxy
 }
 
-/// Puts engines of the list at addresses where nothing listens, and gives back the list before.
-async fn close(bench: &Bench, names: &[&str]) -> List {
+/// Changes the listed addresses of engines to one where nothing listens. Returns the list as it was
+/// before.
+async fn make_unreachable(bench: &Bench, names: &[&str]) -> List {
     let before = bench.control.view.borrow().hosts.clone();
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = Name::from(nobody.local_addr().unwrap().to_string());
-    drop(nobody);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = Name::from(listener.local_addr().unwrap().to_string());
+    drop(listener);
     bench.control.change(|view| {
         for host in view.hosts.hosts.iter_mut().filter(|host| names.contains(&host.name.as_str())) {
             host.address = address.clone();
@@ -47,11 +51,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_connection_is_tried_elsewhere() {
-    // One engine's port is closed. Not a byte of the order has gone out when that shows, so it
-    // goes to the other engine, and the caller sees nothing of it.
+async fn refused_connection_is_retried_elsewhere() {
+    // One engine's port is closed. The connection is refused before a byte of the order has gone
+    // out, so the other engine answers, and the caller does not notice.
     let bench = Bench::start().await;
-    close(&bench, &["engine-0"]).await;
+    make_unreachable(&bench, &["engine-0"]).await;
     for _ in 0..8 {
         let answer = bench.chat(&[ORDER], false).await.unwrap();
         assert_eq!(answer.status(), 200);
@@ -60,9 +64,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_everywhere_did_not_run() {
+async fn refused_connections_everywhere_did_not_run() {
     let bench = Bench::start().await;
-    close(&bench, &["engine-0", "engine-1"]).await;
+    make_unreachable(&bench, &["engine-0", "engine-1"]).await;
     let answer = bench.chat(&[ORDER], false).await.unwrap();
     assert_eq!(refused(&answer), (Code::NoBackend, Ran::No));
     assert!(refusal(&answer).retry_after_ms.is_some());
@@ -70,24 +74,24 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn silence_after_the_first_byte_is_told_at_once() {
-    // The engine takes the order and goes silent. It may have run, so it is never sent again;
-    // the caller is told after the version's first-byte limit, long before its deadline.
+async fn silence_after_the_request_was_sent_is_refused_at_the_limit() {
+    // The engine accepts the order and goes silent. The order may have run, so it is never sent
+    // again. The caller is told after the version's first-byte limit, long before its deadline.
     let bench = Bench::start().await;
     bench.fault(&Faults { silent_after: Some(0), ..Faults::default() });
     let started = std::time::Instant::now();
     let answer = bench.chat(&[ORDER], false).await.unwrap();
     assert_eq!(refused(&answer), (Code::BackendFailed, Ran::Unknown));
     assert_eq!(bench.runs().len(), 1);
-    // The task's deadline is 8 s; the limit is 0.4 s.
+    // The task's deadline is 8 s; the first-byte limit is 0.4 s.
     assert!(started.elapsed().as_secs() < 7);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_lost_on_the_way_is_not_run_again() {
-    // The engine works and answers, but the connection breaks before the answer is through.
+    // The engine runs the order, but the connection breaks before its answer has arrived.
     let bench = Bench::start().await;
-    let proxy = behind_proxy(&bench).await;
+    let proxy = start_proxy(&bench).await;
     until_async("an order gets through", async || {
         bench.chat(&[ORDER], false).await.unwrap().status() == 200
     })
@@ -96,7 +100,7 @@
     proxy.set_mode(Mode::DropAnswer);
     let answer = bench.chat(&[ORDER], false).await.unwrap();
     let (code, ran) = refused(&answer);
-    // If the load report found the proxy out first, nothing was sent at all.
+    // If a failed load report revealed the broken proxy first, the order was never sent.
     match code {
         Code::NoBackend => assert_eq!(ran, Ran::No),
         code => assert_eq!((code, ran), (Code::BackendFailed, Ran::Unknown)),
@@ -106,12 +110,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn old_connections_gone_silent_carry_no_order() {
-    // Kept connections go silent for good while new ones work. Orders sent on them would be
-    // lost without anyone knowing whether they ran. The connections have answered a moment ago;
-    // even so every order goes out on a new one and is answered.
+async fn reused_connections_gone_silent_carry_no_order() {
+    // Idle connections go silent for good while new ones work. An order sent on an idle connection
+    // would be lost, and nobody could know whether it ran. So every order is sent on a new
+    // connection, even if the idle ones answered a moment ago.
     let bench = Bench::start().await;
-    let proxy = behind_proxy(&bench).await;
+    let proxy = start_proxy(&bench).await;
     for _ in 0..4 {
         assert_eq!(bench.chat(&[("chestnutspur-task", "tag")], false).await.unwrap().status(), 200);
     }
@@ -125,11 +129,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn old_connections_gone_silent_do_not_condemn_the_server() {
-    // A repeatable request on such a connection waits for the first-byte limit, then is tried on
-    // a new connection of the same, only, engine and answered.
+async fn reused_connection_gone_silent_does_not_make_its_server_ill() {
+    // A repeatable request on an idle connection that went silent waits for the first-byte limit.
+    // It is then sent on a new connection to the same engine, the only one, and answered.
     let bench = Bench::start().await;
-    let proxy = behind_proxy(&bench).await;
+    let proxy = start_proxy(&bench).await;
     let tag = [("chestnutspur-task", "tag")];
     assert_eq!(bench.chat(&tag, false).await.unwrap().status(), 200);
     proxy.silence_existing();
@@ -156,8 +160,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn key_of_an_unreachable_home_does_not_run() {
-    // The key's home is cut off. Nothing is sent; but an earlier try of the key may have run, and
-    // only the home knows, so the caller is told "unknown" and may send the same key again.
+    // The key's home can't be reached, so nothing is sent. An earlier request with the key may have
+    // run, which only the home knows, so the caller is told "unknown" and may send the key again.
     let bench = Bench::start().await;
     *bench.control.home_gone.lock().unwrap() = true;
     let key = ("idempotency-key", "order-7");
@@ -170,10 +174,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn key_of_an_unheard_claim_is_given_back() {
-    // The home grants the key and its answer is lost on the way. Nothing is sent; but whether an
-    // earlier try of the key ran was not heard either, so the caller is told "unknown" and sends
-    // the same key again. Were the key still taken then, it could never order.
+async fn key_of_a_claim_without_an_answer_is_given_back() {
+    // The home grants the key, but its answer is lost on the way, so nothing is sent. Whether an
+    // earlier request with the key ran is not known either, so the caller is told "unknown" and
+    // sends the same key again. If the key were still taken then, the caller could never order.
     let bench = Bench::start().await;
     let headers = [ORDER, ("idempotency-key", "order-9")];
     *bench.control.claims_unheard.lock().unwrap() = true;
@@ -187,14 +191,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn key_is_not_claimed_when_no_backend_server_takes_it() {
-    // Every engine is down. A key claimed now would stay taken though its order never ran, and
-    // the caller's next try with the same key would be refused for nothing.
+async fn key_is_not_claimed_when_no_backend_server_is_reachable() {
+    // Every engine is down. If the key were claimed now, it would stay taken although its order
+    // never ran, and the caller's next request with the key would be refused without reason.
     let bench = Bench::start().await;
-    let before = close(&bench, &["engine-0", "engine-1"]).await;
+    let before = make_unreachable(&bench, &["engine-0", "engine-1"]).await;
     let headers = [ORDER, ("idempotency-key", "order-8")];
     let answer = bench.chat(&headers, false).await.unwrap();
-    // The key was not asked for, so nobody can say that no earlier try of it ran.
+    // The home was not asked about the key, so an earlier request with the key may have run.
     assert_eq!(refused(&answer), (Code::NoBackend, Ran::Unknown));
     assert!(bench.control.keys.lock().unwrap().is_empty());
     bench.control.change(|view| view.hosts = before);
@@ -207,13 +211,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn key_is_given_back_when_the_homes_answer_is_lost() {
-    // The home grants the key, but its answer gets lost. Nothing is sent. The key is given back,
-    // or the caller's next try would be refused for a request that never ran.
+    // The home grants the key, but its answer does not arrive before the caller's deadline. Nothing
+    // is sent. If the key were not given back, the caller's next request would be refused because
+    // of a request that never ran.
     let bench = Bench::start().await;
     *bench.control.claims_lost.lock().unwrap() = true;
     let key = ("idempotency-key", "order-9");
-    let hasty = [ORDER, key, ("chestnutspur-deadline", "300")];
-    let answer = bench.chat(&hasty, false).await.unwrap();
+    let short_deadline = [ORDER, key, ("chestnutspur-deadline", "300")];
+    let answer = bench.chat(&short_deadline, false).await.unwrap();
     assert_eq!(refused(&answer), (Code::HomeUnavailable, Ran::Unknown));
     until("the key is given back", || bench.control.keys.lock().unwrap().is_empty()).await;
     *bench.control.claims_lost.lock().unwrap() = false;
@@ -223,9 +228,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn service_order_runs_once_whatever_fails() {
-    // A mix of faults at the order desk. Its own records say how often each order took effect.
+    // The order desk fails in different ways. Its records show how often each order took effect.
     let bench = Bench::start().await;
-    let mut unknown = 0;
+    let mut order_count = 0;
     for (number, faults) in [
         Faults { error: 1.0, ..Faults::default() },
         Faults { cut_after: Some(0), ..Faults::default() },
@@ -245,19 +250,19 @@
             ran != Some(Ran::No)
         })
         .await;
-        unknown += 1;
+        order_count += 1;
     }
-    assert_eq!(bench.service.orders().len(), unknown);
+    assert_eq!(bench.service.orders().len(), order_count);
     assert!(bench.service.orders().values().all(|count| *count == 1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn service_read_is_tried_again() {
+async fn service_read_is_retried() {
     let bench = Bench::start().await;
     bench.service.set_faults(Faults { cut_after: Some(0), only: Some(1), ..Faults::default() });
     until("the view is in force", || true).await;
     let answer = bench.call(Method::GET, "/services/desk/status/7", &[], "").await.unwrap();
-    // The one server of the pool is held ill for a moment after a new connection failed.
+    // After a failure on a new connection the only server of the pool counts as ill for a moment.
     match answer.status().as_u16() {
         200 => {}
         _ => assert_eq!(refused(&answer).1, Ran::Unknown),
--- a/crates/entry/tests/path.rs
+++ b/crates/entry/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path, nothing failing.
+//! Checks the whole path of a request: answers, bills, cascades and sessions, without faults in
+//! connections or servers.
 
 mod common;
 
@@ -49,8 +50,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn cascade_answers_badly_then_better_with_one_bill() {
-    // The cheap version's answers are all bad: the rater says so, and the better one answers.
+async fn cascade_with_a_bad_first_answer_has_one_bill() {
+    // The rating service finds all answers of the cheap version bad, so the better version answers.
     // The caller sees one answer, and one bill holds the cost of both calls.
     let bench = Bench::start().await;
     let bad = [("feed-1".into(), 0.0)].into();
@@ -114,11 +115,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn session_of_the_callers_own_name_is_pinned() {
+async fn session_named_by_the_caller_is_pinned() {
     let bench = Bench::start().await;
     let session = ("chestnutspur-session", "farm-12");
     let version = text(&bench.chat(&[session], false).await.unwrap()).version;
-    // No version that opens sessions has a backend server any more, but this one goes on.
+    // No version that accepts new sessions has a backend server any more, but the existing session
+    // continues.
     bench
         .change_document(|document| {
             document["versions"]["feed-3"] = document["versions"]["feed-2"].clone();
@@ -146,8 +148,8 @@
 async fn session_of_another_account_is_refused() {
     let bench = Bench::start().await;
     let key = "00".repeat(32);
-    let ring = coordination::token::Keyring::default().with_key(1, key.as_bytes());
-    let token = ring.sign(&coordination::token::Token::default()).unwrap();
+    let keyring = coordination::token::Keyring::default().with_key(1, key.as_bytes());
+    let token = keyring.sign(&coordination::token::Token::default()).unwrap();
     let answer = bench.chat(&[("chestnutspur-session", &token)], false).await.unwrap();
     assert_eq!(refused(&answer), (Code::BadSession, Ran::No));
 }
@@ -167,7 +169,7 @@
     bench.settled().await;
     let stale = bench.chat(&session, false).await.unwrap();
     assert_eq!(text(&stale).version.as_str(), "feed-1");
-    // Sessions that are on it go on.
+    // A session that already runs on the candidate continues.
     let token = header(&fresh, "chestnutspur-session");
     let old = bench.chat(&[("chestnutspur-session", token)], false).await.unwrap();
     assert_eq!(text(&old).version.as_str(), "feed-2");
