--- a/crates/entry/src/bills.rs
+++ b/crates/entry/src/bills.rs
@@ -1,4 +1,4 @@
-//! Bills on their way to two controls, many in one call.
+//! Queues bills and sends them in batches to a control, until two controls hold them.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,73 +9,74 @@
 
 use crate::state::State;
 
-/// Bills sent in one call at most.
-const BATCH: usize = 512;
-/// Calls under way at a time. More than one, so that a slow call does not hold up the answers
-/// that ended after it.
-const CALLS: usize = 4;
-/// Longest wait for controls in one round.
-const ROUND: Duration = Duration::from_millis(2500);
-/// Pause after a round in which no control held the bills.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Bills kept here at most before new work is refused.
+/// Limit on the bills in one call.
+const BATCH_MAX: usize = 512;
+/// Number of sender tasks, each with one call in flight. More than one, so that a slow call does
+/// not delay the answers that ended after its batch was sent.
+const SENDERS_COUNT: usize = 4;
+/// Limit on the time in which all controls together are asked to hold a batch, before a pause.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Delay before a batch is sent again after no control accepted it.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Number of unconfirmed bills from which new requests are rejected.
 const PENDING_MAX: usize = 20_000;
 
-/// A bill that no control has yet, and who waits for it.
+/// A bill that controls have not confirmed yet, and the channel that reports the confirmation.
 struct Pending {
     bill: Bill,
-    held: oneshot::Sender<()>,
+    confirmation: oneshot::Sender<()>,
 }
 
-/// Bills not yet held by controls.
+/// Bills that controls have not confirmed yet.
 #[derive(Default)]
 pub struct Bills {
     queue: Mutex<Vec<Pending>>,
     added: Notify,
-    /// Queued or on their way.
+    /// Number of bills in the queue or in a batch that is being sent.
     pending: AtomicUsize,
-    /// No control held the last bills.
-    unsafe_now: AtomicBool,
+    /// Whether the last call failed to get its bills held by any control.
+    is_unsafe: AtomicBool,
 }
 
 impl Bills {
-    /// Takes a bill on; the receiver is notified when controls hold it.
+    /// Queues a bill; the returned receiver is notified when controls hold the bill.
     ///
-    /// The bill is kept until then whatever becomes of the receiver: a caller that goes away
-    /// while it waits is billed all the same, once.
+    /// The bill stays queued even if the receiver is dropped: a caller that disconnects while it
+    /// waits is still billed, once.
     pub fn submit(&self, bill: Bill) -> oneshot::Receiver<()> {
-        let (held, waits) = oneshot::channel();
+        let (confirmation, receiver) = oneshot::channel();
         self.pending.fetch_add(1, Ordering::Relaxed);
-        self.lock().push(Pending { bill, held });
+        self.lock().push(Pending { bill, confirmation });
         self.added.notify_one();
-        waits
+        receiver
     }
 
-    /// Bills that no control holds yet.
+    /// Number of bills that controls have not confirmed yet.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.pending.load(Ordering::Relaxed)
     }
 
-    /// Whether new work must be refused: no control holds bills, or this process has too many.
+    /// Whether new requests must be rejected: the last call found no control that holds its bills,
+    /// or this process has [`PENDING_MAX`] unconfirmed bills.
     #[must_use]
     pub fn full(&self) -> bool {
-        self.unsafe_now.load(Ordering::Relaxed) || self.pending() >= PENDING_MAX
+        self.is_unsafe.load(Ordering::Relaxed) || self.pending() >= PENDING_MAX
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Pending>> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self) -> Vec<Pending> {
+    fn take_batch(&self) -> Vec<Pending> {
         let mut queue = self.lock();
-        let count = queue.len().min(BATCH);
+        let count = queue.len().min(BATCH_MAX);
         queue.drain(..count).collect()
     }
 
-    async fn next(&self) -> Vec<Pending> {
+    async fn next_batch(&self) -> Vec<Pending> {
         loop {
-            let batch = self.take();
+            let batch = self.take_batch();
             if !batch.is_empty() {
                 return batch;
             }
@@ -84,51 +85,57 @@
     }
 }
 
-/// Starts the senders; they run until the process ends, so that a shutdown can wait for them.
+/// Starts the sender tasks. They run until the process ends, so that a shutdown can wait until all
+/// bills are confirmed.
 pub fn start(state: &Arc<State>) {
-    for _ in 0..CALLS {
-        tokio::spawn(send_all(Arc::clone(state)));
+    for _ in 0..SENDERS_COUNT {
+        tokio::spawn(run_sender(Arc::clone(state)));
     }
 }
 
-async fn send_all(state: Arc<State>) {
+async fn run_sender(state: Arc<State>) {
     loop {
-        let batch = state.bills.next().await;
-        // Another sender may go on with what this batch left over.
+        let batch = state.bills.next_batch().await;
+        // The queue may hold more than one batch: wake another sender for the rest.
         state.bills.added.notify_one();
-        send(&state, batch).await;
+        send_batch(&state, batch).await;
     }
 }
 
-/// Sends one batch until controls hold it.
+/// Sends one batch again and again until controls hold it.
 ///
-/// Bills are distinguished by request id, so a batch whose answer was lost is sent again, also to
-/// another control, and still counts once.
-async fn send(state: &State, batch: Vec<Pending>) {
+/// Controls tell bills apart by request id, so a batch whose answer was lost can be sent again,
+/// also to another control, and each bill still counts once.
+async fn send_batch(state: &State, batch: Vec<Pending>) {
     let bills: Vec<Bill> = batch.iter().map(|pending| pending.bill.clone()).collect();
     loop {
         let call = |client: wire::rpc::ControlClient, context| {
             let bills = bills.clone();
             async move { client.bill(context, bills).await }
         };
-        let held = state.controls.ask(ROUND, call).await;
-        // Without a control that holds bills no answer could end, so no more work is begun.
-        let safe = matches!(held, Ok(BillAnswer::Twice | BillAnswer::Once));
-        state.bills.unsafe_now.store(!safe, Ordering::Relaxed);
+        let held = state.controls.ask(CALL_TIMEOUT, call).await;
+        // While no control holds bills, no answer can end: reject new requests (`is_full`).
+        let is_safe = matches!(held, Ok(BillAnswer::Twice | BillAnswer::Once));
+        state.bills.is_unsafe.store(!is_safe, Ordering::Relaxed);
         match held {
             Ok(BillAnswer::Twice) => break,
             Ok(BillAnswer::Once) => {
                 metrics::counter!("entry_bills_held_once_total").increment(bills.len() as u64);
                 break;
             }
-            Ok(BillAnswer::Full) => log::warn!("bills: controls are at their bound"),
-            Err(error) => log::warn!("bills: no control holds {}: {error}", bills.len()),
+            Ok(BillAnswer::Full) => {
+                log::warn!("bills: the controls hold as many bills as they may; retrying")
+            }
+            Err(error) => log::warn!(
+                "bills: no control accepted a batch of {}: {error}; retrying",
+                bills.len()
+            ),
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     state.bills.pending.fetch_sub(batch.len(), Ordering::Relaxed);
     for pending in batch {
-        // Whoever waited may be gone; the bill is held all the same.
-        let _ = pending.held.send(());
+        // The waiting task may have been dropped; controls hold the bill in any case.
+        let _ = pending.confirmation.send(());
     }
 }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Accepts connections from callers and serves HTTP/1.1 requests on them.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,38 +17,39 @@
 use crate::chain;
 use crate::state::State;
 
-/// hyper's own buffer is this much larger than the bound on headers, so that a caller a little
-/// over the bound gets a refusal with a body instead of hyper's bare status.
+/// Ratio of hyper's read buffer to the limit on header bytes. The buffer is larger, so that a
+/// caller slightly over the limit gets a refusal with a body instead of hyper's bare status.
 const BUFFER_FACTOR: usize = 4;
-/// Pause after a failed accept, as when the process is out of file descriptors.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Connections that were made before the listener closes are still taken, for this long.
-const BACKLOG: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for instance when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time after the close signal in which connections waiting in the listener's backlog are still
+/// accepted.
+const BACKLOG_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What answers callers' requests.
+/// Answers the requests of callers.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request. Dropped when its caller leaves.
+    /// Answers one request. The returned future is dropped when the caller disconnects.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<Answer>> + Send;
 
-    /// Bounds for a connection that begins now.
+    /// Limits for a connection that is accepted now; they stay the same for its lifetime.
     fn bounds(&self) -> Bounds;
 
-    /// Whether a new connection is taken; it is closed unread if not, and its caller comes back at
-    /// another host.
+    /// Whether a new connection is accepted. Otherwise the connection is closed unread, and its
+    /// caller connects again to another host.
     fn takes_connection(&self) -> bool {
         true
     }
 }
 
-/// Bounds on one connection.
+/// Limits of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Bytes of all headers of a request.
+    /// Limit on the bytes of all headers of a request together.
     pub header_bytes: usize,
-    /// Longest time from the end of one request to the end of the next one's headers.
+    /// Limit on the time from the end of one request to the end of the next request's headers.
     pub idle: Duration,
 }
 
@@ -64,7 +65,8 @@
     }
 }
 
-/// Accepts until `close`; each connection then ends after the requests under way on it.
+/// Accepts connections until `close` is cancelled. Each connection then ends after the requests in
+/// flight on it.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     state: Arc<H>,
@@ -74,41 +76,42 @@
     loop {
         tokio::select! {
             () = close.cancelled() => break,
-            accepted = listener.accept() => take(accepted, &state, &close, &connections).await,
+            accepted = listener.accept() => handle(accepted, &state, &close, &connections).await,
         }
     }
-    // One time for all of them. Callers that open a new connection as soon as one closes would
-    // otherwise keep the port open until the process is ended with their requests under way.
-    let until = tokio::time::Instant::now() + BACKLOG;
-    while let Ok(accepted) = tokio::time::timeout_at(until, listener.accept()).await {
-        take(accepted, &state, &close, &connections).await;
+    // One deadline for the whole backlog. With one per connection, callers that open a new
+    // connection as soon as one closes would keep the port open until the process is killed with
+    // their requests in flight.
+    let deadline = tokio::time::Instant::now() + BACKLOG_TIMEOUT;
+    while let Ok(accepted) = tokio::time::timeout_at(deadline, listener.accept()).await {
+        handle(accepted, &state, &close, &connections).await;
     }
 }
 
-async fn take<H: Handler>(
+async fn handle<H: Handler>(
     accepted: std::io::Result<(TcpStream, std::net::SocketAddr)>,
     state: &Arc<H>,
     close: &CancellationToken,
     connections: &TaskTracker,
 ) {
     match accepted {
-        // Dropped unread.
+        // Dropping the stream closes the connection without reading from it.
         Ok(_) if !state.takes_connection() => {
             metrics::counter!("callers_connections_closed_unread_total").increment(1);
         }
         Ok((stream, _)) => {
-            connections.spawn(connection(stream, Arc::clone(state), close.clone()));
+            connections.spawn(serve_connection(stream, Arc::clone(state), close.clone()));
         }
         Err(error) => {
-            log::warn!("entry: accept: {error}");
-            tokio::time::sleep(PAUSE).await;
+            log::warn!("entry: can't accept a connection: {error}");
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
         }
     }
 }
 
-async fn connection<H: Handler>(stream: TcpStream, state: Arc<H>, close: CancellationToken) {
+async fn serve_connection<H: Handler>(stream: TcpStream, state: Arc<H>, close: CancellationToken) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("entry: a caller's connection: {error}");
+        log::debug!("entry: a caller's connection failed: {error}");
         return;
     }
     let bounds = state.bounds();
@@ -131,6 +134,6 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!("entry: a caller's connection: {error}");
+        log::debug!("entry: a caller's connection failed: {error}");
     }
 }
--- a/crates/entry/src/connection.rs
+++ b/crates/entry/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend server, and what is known of a request given to it.
+//! One connection to a backend server, and whether a request that failed on it may have run.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -13,78 +13,81 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Why a try failed.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// The backend server refuses connections.
+    /// The backend server refused or reset the connection while it was opened.
     Refused,
-    /// No connection can be opened from here: no way there, or nothing left to open one with.
+    /// This host can't open a connection: it has no route to the server, or no file descriptor or
+    /// port left.
     Unreachable,
-    /// Nothing came within the time.
+    /// The backend server sent nothing within the timeout.
     Silent,
-    /// The connection closed or broke the protocol.
+    /// The connection was closed, or the backend server violated the protocol.
     Broken,
-    /// The answer belongs to another request.
+    /// The answer carries the id of another request.
     Crossed,
-    /// The answer ended before its end.
+    /// The answer ended before it was complete.
     Truncated,
-    /// The backend server answered that it failed or is busy.
+    /// The backend server answered with this HTTP status, which says that it failed or is busy.
     Failed(u16),
-    /// The request's own deadline passed.
+    /// The deadline of the request passed.
     Deadline,
 }
 
-/// A try that failed, and whether the request may have run.
+/// A failed attempt, and whether the backend server may have run the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Failure {
-    /// What happened.
+    /// Why the attempt failed.
     pub cause: Cause,
-    /// Whether a byte of the request may have been written.
+    /// Whether a byte of the request may have been written to the connection.
     pub sent: bool,
 }
 
 impl Failure {
-    /// Not one byte was written.
+    /// A failure before any byte of the request was written: the request can't have run.
     #[must_use]
     pub fn not_sent(cause: Cause) -> Self {
         Self { cause, sent: false }
     }
 
-    /// Some may have been.
+    /// A failure after bytes of the request may have been written: the request may have run.
     #[must_use]
     pub fn sent(cause: Cause) -> Self {
         Self { cause, sent: true }
     }
 }
 
-/// Longest head of an answer. A backend server that has fallen into trouble may send one without end; what
-/// servers mean to say takes a few hundred bytes.
+/// Limit on the bytes of an answer's head. A faulty backend server may send an endless head; a
+/// usual one has a few hundred bytes.
 const HEAD_BYTES_MAX: usize = 64 << 10;
 
-/// One open connection. Dropping it closes the socket at once, which cancels what the backend
-/// server works on: an answer that is late or crossed goes down with its connection and can
-/// never reach a later request.
+/// One open connection. Dropping it closes the socket at once, which cancels the backend server's
+/// work for the request in flight: a late answer, or one to another request, is lost with its
+/// connection and can never reach a later request.
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
-    /// When it last proved that it works: at its opening, or at the end of a whole answer.
-    proven: Instant,
-    reused: bool,
+    /// When the connection last proved that it works: at its opening, or at the end of a whole
+    /// answer.
+    proven_at: Instant,
+    is_reused: bool,
 }
 
 impl Connection {
-    /// Opens one.
+    /// Opens a connection to `address`, with `within` as the timeout.
     ///
-    /// Neither TCP_USER_TIMEOUT nor keep-alive is set on it, nor on any other socket of ours, and no
-    /// library opens one for us. A silent connection is found by the times that requests on it are given;
-    /// one of the system's would end those that are still waited for on purpose.
+    /// This code sets neither TCP_USER_TIMEOUT nor TCP keep-alive, on this socket or any other, and
+    /// no library opens sockets for it. The timeouts of requests detect a silent connection; a
+    /// timeout of the operating system would also end connections that a request waits for on
+    /// purpose.
     ///
     /// # Errors
     /// Always with `sent: false`.
     pub async fn open(address: SocketAddr, within: Duration) -> Result<Self, Failure> {
         let stream = match tokio::time::timeout(within, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) => return Err(Failure::not_sent(Cause::of(&error))),
+            Ok(Err(error)) => return Err(Failure::not_sent(Cause::from_open_error(&error))),
             Err(_) => return Err(Failure::not_sent(Cause::Silent)),
         };
         let nodelay = stream.set_nodelay(true);
@@ -95,35 +98,36 @@
             .await;
         let (sender, driver) = handshake.map_err(|_| Failure::not_sent(Cause::Broken))?;
         let driver = tokio::spawn(async move {
-            // How it ended reaches whoever waits for an answer on it.
+            // The task that waits for an answer on this connection receives the error.
             let _ = driver.await;
         });
         let driver = AbortOnDropHandle::new(driver);
-        Ok(Self { sender, _driver: driver, proven: Instant::now(), reused: false })
+        Ok(Self { sender, _driver: driver, proven_at: Instant::now(), is_reused: false })
     }
 
-    /// Whether it has carried an answer before.
+    /// Whether the connection has carried a whole answer before.
     #[must_use]
     pub fn reused(&self) -> bool {
-        self.reused
+        self.is_reused
     }
 
-    /// Whether it is open and proved to work within a time.
+    /// Whether the connection is open and last proved that it works less than `within` ago.
     #[must_use]
     pub fn usable(&self, within: Duration) -> bool {
-        !self.sender.is_closed() && self.proven.elapsed() < within
+        !self.sender.is_closed() && self.proven_at.elapsed() < within
     }
 
-    /// Whether it can take a request now: its driver has seen the end of the last answer.
+    /// Whether the connection can take a request now: its driver task has seen the end of the last
+    /// answer.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its answer, up to the timeout `first_byte`.
     ///
-    /// hyper gives the request back exactly when it never took it up to be written; only then
-    /// is it certain that no byte reached the backend server.
+    /// hyper returns the request with its error exactly when it had not begun to write it; only
+    /// then is it certain that no byte reached the backend server.
     ///
     /// # Errors
     /// [`Failure`], saying whether the request may have run.
@@ -146,13 +150,14 @@
         }
     }
 
-    /// Marks the end of a whole answer.
+    /// Records that a whole answer ended on the connection just now.
     pub fn mark_proven(&mut self) {
-        self.proven = Instant::now();
-        self.reused = true;
+        self.proven_at = Instant::now();
+        self.is_reused = true;
     }
 
-    /// Marks the end of a whole answer, and waits until the next request can be taken.
+    /// Records that a whole answer ended, and waits up to `within` until the connection can take
+    /// the next request; false if it can't by then.
     pub async fn proved(&mut self, within: Duration) -> bool {
         self.mark_proven();
         matches!(tokio::time::timeout(within, self.sender.ready()).await, Ok(Ok(())))
@@ -160,15 +165,16 @@
 }
 
 impl Cause {
-    /// Why a connection did not open. Only a refusal says that nothing listens there.
-    fn of(error: &std::io::Error) -> Self {
+    /// Why a connection could not be opened. Only a refusal shows that nothing listens at the
+    /// address.
+    fn from_open_error(error: &std::io::Error) -> Self {
         match error.kind() {
             ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => Self::Refused,
             _ => Self::Unreachable,
         }
     }
 
-    /// For people, after "the backend server".
+    /// Text for people that completes a sentence beginning with "the backend server".
     #[must_use]
     pub fn message(self) -> &'static str {
         match self {
@@ -183,7 +189,7 @@
         }
     }
 
-    /// For metrics.
+    /// Value of the cause label in metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
--- a/crates/entry/src/controls.rs
+++ b/crates/entry/src/controls.rs
@@ -1,4 +1,4 @@
-//! The controls this process may ask, in the order it asks them.
+//! Links to the controls, and the order in which this process calls them.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
@@ -9,46 +9,46 @@
 use wire::rpc::ControlClient;
 use wire::settings;
 
-/// Longest wait for one control before the next is asked.
-const TRY: Duration = Duration::from_millis(1500);
+/// Timeout of a call to one control, after which the next control is called.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Links to all controls of the settings, own failure domain first.
+/// Links to all controls in the settings; those of the own failure domain come first.
 pub struct Controls {
     links: Vec<Link>,
-    /// The one that answered last; asked first while it does.
+    /// Index of the control that answered last; it is called first.
     preferred: AtomicUsize,
 }
 
 impl Controls {
-    /// Nothing is dialled yet.
+    /// Creates the links without connecting; a link connects at its first call.
     #[must_use]
     pub fn new(settings: &settings::Entry, key: &Key) -> Self {
-        let own = |peer: &&settings::Peer| peer.failure_domain == settings.failure_domain;
-        let near = settings.controls.iter().filter(own);
-        let far = settings.controls.iter().filter(|peer| !own(peer));
+        let is_near = |peer: &&settings::Peer| peer.failure_domain == settings.failure_domain;
+        let near = settings.controls.iter().filter(is_near);
+        let far = settings.controls.iter().filter(|peer| !is_near(peer));
         let links = near.chain(far).map(|peer| Link::new(peer.address, key.clone())).collect();
         Self { links, preferred: AtomicUsize::new(0) }
     }
 
-    /// How many there are.
+    /// Number of controls in the settings.
     #[must_use]
     pub fn len(&self) -> usize {
         self.links.len()
     }
 
-    /// Whether there is none.
+    /// Whether the settings name no control.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
 
-    /// Asks one control after another until one answers or the time is over.
+    /// Calls one control after another until one answers or `within` is over.
     ///
-    /// Only for questions that may be asked twice: a control whose answer was lost may have
-    /// done what it was asked.
+    /// Use it only for idempotent calls: a control whose answer was lost may have carried out the
+    /// call.
     ///
     /// # Errors
-    /// The last control's.
+    /// The error of the last control that was called.
     pub async fn ask<T, F, A>(&self, within: Duration, ask: F) -> Result<T, Error>
     where
         F: Fn(ControlClient, Context) -> A,
@@ -63,7 +63,7 @@
             if left.is_zero() {
                 break;
             }
-            match self.links[index].call(left.min(TRY), &ask).await {
+            match self.links[index].call(left.min(CALL_TIMEOUT), &ask).await {
                 Ok(answer) => {
                     self.prefer(index);
                     return Ok(answer);
@@ -74,10 +74,10 @@
         Err(last)
     }
 
-    /// Asks one control, by its place in the order.
+    /// Calls one control, given by its index in the order.
     ///
     /// # Errors
-    /// That control's.
+    /// The error of that control; a connection error if there is no such index.
     pub async fn ask_one<T, F, A>(&self, index: usize, within: Duration, ask: F) -> Result<T, Error>
     where
         F: FnOnce(ControlClient, Context) -> A,
@@ -89,14 +89,14 @@
         }
     }
 
-    /// Prefers a control from now on.
+    /// Makes the control at `index` the one that [`Self::ask`] calls first.
     pub fn prefer(&self, index: usize) {
         if self.preferred.swap(index, Ordering::Relaxed) != index {
-            log::info!("entry: asks control {} from now on", self.links[index].address());
+            log::info!("entry: now prefers control {}", self.links[index].address());
         }
     }
 
-    /// The one asked first.
+    /// Index of the control that [`Self::ask`] calls first.
     #[must_use]
     pub fn preferred(&self) -> usize {
         self.preferred.load(Ordering::Relaxed)
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! The data plane: callers in, backend servers out, a filter chain between.
+//! The data plane: passes the requests of callers through a chain of filters to backend servers.
 //!
-//! One request passes, in this order: account → task → session → version → admission → backend
-//! server → key claim → dispatch → check of the answer → bill. Each step is one small module
-//! under [`filter`]; [`chain`] joins them. Everything a request's decisions need is in one
-//! [`snapshot::Snapshot`], made anew from each view that control sends.
+//! A request passes these steps in order: account → task → session → version → admission → backend
+//! server → key claim → dispatch → check of the answer → bill. Each step is a module under
+//! [`filter`]; [`chain`] calls them. Decisions about a request read one immutable
+//! [`snapshot::Snapshot`], which is rebuilt from each view that a control sends.
 
 pub mod answer;
 pub mod bills;
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/loads.rs
@@ -1,4 +1,4 @@
-//! Asks backend servers for their load, a few at a time, spread out.
+//! Polls backend servers for their load reports, at an even rate.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,65 +14,67 @@
 use crate::server::Server;
 use crate::state::State;
 
-/// Questions a second at most, however many backend servers there are: with many entry hosts
-/// each server is asked by all of them.
-const PER_SECOND_MAX: u64 = 20;
-/// Each server is asked this often at most.
-const EACH: Duration = Duration::from_millis(400);
-/// Longest wait for an answer.
-const WITHIN: Duration = Duration::from_secs(2);
+/// Limit on the polls per second of this host, however many backend servers there are: each server
+/// is polled by every entry host.
+const POLLS_PER_SECOND_MAX: u64 = 20;
+/// Shortest interval between two polls of the same server.
+const SERVER_INTERVAL: Duration = Duration::from_millis(400);
+/// Timeout of one poll, and of each step in it.
+const TIMEOUT: Duration = Duration::from_secs(2);
 const LOAD_BYTES_MAX: usize = 16 << 10;
 
-/// Asks one server after another until the process ends.
+/// Polls one server after another until the process ends.
 pub async fn run(state: Arc<State>) {
     loop {
         let snapshot = state.snapshot.load_full();
         let servers: Vec<Arc<Server>> = snapshot.pools.values().flatten().cloned().collect();
-        let pause = pause(servers.len());
+        let interval = interval(servers.len());
         for server in servers {
-            tokio::time::sleep(pause).await;
-            tokio::spawn(async move { ask(&server).await });
+            tokio::time::sleep(interval).await;
+            tokio::spawn(async move { poll(&server).await });
         }
         if snapshot.pools.is_empty() {
-            tokio::time::sleep(EACH).await;
+            tokio::time::sleep(SERVER_INTERVAL).await;
         }
     }
 }
 
-fn pause(servers: usize) -> Duration {
-    let spread = EACH / u32::try_from(servers.max(1)).unwrap_or(u32::MAX);
-    spread.max(Duration::from_millis(1000 / PER_SECOND_MAX))
+fn interval(servers: usize) -> Duration {
+    let spread = SERVER_INTERVAL / u32::try_from(servers.max(1)).unwrap_or(u32::MAX);
+    spread.max(Duration::from_millis(1000 / POLLS_PER_SECOND_MAX))
 }
 
-/// Always on a new connection: the answer then proves that new connections work, which is what
-/// a server held ill must show, and no old connection is kept from being retired.
-async fn ask(server: &Server) {
+/// Polls one server and records what its answer shows.
+///
+/// Each poll opens a new connection. Its answer then proves that new connections work, which a
+/// server held ill must show, and polls keep no idle connection from being retired.
+async fn poll(server: &Server) {
     server.retire(false);
     let (asked, asked_at) = (clock::now(), clock::steady());
-    match tokio::time::timeout(WITHIN, load(server)).await {
+    match tokio::time::timeout(TIMEOUT, fetch(server)).await {
         Ok(Ok(Some(load))) => {
             let now = clock::steady();
             server.with_intake(now, |intake| intake.apply_report(load.draining, asked_at, now));
             server.note_load(load, clock::now());
         }
-        // It answers, if not with a report.
+        // An answer without a valid report still shows that the server works.
         Ok(Ok(None)) => server.note_success(clock::now()),
         Ok(Err(failure)) if matches!(failure.cause, Cause::Refused | Cause::Unreachable) => {
             server.note_failure(clock::now());
         }
-        // A busy server can be slow with its report and serve requests all the same: refusing
-        // those for it would make a slow pool a closed one.
+        // A busy server can be late with its report while it serves requests. Holding it ill for
+        // that would reject requests that a slow pool can still serve.
         Ok(Err(_)) | Err(_) if server.worked_since(asked) => {}
         Ok(Err(_)) | Err(_) => server.note_failure(clock::now()),
     }
 }
 
-async fn load(server: &Server) -> Result<Option<Load>, Failure> {
-    let mut connection = Connection::open(server.address, WITHIN).await?;
+async fn fetch(server: &Server) -> Result<Option<Load>, Failure> {
+    let mut connection = Connection::open(server.address, TIMEOUT).await?;
     let broken = Failure::sent(Cause::Broken);
     let host = HeaderValue::from_str(&server.address.to_string()).map_err(|_| broken)?;
     let request = Request::get("/load").header(HOST, host).body(Full::new(Bytes::new()));
-    let response = connection.send(request.map_err(|_| broken)?, WITHIN).await?;
+    let response = connection.send(request.map_err(|_| broken)?, TIMEOUT).await?;
     let body = Limited::new(response.into_body(), LOAD_BYTES_MAX).collect().await;
     let body = body.map_err(|_| broken)?.to_bytes();
     Ok(serde_json::from_slice(&body).ok())
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! Health and metrics for operators and the balancer.
+//! HTTP interface with health and metrics, for operators and the load balancer.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,33 +14,33 @@
 use crate::answer::Answer;
 use crate::state::State;
 
-/// Serves until the process ends.
+/// Serves the interface until the process ends.
 pub async fn serve(listener: TcpListener, state: Arc<State>, metrics: PrometheusHandle) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
         let (state, metrics) = (Arc::clone(&state), metrics.clone());
         let service = service_fn(move |request| {
-            let response = answer(&state, &metrics, &request);
+            let response = respond(&state, &metrics, &request);
             async move { Ok::<_, Infallible>(response) }
         });
         tokio::spawn(async move {
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!("entry: an operator's connection: {error}");
+                log::debug!("entry: an operator's connection failed: {error}");
             }
         });
     }
 }
 
-fn answer(
+fn respond(
     state: &State,
     metrics: &PrometheusHandle,
     request: &Request<Incoming>,
 ) -> Response<Answer> {
     let (status, text) = match (request.method(), request.uri().path()) {
         (&Method::GET, "/live") => (StatusCode::OK, "live\n".to_owned()),
-        (&Method::GET, "/ready") => ready(state),
-        (&Method::GET, "/metrics") => (StatusCode::OK, render(state, metrics)),
+        (&Method::GET, "/ready") => readiness(state),
+        (&Method::GET, "/metrics") => (StatusCode::OK, render_metrics(state, metrics)),
         (_, "/live" | "/ready" | "/metrics") => {
             (StatusCode::METHOD_NOT_ALLOWED, "only GET\n".to_owned())
         }
@@ -51,8 +51,9 @@
     response
 }
 
-/// Says the generation in force here too, so that a change can be watched at each entry itself.
-fn ready(state: &State) -> (StatusCode, String) {
+/// Whether the process takes requests. The body also names the generation in force, so that a
+/// configuration change can be followed at each entry host.
+fn readiness(state: &State) -> (StatusCode, String) {
     let snapshot = state.snapshot.load();
     let (status, why) = match () {
         () if state.stop.is_cancelled() => (StatusCode::SERVICE_UNAVAILABLE, "shutting down"),
@@ -63,7 +64,7 @@
     (status, format!("{{\"state\":\"{why}\",\"generation\":{generation}}}\n"))
 }
 
-fn render(state: &State, metrics: &PrometheusHandle) -> String {
+fn render_metrics(state: &State, metrics: &PrometheusHandle) -> String {
     let snapshot = state.snapshot.load();
     metrics::gauge!("entry_generation").set(snapshot.document.generation as f64);
     metrics::gauge!("entry_unconfirmed_seconds").set(snapshot.unconfirmed_ms() as f64 / 1000.0);
--- a/crates/entry/src/pins.rs
+++ b/crates/entry/src/pins.rs
@@ -1,8 +1,8 @@
-//! Versions of caller-chosen sessions, remembered for a while.
+//! Cache of the versions that caller-chosen sessions are pinned to.
 //!
-//! A session's version never changes while its home remembers it, so an answer may be kept here
-//! as long as that is much shorter than the home's own memory: the home is then asked, and
-//! reminded, long before it forgets.
+//! The version of a session never changes while the session's home remembers it. A cached pin is
+//! therefore valid if it expires much sooner than the home's own record: the home is then asked
+//! again, which also renews its record, long before the record expires.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,45 +11,47 @@
 
 use policy::name::Name;
 
-const KEEP: Duration = Duration::from_secs(600);
-const SHARDS: usize = 16;
-/// Sessions remembered in one shard at most.
-const SHARD_MAX: usize = 4096;
+/// Time that a cached pin is used before the home of its session is asked again.
+const PIN_TTL: Duration = Duration::from_secs(600);
+const SHARDS_COUNT: usize = 16;
+/// Limit on the sessions in one shard.
+const SHARD_ENTRIES_MAX: usize = 4096;
 
 type Key = (Name, Name);
 
-/// The cache, in shards under their own locks.
+/// The cache, divided into shards with a lock each.
 #[derive(Default)]
 pub struct Pins {
-    shards: [Mutex<HashMap<Key, (Name, Instant)>>; SHARDS],
+    shards: [Mutex<HashMap<Key, (Name, Instant)>>; SHARDS_COUNT],
 }
 
 impl Pins {
     fn shard(&self, key: &Key) -> &Mutex<HashMap<Key, (Name, Instant)>> {
         let mut hasher = DefaultHasher::new();
         key.hash(&mut hasher);
-        &self.shards[usize::try_from(hasher.finish() % SHARDS as u64).unwrap_or_default()]
+        &self.shards[usize::try_from(hasher.finish() % SHARDS_COUNT as u64).unwrap_or_default()]
     }
 
-    /// The version, if it is remembered.
+    /// The version that a session is pinned to; none if the cache holds no fresh entry.
     #[must_use]
     pub fn get(&self, account: &Name, session: &Name) -> Option<Name> {
         let key = (account.clone(), session.clone());
         let shard = self.shard(&key).lock().unwrap_or_else(PoisonError::into_inner);
         match shard.get(&key) {
-            Some((version, at)) if at.elapsed() < KEEP => Some(version.clone()),
+            Some((version, at)) if at.elapsed() < PIN_TTL => Some(version.clone()),
             _ => None,
         }
     }
 
-    /// Remembers a version. A full shard forgets what is old, or else all of it.
+    /// Caches the version of a session. A full shard first drops its expired entries, and all of
+    /// its entries if none has expired.
     pub fn put(&self, account: &Name, session: &Name, version: Name) {
         let key = (account.clone(), session.clone());
         let mut shard = self.shard(&key).lock().unwrap_or_else(PoisonError::into_inner);
-        if shard.len() >= SHARD_MAX {
-            shard.retain(|_, (_, at)| at.elapsed() < KEEP);
+        if shard.len() >= SHARD_ENTRIES_MAX {
+            shard.retain(|_, (_, at)| at.elapsed() < PIN_TTL);
         }
-        if shard.len() >= SHARD_MAX {
+        if shard.len() >= SHARD_ENTRIES_MAX {
             shard.clear();
         }
         shard.insert(key, (version, Instant::now()));
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: what it listens on, what it runs, how it stops.
+//! Start, background tasks and shutdown of an entry process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,26 +17,28 @@
 use crate::state::State;
 use crate::{bills, callers, feed, loads, operators, reports};
 
-/// After the stop new connections are still taken for a while: the balancer goes on sending
+/// Time after the stop signal in which new connections are still accepted: the load balancer sends
 /// them until it has seen that the process is not ready.
-const LINGER: Duration = Duration::from_millis(1_000);
-/// Time for the last bills after the last answer, also if the drain took all of its own.
-const BILLS: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(10);
+const STOP_ACCEPT_TIME: Duration = Duration::from_millis(1_000);
+/// Shortest time left for the last bills after the last answer, even if the drain used up its own
+/// time.
+const BILLS_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval of the checks whether all bills are confirmed, and the shortest wait for relays.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Sockets that the process listens on.
 pub struct Listeners {
-    /// Callers come in here.
+    /// Socket for the requests of callers.
     pub callers: TcpListener,
-    /// Health and metrics.
+    /// Socket for the HTTP interface with health and metrics.
     pub operators: TcpListener,
 }
 
 impl Listeners {
-    /// Opens them; port 0 lets the system choose.
+    /// Opens both sockets; with port 0 the operating system chooses a port.
     ///
     /// # Errors
-    /// [`Error::Listen`].
+    /// [`Error::Listen`] if an address can't be bound.
     pub async fn bind(settings: &settings::Entry) -> Result<Self, Error> {
         let callers = bind(settings.listen).await?;
         let operators = bind(settings.operators).await?;
@@ -48,10 +50,11 @@
     TcpListener::bind(address).await.map_err(|error| Error::Listen(address, error))
 }
 
-/// Runs until `stop`, then shuts down without cutting off a request.
+/// Runs until `stop` is cancelled, then shuts down. Requests in flight may finish within
+/// `drain_ms`.
 ///
 /// # Errors
-/// [`Error`]; [`Error::BillsLeft`] if no control took the last bills.
+/// [`Error::PeerKey`] at the start; [`Error::BillsLeft`] if no control accepted the last bills.
 pub async fn run(
     settings: settings::Entry,
     listeners: Listeners,
@@ -75,9 +78,9 @@
         callers::serve(listeners.callers, Arc::clone(&state), close.clone(), connections.clone());
     let accepts = spawn(accepts);
     stop.cancelled().await;
-    log::info!("entry: shuts down: not ready, {} connections", connections.len());
+    log::info!("entry: shutting down; no longer ready, {} connections open", connections.len());
     let deadline = Instant::now() + drain;
-    tokio::time::sleep(LINGER.min(drain)).await;
+    tokio::time::sleep(STOP_ACCEPT_TIME.min(drain)).await;
     close.cancel();
     drop(accepts.await);
     finish(&state, &connections, deadline).await
@@ -90,13 +93,16 @@
 async fn finish(state: &State, connections: &TaskTracker, deadline: Instant) -> Result<(), Error> {
     connections.close();
     if tokio::time::timeout_at(deadline, connections.wait()).await.is_err() {
-        log::warn!("entry: {} connections are cut off after drain_ms", connections.len());
+        log::warn!("entry: drain_ms is over; {} connections are cut off", connections.len());
     }
     state.relays.close();
-    drop(tokio::time::timeout_at(deadline.max(Instant::now() + PAUSE), state.relays.wait()).await);
-    let deadline = deadline.max(Instant::now() + BILLS);
+    drop(
+        tokio::time::timeout_at(deadline.max(Instant::now() + CHECK_INTERVAL), state.relays.wait())
+            .await,
+    );
+    let deadline = deadline.max(Instant::now() + BILLS_TIMEOUT);
     while state.bills.pending() > 0 && Instant::now() < deadline {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
     match state.bills.pending() {
         0 => Ok(()),
--- a/crates/entry/src/rating.rs
+++ b/crates/entry/src/rating.rs
@@ -1,4 +1,4 @@
-//! Ratings of answers: which are asked for, and asking.
+//! Selects answers to be rated, and asks a rating service about them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -23,65 +23,67 @@
 use crate::snapshot::Snapshot;
 use crate::state::State;
 
-/// Longest wait for a rating.
-const WITHIN: Duration = Duration::from_secs(2);
-/// Ratings under way at a time; past it answers go unrated.
-const UNDER_WAY_MAX: usize = 64;
-const SAMPLERS: usize = 8;
+/// Timeout of one rating, and of each step in it.
+const TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit on the ratings in flight; above it answers go unrated.
+const IN_FLIGHT_MAX: usize = 64;
+const SAMPLERS_COUNT: usize = 8;
 const RATING_BYTES_MAX: usize = 64 << 10;
 
-/// Which answers are rated, and how many ratings are under way.
+/// Selects the answers to be rated and counts the ratings in flight.
 pub struct Ratings {
     samplers: Vec<Mutex<Sampler>>,
     next: AtomicUsize,
-    under_way: AtomicUsize,
-    /// This host's own test of each version. It only raises the share that is rated; the
-    /// verdict is reached on the counts of all hosts.
+    in_flight: AtomicUsize,
+    /// Sequential test of each version on this host's ratings alone. Its verdict only raises the
+    /// share of answers that is rated; controls decide on the ratings of all hosts.
     tests: crate::sharded::Sharded<Cusum>,
 }
 
 impl Ratings {
-    /// For a share of answers, 0 to 1.
+    /// Rates this share of answers, 0 to 1, where nothing calls for more.
     #[must_use]
     pub fn new(share: f64) -> Self {
-        let samplers = (0..SAMPLERS).map(|_| Mutex::new(Sampler::new(share))).collect();
+        let samplers = (0..SAMPLERS_COUNT).map(|_| Mutex::new(Sampler::new(share))).collect();
         Self {
             samplers,
             next: AtomicUsize::new(0),
-            under_way: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             tests: crate::sharded::Sharded::default(),
         }
     }
 
-    /// Whether an answer of a version is to be rated.
+    /// Whether to rate the next answer of a version; draws a random number. Always false without a
+    /// rating service.
     #[must_use]
     pub fn wants(&self, snapshot: &Snapshot, version: &Name) -> bool {
         let is_candidate =
             snapshot.version(version).is_some_and(|v| v.state == VersionState::Candidate);
         let verdict = self.tests.with(version, |test| test.verdict());
         let interest = Interest::new(is_candidate, verdict);
-        let index = self.next.fetch_add(1, Ordering::Relaxed) % SAMPLERS;
+        let index = self.next.fetch_add(1, Ordering::Relaxed) % SAMPLERS_COUNT;
         let mut sampler = self.samplers[index].lock().unwrap_or_else(PoisonError::into_inner);
         !snapshot.raters.is_empty() && sampler.should_rate(interest, rand::random())
     }
 }
 
-/// Has an answer rated beside the traffic.
+/// Has an answer rated in a background task, so that its caller does not wait for the rating.
 pub fn start(state: &Arc<State>, request: Name, version: Name, task: Name, text: String) {
     let ratings = &state.ratings;
-    if ratings.under_way.fetch_add(1, Ordering::Relaxed) >= UNDER_WAY_MAX {
-        ratings.under_way.fetch_sub(1, Ordering::Relaxed);
+    if ratings.in_flight.fetch_add(1, Ordering::Relaxed) >= IN_FLIGHT_MAX {
+        ratings.in_flight.fetch_sub(1, Ordering::Relaxed);
         metrics::counter!("entry_ratings_skipped_total").increment(1);
         return;
     }
     let state = Arc::clone(state);
     tokio::spawn(async move {
-        rate(&state, &request, &version, &task, text, Instant::now() + WITHIN).await;
-        state.ratings.under_way.fetch_sub(1, Ordering::Relaxed);
+        rate(&state, &request, &version, &task, text, Instant::now() + TIMEOUT).await;
+        state.ratings.in_flight.fetch_sub(1, Ordering::Relaxed);
     });
 }
 
-/// Asks for a rating and notes it; none if no rating service answered in time.
+/// Asks a rating service whether an answer is good, and records the rating for the reports; none if
+/// no service answered in time.
 pub async fn rate(
     state: &Arc<State>,
     request: &Name,
@@ -97,7 +99,7 @@
         answer: text,
     };
     let body = Bytes::from(serde_json::to_vec(&question).unwrap_or_default());
-    let deadline = deadline.min(Instant::now() + WITHIN);
+    let deadline = deadline.min(Instant::now() + TIMEOUT);
     let snapshot = state.snapshot.load_full();
     let server = place::choose(&snapshot.raters, &[], None, clock::now())?;
     let asked = tokio::time::timeout_at(deadline.into(), ask(&server, request, body)).await;
@@ -110,8 +112,8 @@
         }
     };
     let prior = snapshot.version(version).and_then(|v| v.quality.get(task)).copied();
-    let expecting = Hypotheses::from_expected(prior.unwrap_or(policy::estimate::UNKNOWN_MEAN));
-    state.ratings.tests.with(version, |test| test.observe(good, &expecting));
+    let hypotheses = Hypotheses::from_expected(prior.unwrap_or(policy::estimate::UNKNOWN_MEAN));
+    state.ratings.tests.with(version, |test| test.observe(good, &hypotheses));
     state.reports.rated(version, task, good);
     Some(good)
 }
@@ -119,7 +121,7 @@
 async fn ask(server: &Arc<Server>, request: &Name, body: Bytes) -> Option<Rating> {
     let mut connection = match server.take_idle() {
         Some(connection) => connection,
-        None => Connection::open(server.address, WITHIN).await.ok()?,
+        None => Connection::open(server.address, TIMEOUT).await.ok()?,
     };
     let lease = Lease::new(Arc::clone(server));
     let host = HeaderValue::from_str(&server.address.to_string()).ok()?;
@@ -129,23 +131,23 @@
         .header(wire::backend::REQUEST_ID, request.as_str())
         .body(Full::new(body))
         .ok()?;
-    let response = connection.send(question, WITHIN).await.ok()?;
+    let response = connection.send(question, TIMEOUT).await.ok()?;
     let body = Limited::new(response.into_body(), RATING_BYTES_MAX).collect().await.ok()?;
-    if connection.proved(WITHIN).await {
+    if connection.proved(TIMEOUT).await {
         server.put_idle(connection);
     }
     drop(lease);
     serde_json::from_slice(&body.to_bytes()).ok()
 }
 
-/// The text of a whole answer that the rating service is asked about.
+/// The text in the body of a chat completion, for the rating service.
 #[must_use]
 pub fn text_of(answer: &[u8]) -> Option<String> {
     let value: serde_json::Value = serde_json::from_slice(answer).ok()?;
     value["choices"][0]["message"]["content"].as_str().map(str::to_owned)
 }
 
-/// The text of a whole stream of events.
+/// The text in a complete event stream of a chat completion.
 #[must_use]
 pub fn text_of_events(answer: &[u8]) -> Option<String> {
     let mut watch = crate::sse::Watch::default().with_text(answer.len());
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passes a stream on to its caller, piece by piece, and its last piece only once it is billed.
+//! Passes a stream on to its caller piece by piece, and holds back the last piece until controls
+//! hold the bill.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,21 +13,22 @@
 use crate::reply::{Piece, Stream};
 use crate::state::State;
 
-/// Pieces on their way to a caller that reads slowly; then the backend server waits as well.
-const AHEAD: usize = 16;
+/// Number of pieces buffered for a caller that reads slowly. When they are used up, the relay stops
+/// reading, so that the backend server waits as well.
+const BUFFERED_PIECES_MAX: usize = 16;
 
 type Pieces = mpsc::Sender<Result<Bytes, Broken>>;
 
-/// Why a stream has no last piece.
-enum End {
+/// Why a stream ended without its last piece.
+enum Abort {
     Broken(Cause),
     CallerGone,
 }
 
-/// Starts a relay; the answer is what the caller reads from it.
+/// Starts a relay task; the returned answer is the body that the caller reads.
 #[must_use]
 pub fn start(state: &Arc<State>, stream: Box<Stream>, ending: Ending) -> Answer {
-    let (pieces, answer) = mpsc::channel(AHEAD);
+    let (pieces, answer) = mpsc::channel(BUFFERED_PIECES_MAX);
     state.relays.spawn(run(stream, ending, pieces));
     Answer::Pieces(answer)
 }
@@ -37,16 +39,18 @@
     match end {
         Ok(last) => {
             let text = stream.text();
-            // The backend server is done; its connection need not wait for the bill.
+            // The backend server has sent everything: free its connection before the wait for the
+            // bill.
             drop(stream.finish());
             release(last, ending.whole(text).await, &pieces).await;
         }
-        Err(End::CallerGone) => {
-            // Dropping the stream closes its connection, which stops the backend server's work.
+        Err(Abort::CallerGone) => {
+            // Dropping the stream closes its connection, which stops the backend server's work on
+            // the request.
             drop(stream);
             ending.caller_gone();
         }
-        Err(End::Broken(cause)) => {
+        Err(Abort::Broken(cause)) => {
             drop(stream);
             ending.broken(cause);
             let _ = pieces.send(Err(Broken)).await;
@@ -58,37 +62,40 @@
     let last = match billed {
         true if last.is_empty() => return,
         true => Ok(last),
-        // No control holds the bill: a clean end would be an answer that is never paid.
+        // No control holds the bill. A clean end would complete an answer that is never paid, so
+        // the caller's connection breaks instead.
         false => Err(Broken),
     };
-    // A caller that left meanwhile has been billed; there is nobody to tell.
+    // The send fails if the caller disconnected meanwhile; it has been billed, and nothing is left
+    // to do.
     let _ = pieces.send(last).await;
 }
 
-/// Passes on all but the last piece, which it gives back.
-async fn pass_on(stream: &mut Stream, pieces: &Pieces, deadline: Instant) -> Result<Bytes, End> {
+/// Passes on all pieces but the last, which it returns; empty if the stream ended without one.
+async fn pass_on(stream: &mut Stream, pieces: &Pieces, deadline: Instant) -> Result<Bytes, Abort> {
     let begun = std::mem::take(&mut stream.begun);
     send(pieces, begun, deadline).await?;
     loop {
         let within = stream.between_bytes;
         let piece = tokio::select! {
-            // Also while nothing comes: the caller's leaving must stop the work at once.
-            () = pieces.closed() => return Err(End::CallerGone),
+            // Watched also while the backend server sends nothing: its work must stop as soon as
+            // the caller disconnects.
+            () = pieces.closed() => return Err(Abort::CallerGone),
             piece = stream.next(within, deadline) => piece,
         };
         match piece {
             Ok(Piece::Data(data)) => send(pieces, data, deadline).await?,
             Ok(Piece::Final(data)) => return Ok(data),
             Ok(Piece::End) => return Ok(Bytes::new()),
-            Err(cause) => return Err(End::Broken(cause)),
+            Err(cause) => return Err(Abort::Broken(cause)),
         }
     }
 }
 
-async fn send(pieces: &Pieces, data: Bytes, deadline: Instant) -> Result<(), End> {
+async fn send(pieces: &Pieces, data: Bytes, deadline: Instant) -> Result<(), Abort> {
     match tokio::time::timeout_at(deadline.into(), pieces.send(Ok(data))).await {
         Ok(Ok(())) => Ok(()),
-        Ok(Err(_)) => Err(End::CallerGone),
-        Err(_) => Err(End::Broken(Cause::Deadline)),
+        Ok(Err(_)) => Err(Abort::CallerGone),
+        Err(_) => Err(Abort::Broken(Cause::Deadline)),
     }
 }
--- a/crates/entry/src/reports.rs
+++ b/crates/entry/src/reports.rs
@@ -1,4 +1,5 @@
-//! What this process saw of each version and request, reported to control at short intervals.
+//! Collects evidence about versions and the outcomes of requests, and reports them to a control at
+//! short intervals.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,12 +11,13 @@
 
 use crate::state::State;
 
-const SHARDS: usize = 8;
-/// Between two reports.
-const EVERY: Duration = Duration::from_millis(500);
-/// Longest wait for controls.
-const WITHIN: Duration = Duration::from_secs(2);
-/// Outcomes of one report at most; more are dropped, since no decision rests on each of them.
+const SHARDS_COUNT: usize = 8;
+/// Interval between two reports, and delay before a report is sent again.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Limit on the time in which all controls together are asked to accept a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit on the outcomes in one report. Further outcomes are dropped, since no decision depends on
+/// each of them.
 const OUTCOMES_MAX: usize = 5_000;
 
 #[derive(Default)]
@@ -24,50 +26,51 @@
     outcomes: Vec<Outcome>,
 }
 
-/// Counts since the last report.
+/// Evidence and outcomes since the last report.
 #[derive(Default)]
 pub struct Reports {
-    shards: [Mutex<Shard>; SHARDS],
+    shards: [Mutex<Shard>; SHARDS_COUNT],
     next: AtomicUsize,
 }
 
 impl Reports {
-    fn with<T>(&self, use_it: impl FnOnce(&mut Shard) -> T) -> T {
-        let index = self.next.fetch_add(1, Ordering::Relaxed) % SHARDS;
-        use_it(&mut self.shards[index].lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_shard<T>(&self, apply: impl FnOnce(&mut Shard) -> T) -> T {
+        let index = self.next.fetch_add(1, Ordering::Relaxed) % SHARDS_COUNT;
+        apply(&mut self.shards[index].lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn evidence(&self, version: &Name, task: &Name, note: impl FnOnce(&mut Evidence)) {
-        self.with(|shard| {
+    fn update_evidence(&self, version: &Name, task: &Name, update: impl FnOnce(&mut Evidence)) {
+        self.with_shard(|shard| {
             let key = (version.clone(), task.clone());
             let entry = shard.evidence.entry(key).or_insert_with(|| empty(version, task));
-            note(entry);
+            update(entry);
         });
     }
 
-    /// A call of a version ended.
+    /// Counts a finished call of a version; `failed` if its version failed in it.
     pub fn call(&self, version: &Name, task: &Name, failed: bool) {
-        self.evidence(version, task, |evidence| {
+        self.update_evidence(version, task, |evidence| {
             evidence.calls += 1;
             evidence.failed += u64::from(failed);
         });
     }
 
-    /// An answer was rated.
+    /// Adds the rating of an answer.
     pub fn rated(&self, version: &Name, task: &Name, good: bool) {
-        self.evidence(version, task, |evidence| evidence.rated.push(good));
+        self.update_evidence(version, task, |evidence| evidence.rated.push(good));
     }
 
-    /// A request ended.
+    /// Adds the outcome of a finished request, unless the report is full.
     pub fn outcome(&self, outcome: Outcome) {
-        self.with(|shard| {
-            if shard.outcomes.len() < OUTCOMES_MAX / SHARDS {
+        self.with_shard(|shard| {
+            if shard.outcomes.len() < OUTCOMES_MAX / SHARDS_COUNT {
                 shard.outcomes.push(outcome);
             }
         });
     }
 
-    /// Everything since the last time.
+    /// Removes and returns everything collected since the last call, with one evidence entry per
+    /// version and task.
     #[must_use]
     pub fn take(&self) -> (Vec<Evidence>, Vec<Outcome>) {
         let mut all: HashMap<(Name, Name), Evidence> = HashMap::new();
@@ -96,13 +99,14 @@
     }
 }
 
-/// Reports until the process ends.
+/// Sends reports until the process ends.
 ///
-/// A report whose answer was lost is sent again under its number, which control counts once.
+/// A report whose answer was lost is sent again under the same number; controls count a number
+/// once.
 pub async fn run(state: Arc<State>) {
     let mut number = 0;
     loop {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         let (evidence, outcomes) = state.reports.take();
         if evidence.is_empty() && outcomes.is_empty() {
             continue;
@@ -118,8 +122,8 @@
         let report = report.clone();
         async move { client.report(context, report).await }
     };
-    while let Err(error) = state.controls.ask(WITHIN, call).await {
-        log::warn!("entry: no control took report {}: {error}", report.number);
-        tokio::time::sleep(EVERY).await;
+    while let Err(error) = state.controls.ask(REPORT_TIMEOUT, call).await {
+        log::warn!("entry: no control accepted report {}: {error}; retrying", report.number);
+        tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! Backend servers as this process knows them: idle connections, health, load reports.
+//! This process's record of each backend server: idle connections, health and load reports.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -14,47 +14,50 @@
 use crate::clock;
 use crate::connection::{Connection, Failure};
 
-/// An idle connection older than this is retired: something between the two ends may have lost
-/// track of it, and then the next request on it would wait for nothing.
+/// Age from which an idle connection is closed: a device between the two ends may have dropped its
+/// state, and the next request on the connection would then wait in vain.
 pub const IDLE: Duration = Duration::from_millis(probe::IDLE_MS);
-/// Idle connections kept for one backend server.
-const IDLE_MAX: usize = 64;
+/// Limit on the idle connections to one backend server.
+const IDLE_CONNECTIONS_MAX: usize = 64;
 
-/// What this process saw of a backend server's health; the newest evidence wins.
+/// Health of a backend server as this process has observed it; newer evidence replaces older.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    /// Whether it is believed to work.
+    /// State of the health check: healthy, suspect, or held ill until a time.
     pub probe: probe::Health,
-    /// Its last load report.
+    /// Last load report of the server; the default before the first one.
     pub load: Load,
-    /// What the report counted beyond this process's own requests at that moment.
+    /// Requests in flight from other hosts: those in the last load report minus this process's own
+    /// requests at the moment the report arrived.
     pub others: u32,
-    /// When that came; 0 for never.
+    /// Wall-clock time at which the last load report arrived; 0 before the first one.
     pub load_at: Millis,
-    /// When it last answered anything else.
+    /// Wall-clock time of the last answer other than a load report; 0 before the first one.
     pub worked_at: Millis,
 }
 
-/// One backend server, kept across views for as long as the host list names it.
+/// One backend server. The object is kept from view to view for as long as the host list names the
+/// server.
 pub struct Server {
-    /// Its name.
+    /// Name of the server in the host list.
     pub name: Name,
-    /// Where it is reached.
+    /// Address at which the server accepts connections.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain that the server is in.
     pub failure_domain: Name,
-    /// Requests of this process under way there.
+    /// Requests of this process in flight at the server.
     pub in_flight: AtomicU32,
     hash: u64,
     idle: Mutex<Vec<Connection>>,
     health: Mutex<Health>,
     intake: Mutex<Intake>,
-    /// Most servers say nothing of what they take, and need not be locked to learn that.
+    /// Whether `intake` restricts requests. Most servers set no restriction, and this flag spares
+    /// them the lock.
     is_restricted: AtomicBool,
 }
 
 impl Server {
-    /// One that nothing is known of yet.
+    /// A server without connections, reports or observations yet.
     #[must_use]
     pub fn new(name: Name, address: SocketAddr, failure_domain: Name) -> Self {
         Self {
@@ -70,7 +73,8 @@
         }
     }
 
-    /// An idle connection, the most recently used first.
+    /// Removes and returns the most recently used idle connection that is ready for a request; none
+    /// if there is no such connection.
     pub fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|connection| connection.usable(IDLE));
@@ -78,11 +82,13 @@
         Some(idle.remove(ready))
     }
 
-    /// A connection for a request: an idle one that proved to work within `reuse`, or a new one.
+    /// Returns a connection for a request: an idle one that last proved that it works less than
+    /// `reuse` ago, or a new one, opened with `within` as the timeout.
     ///
-    /// A connection can go silent for good while new ones work, and one that answered a moment ago
-    /// may be silent now. A request that may not be repeated could not leave it: it would end as
-    /// "may have run". Such a request gives no `reuse` and pays for a new connection.
+    /// A connection can go silent for good while new ones work, even one that answered a moment
+    /// ago. A request that may not be repeated can't move from it to another connection: it would
+    /// be rejected as "may have run". Such a request passes none as `reuse` and takes the cost of a
+    /// new connection.
     ///
     /// # Errors
     /// Always with `sent: false`.
@@ -98,87 +104,92 @@
         }
     }
 
-    /// Keeps a connection for later.
+    /// Keeps a connection for later requests; closes it if the limit of idle ones is reached.
     pub fn put_idle(&self, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        if idle.len() < IDLE_MAX {
+        if idle.len() < IDLE_CONNECTIONS_MAX {
             idle.push(connection);
         }
     }
 
-    /// Closes the idle connections that are too old, or all of them.
+    /// Closes the idle connections older than [`IDLE`], or with `all` every idle connection.
     pub fn retire(&self, all: bool) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|connection| !all && connection.usable(IDLE));
     }
 
-    /// What is known of its health.
+    /// A copy of the current health.
     #[must_use]
     pub fn health(&self) -> Health {
         self.lock().clone()
     }
 
-    /// Whether new work may go there.
+    /// Whether new requests may be sent to the server: it is not draining, held ill or closed by
+    /// its own word.
     #[must_use]
     pub fn takes_work(&self, now: Millis) -> bool {
         let health = self.lock();
-        let is_well = !health.load.draining && health.probe.ill_until <= now;
-        is_well && self.closed_until(clock::steady()).is_none()
+        let is_healthy = !health.load.draining && health.probe.ill_until <= now;
+        is_healthy && self.closed_until(clock::steady()).is_none()
     }
 
-    /// Whether it was found ill.
+    /// Whether the server is held ill at the wall-clock time `now`.
     #[must_use]
     pub fn is_ill(&self, now: Millis) -> bool {
         self.lock().probe.ill_until > now
     }
 
-    /// Uses what it says of how much it takes; `now` is of the steady clock.
-    pub fn with_intake<T>(&self, now: Millis, use_it: impl FnOnce(&mut Intake) -> T) -> T {
+    /// Reads or updates what the server has said about the requests that it accepts. `now` is a
+    /// time of the steady clock.
+    pub fn with_intake<T>(&self, now: Millis, apply: impl FnOnce(&mut Intake) -> T) -> T {
         let mut intake = self.intake.lock().unwrap_or_else(PoisonError::into_inner);
-        let used = use_it(&mut intake);
+        let result = apply(&mut intake);
         self.is_restricted.store(intake.is_restricted(now), Ordering::Relaxed);
-        used
+        result
     }
 
-    /// Whether it says anything that keeps requests from it.
+    /// Whether the server itself restricts the requests that it accepts.
     #[must_use]
     pub fn is_restricted(&self) -> bool {
         self.is_restricted.load(Ordering::Relaxed)
     }
 
-    /// Until when it wants nothing, as it says itself, by the steady clock; none if it takes requests.
+    /// Steady-clock time until which the server has asked for no requests; none if it accepts
+    /// requests.
     #[must_use]
     pub fn closed_until(&self, now: Millis) -> Option<Millis> {
         let intake = || self.intake.lock().unwrap_or_else(PoisonError::into_inner);
         if self.is_restricted() { intake().closed_until(now) } else { None }
     }
 
-    /// When a pause ends, by the time of day, as health is kept; 0 if there is none. Pauses are kept by the
-    /// steady clock: the other one may be set back.
+    /// Wall-clock time at which a pause that the server asked for ends; 0 without a pause. Health
+    /// uses wall-clock times, but a pause is stored by the steady clock, as the wall clock may be
+    /// set back.
     fn pause_end(&self) -> Millis {
         let now = clock::steady();
         self.closed_until(now).map_or(Millis(0), |until| clock::now() + until.since(now))
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether the server has announced that it leaves.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         let intake = || self.intake.lock().unwrap_or_else(PoisonError::into_inner);
         self.is_restricted() && intake().is_leaving()
     }
 
-    /// As placement sees it.
+    /// The record that placement decides by.
     #[must_use]
     pub fn placed(&self) -> place::Server {
         let health = self.lock();
-        let known = health.load_at > Millis(0);
+        let has_report = health.load_at > Millis(0);
         let own = self.in_flight.load(Ordering::Relaxed);
         place::Server {
             name: self.name.clone(),
             in_flight: own,
-            report: known.then_some(place::Report {
-                // Placement takes its own count off again. Taking today's off an old report would
-                // make others' load of every request of ours that ended since.
+            report: has_report.then_some(place::Report {
+                // Placement subtracts the requests of this process again. Subtracting the present
+                // count from an old report would count each request of this process that has ended
+                // since as load from other hosts.
                 in_flight: own.saturating_add(health.others),
                 slots: health.load.slots,
                 at: health.load_at,
@@ -189,31 +200,34 @@
         }
     }
 
-    /// It answered on a connection that works.
+    /// Records that the server answered a request.
     pub fn note_success(&self, now: Millis) {
         let mut health = self.lock();
         health.probe.mark_healthy();
         health.worked_at = now;
     }
 
-    /// Whether it answered anything since then.
+    /// Whether the server answered anything but a load report at or after the wall-clock time
+    /// `since`.
     #[must_use]
     pub fn worked_since(&self, since: Millis) -> bool {
         self.lock().worked_at >= since
     }
 
-    /// An old connection of it went silent or broke: that speaks against the connection, so
-    /// the others of its age are closed too, and the server is tried on a new one.
+    /// Records that a reused connection went silent or broke. That is evidence against the
+    /// connection and not yet against the server, so all idle connections are closed and the next
+    /// request uses a new one.
     pub fn note_suspicion(&self) {
         self.lock().probe.mark_suspect();
         self.retire(true);
     }
 
-    /// It refused a connection, or failed on a new one.
+    /// Records that the server refused a connection or failed on a new one, and holds it ill.
     pub fn note_failure(&self, now: Millis) {
         let mut health = self.lock();
-        // Others that were under way when it was found ill say nothing new. Were each to double the time,
-        // a second of silence would keep a busy server out for half a minute.
+        // Failures of requests that were in flight when the server was first held ill are no new
+        // evidence. If each doubled the time, a second of silence would exclude a busy server for
+        // half a minute.
         if health.probe.ill_until <= now {
             health.probe.record_failure(now);
         }
@@ -221,8 +235,8 @@
         self.retire(true);
     }
 
-    /// Its own report. A server that answers is reachable again, so it is no longer held ill;
-    /// its own `draining` is newer than any list.
+    /// Records a load report. A server that answers is reachable again, so it is no longer held
+    /// ill. The `draining` in its own report is newer than any host list.
     pub fn note_load(&self, load: Load, now: Millis) {
         let mut health = self.lock();
         health.others = load.in_flight.saturating_sub(self.in_flight.load(Ordering::Relaxed));
@@ -236,14 +250,14 @@
     }
 }
 
-/// One request under way at a backend server; counted until dropped.
+/// Counts one request in flight at a backend server until it is dropped.
 pub struct Lease {
-    /// Where.
+    /// Server that the request was sent to.
     pub server: Arc<Server>,
 }
 
 impl Lease {
-    /// Counts one in.
+    /// Adds one to the server's requests in flight.
     #[must_use]
     pub fn new(server: Arc<Server>) -> Self {
         server.in_flight.fetch_add(1, Ordering::Relaxed);
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Serves calls to plain services, which have neither versions nor ratings.
 
 use std::time::{Duration, Instant};
 
@@ -19,15 +19,15 @@
 use crate::job::Job;
 use crate::respond::{self, Extra};
 
-/// Priority of plain services in their pool.
+/// Priority of every service call in its pool's queue.
 const PRIORITY: u8 = 0;
-/// Longest wait between two pieces of an answer.
+/// Timeout between two pieces of an answer.
 const BETWEEN_BYTES: Duration = Duration::from_secs(5);
 
-/// Passes a call on.
+/// Passes a call on to the service and its answer back to the caller.
 ///
 /// # Errors
-/// A refusal.
+/// A refusal, if the call can't be served.
 pub async fn serve(
     from: &From<'_>,
     name: &Name,
@@ -37,26 +37,28 @@
     trace: &mut Trace,
 ) -> Result<Response<Answer>, Refusal> {
     let From { state, snapshot, account_name, account, call } = *from;
-    let held = service::find(snapshot, account, name)?;
+    let service = service::find(snapshot, account, name)?;
     trace.task = Some(name.clone());
-    let deadline = call.deadline(held.deadline_ms)?;
+    let deadline = call.deadline(service.deadline_ms)?;
     let granted = admit::grant(state, snapshot, account_name, account)?;
     let left = deadline.saturating_duration_since(Instant::now());
-    let until = clock::now() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    let ask = policy::admit::Arrival::new(account_name.clone(), PRIORITY, until);
-    let place = admit::enter(state, snapshot, &held.pool, &ask).await?;
-    let may_repeat = held.repeatable.iter().any(|method| method.as_str() == call.method.as_str());
+    let deadline_at = clock::now() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+    let arrival = policy::admit::Arrival::new(account_name.clone(), PRIORITY, deadline_at);
+    let place = admit::enter(state, snapshot, &service.pool, &arrival).await?;
+    let may_repeat =
+        service.repeatable.iter().any(|method| method.as_str() == call.method.as_str());
     let key = call.named(wire::backend::IDEMPOTENCY_KEY)?.filter(|_| !may_repeat);
     let job = Job {
         id: call.id.clone(),
         account: account_name.clone(),
         task: name.clone(),
         version: None,
-        pool: held.pool.clone(),
+        pool: service.pool.clone(),
         may_repeat,
         deadline,
         first_byte: left,
-        // An old connection may have gone silent; half of the time is left to try a new one.
+        // A reused connection may have gone silent; half of the time is left for an attempt on a
+        // new one.
         reused_first_byte: left / 2,
         between_bytes: BETWEEN_BYTES,
         affinity: None,
@@ -81,7 +83,7 @@
         name.clone(),
         Name::default(),
     );
-    billing.add(held.cost);
+    billing.add(service.cost);
     let ending = Ending {
         state: state.clone(),
         id: call.id.clone(),
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! One state of the world, indexed for the request path; replaced whole, never changed.
+//! Immutable state that requests read: the configuration, the host list and what controls decided,
+//! indexed by the keys that requests use. An update replaces the snapshot as a whole.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -14,57 +15,59 @@
 use crate::filter::select;
 use crate::server::Server;
 
-/// SHA-256 of a caller's key.
+/// SHA-256 of a caller's API key.
 pub type KeyHash = [u8; 32];
 
-/// What a request's decisions need.
+/// State from one view of a control, on which all decisions about a request are based.
 #[derive(Default)]
 pub struct Snapshot {
-    /// The control incarnation that gave the view: its log takes the bills made under it.
+    /// Incarnation of the control that sent the view; the log of that incarnation takes the bills
+    /// that are made under this snapshot.
     pub control: Name,
-    /// The document in force; its generation is 0 before there is one.
+    /// Configuration document in force; its generation is 0 before the first one.
     pub document: Arc<Document>,
-    /// Account names by key hash.
+    /// Account names by the hash of an API key.
     pub keys: HashMap<KeyHash, Name>,
-    /// Accepted session keys.
+    /// Session keys from the document, by which the host signs and checks session tokens.
     pub keyring: Keyring,
     /// Versions under quarantine.
     pub quarantined: HashSet<Name>,
-    /// Shares of new sessions, by candidate.
+    /// Share of new sessions, 0 to 1, that each candidate version may get.
     pub shares: HashMap<Name, f64>,
-    /// Good and rated answers, by version and task.
+    /// Numbers of good and of rated answers, by version and task.
     pub estimates: HashMap<(Name, Name), (f64, f64)>,
-    /// Backend servers that stay, by pool.
+    /// Backend servers that are not leaving, by pool.
     pub pools: HashMap<Name, Vec<Arc<Server>>>,
-    /// Backend servers that stay, by version.
+    /// Backend servers that are not leaving, by version.
     pub versions: HashMap<Name, Vec<Arc<Server>>>,
-    /// Plans, by account, task and model.
+    /// Selection plans by account, task and model.
     pub tables: select::Index,
-    /// Rating services.
+    /// Rating services that are not leaving.
     pub raters: Vec<Arc<Server>>,
-    /// The newest host list seen.
+    /// Newest host list that any control has sent.
     pub hosts: Arc<List>,
-    /// Every backend server that the list names.
+    /// All servers of `pools` and `raters`, by name.
     pub servers: HashMap<Name, Arc<Server>>,
-    /// Entry hosts alive, this one included.
+    /// Number of live entry hosts, this one included; at least 1.
     pub entries: u32,
-    /// New work must be refused.
+    /// Whether new requests must be rejected because the controls hold as many bills as they may.
     pub bills_full: bool,
-    /// When the view came, for ageing `unconfirmed_ms` here while control is out of reach.
+    /// When the view arrived; none before the first one. `unconfirmed_ms` grows from then on while
+    /// controls are unreachable.
     pub received: Option<Instant>,
-    /// Milliseconds without a confirmed generation when the view came.
+    /// Milliseconds without a confirmed generation at the time the view arrived.
     pub unconfirmed_ms: u64,
 }
 
 impl Snapshot {
-    /// The next snapshot: a view on top of the one before it.
+    /// Builds the snapshot that follows `previous` under a new view.
     ///
-    /// `document` is none when the view's generation is the one held already. Backend servers
-    /// are carried over by name and address, with their connections and health.
+    /// `document` is none if the view has the generation that `previous` has already. Servers with
+    /// an unchanged name and address are carried over with their connections and health.
     #[must_use]
     pub fn next(previous: &Self, view: &View, document: Option<Document>) -> Self {
         let mut next = match document {
-            Some(document) => Self::of_document(document),
+            Some(document) => Self::from_document(document),
             None => Self {
                 document: Arc::clone(&previous.document),
                 keys: previous.keys.clone(),
@@ -84,8 +87,8 @@
         next.bills_full = view.bills_full;
         next.received = Some(Instant::now());
         next.unconfirmed_ms = view.unconfirmed_ms;
-        // Another control may hold an older list, or none yet. Followed, it would bring back a
-        // backend server that has left, or take away all of them.
+        // Another control may have an older host list, or none yet. Using it would bring back a
+        // backend server that has left, or remove all servers.
         next.hosts = match view.hosts.revision < previous.hosts.revision {
             true => Arc::clone(&previous.hosts),
             false => Arc::new(view.hosts.clone()),
@@ -97,7 +100,7 @@
         next
     }
 
-    fn of_document(document: Document) -> Self {
+    fn from_document(document: Document) -> Self {
         let mut keys = HashMap::new();
         for (name, account) in &document.accounts {
             let hashes = account.key_hashes.iter().filter_map(|hash| parse_hash(hash));
@@ -111,9 +114,9 @@
     }
 
     fn add_host(&mut self, previous: &Self, host: &Host) {
-        let stays = host.state == HostState::Live;
-        let wanted = matches!(host.role, Role::Backend | Role::Rater) && stays;
-        let Some(address) = host.address.parse().ok().filter(|_| wanted) else { return };
+        let is_live = host.state == HostState::Live;
+        let is_used = matches!(host.role, Role::Backend | Role::Rater) && is_live;
+        let Some(address) = host.address.parse().ok().filter(|_| is_used) else { return };
         let server = match previous.servers.get(&host.name) {
             Some(server) if server.address == address => Arc::clone(server),
             _ => Arc::new(Server::new(host.name.clone(), address, host.failure_domain.clone())),
@@ -129,34 +132,34 @@
         self.pools.entry(host.pool.clone()).or_default().push(server);
     }
 
-    /// Whether there is a document in force.
+    /// Whether a document is in force, without which no request can be served.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.document.generation > 0
     }
 
-    /// The account that a key belongs to.
+    /// Name and settings of the account that an API key belongs to.
     #[must_use]
     pub fn account(&self, hash: &KeyHash) -> Option<(&Name, &Account)> {
         self.document.accounts.get_key_value(self.keys.get(hash)?)
     }
 
-    /// A version.
+    /// Settings of a version; none if the document does not name it.
     #[must_use]
     pub fn version(&self, name: &str) -> Option<&Version> {
         self.document.versions.get(name)
     }
 
-    /// A pool.
+    /// Settings of a pool; none if the document does not name it.
     #[must_use]
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.document.pools.get(name)
     }
 
-    /// Whether new sessions, and requests without one, may go to a version.
+    /// Whether a version may get new sessions and requests without a session.
     ///
-    /// A cut-off host can't know that a candidate was stopped elsewhere, so past the version's
-    /// `stale_limit` without a confirmed generation it opens no session on a candidate.
+    /// A partitioned host can't know that a candidate was stopped elsewhere. After the version's
+    /// `stale_limit_ms` without a confirmed generation it opens no more sessions on a candidate.
     #[must_use]
     pub fn opens_sessions(&self, name: &str) -> bool {
         self.version(name).is_some_and(|version| match version.state {
@@ -167,11 +170,11 @@
         })
     }
 
-    /// Milliseconds without a confirmed generation, now.
+    /// Milliseconds without a confirmed generation up to now.
     #[must_use]
     pub fn unconfirmed_ms(&self) -> u64 {
-        let waited = self.received.map(|at| at.elapsed()).unwrap_or_default();
-        self.unconfirmed_ms.saturating_add(u64::try_from(waited.as_millis()).unwrap_or(u64::MAX))
+        let age = self.received.map(|at| at.elapsed()).unwrap_or_default();
+        self.unconfirmed_ms.saturating_add(u64::try_from(age.as_millis()).unwrap_or(u64::MAX))
     }
 }
 
--- a/crates/entry/src/sse.rs
+++ b/crates/entry/src/sse.rs
@@ -1,24 +1,26 @@
-//! Watches a stream of server-sent events for its final event, however it is cut into pieces.
+//! Finds the final event in a stream of server-sent events, wherever the stream is split into
+//! pieces.
 
-/// The data of the final event of a chat-completions stream.
+/// Data of the event that ends a chat-completions stream.
 pub const FINAL: &[u8] = b"[DONE]";
-/// Longest line that is looked at; of a longer one only the start is kept.
+/// Limit on the bytes of a line; only the start of a longer line is kept and read.
 const LINE_BYTES_MAX: usize = 256 << 10;
 
-/// Reads the stream line by line as it is passed on.
+/// Incremental parser of a stream that is passed on at the same time.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     line: Vec<u8>,
-    /// The final event's data line is there.
-    done: bool,
-    /// So is the blank line that ends the event.
-    ended: bool,
+    /// Whether the final event's data line has been received.
+    is_done: bool,
+    /// Whether the blank line that ends the final event has been received too.
+    is_ended: bool,
     text: Option<String>,
     text_max: usize,
 }
 
 impl Watch {
-    /// Also collects the text of the answer, up to a number of bytes, for the rating service.
+    /// Also collects the text of the answer for the rating service. A part that would take the text
+    /// beyond `bytes_max` is left out.
     #[must_use]
     pub fn with_text(mut self, bytes_max: usize) -> Self {
         self.text = Some(String::new());
@@ -26,30 +28,31 @@
         self
     }
 
-    /// Whether the final event's data line is there; some senders leave out the blank line after
-    /// it when they end the answer.
+    /// Whether the final event's data line has been received. Some senders end the answer without
+    /// the blank line after it.
     #[must_use]
     pub fn done(&self) -> bool {
-        self.done
+        self.is_done
     }
 
-    /// The text collected.
+    /// The collected text; none without [`Self::with_text`].
     #[must_use]
     pub fn into_text(self) -> Option<String> {
         self.text
     }
 
-    /// Takes the next piece; says where in it the final event ends, if it does.
+    /// Parses the next piece. Returns the offset in the piece just after the final event, if the
+    /// event ends in this piece.
     ///
-    /// What follows that place is not part of the answer.
+    /// Bytes from that offset on are not part of the answer.
     pub fn feed(&mut self, piece: &[u8]) -> Option<usize> {
-        for (at, byte) in piece.iter().enumerate() {
+        for (index, byte) in piece.iter().enumerate() {
             match byte {
-                _ if self.ended => return None,
+                _ if self.is_ended => return None,
                 b'\n' => {
                     self.end_line();
-                    if self.ended {
-                        return Some(at + 1);
+                    if self.is_ended {
+                        return Some(index + 1);
                     }
                 }
                 byte if self.line.len() < LINE_BYTES_MAX => self.line.push(*byte),
@@ -63,8 +66,8 @@
         let line = std::mem::take(&mut self.line);
         let data = line.strip_prefix(b"data:").map(|data| data.trim_ascii());
         match data {
-            None if self.done && line.trim_ascii().is_empty() => self.ended = true,
-            Some(FINAL) => self.done = true,
+            None if self.is_done && line.trim_ascii().is_empty() => self.is_ended = true,
+            Some(FINAL) => self.is_done = true,
             Some(data) if self.text.is_some() => self.collect(data),
             _ => {}
         }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of the process share.
+//! State that all requests and background tasks of the process share.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
@@ -20,42 +20,42 @@
 use crate::sharded::Sharded;
 use crate::snapshot::Snapshot;
 
-/// Shared by every task of the process.
+/// State of one entry process.
 pub struct State {
-    /// Its settings.
+    /// Settings of the process, unchanged while it runs.
     pub settings: settings::Entry,
-    /// What requests are decided by.
+    /// Newest snapshot for decisions about requests.
     pub snapshot: ArcSwap<Snapshot>,
-    /// Controls to ask.
+    /// Links to the controls.
     pub controls: Controls,
-    /// Bills on their way.
+    /// Bills that controls have not confirmed yet.
     pub bills: Bills,
-    /// Versions of caller-chosen sessions.
+    /// Cache of the versions that caller-chosen sessions are pinned to.
     pub pins: Pins,
-    /// Queues before the pools.
+    /// Admission queue of each pool.
     pub gates: Gates,
-    /// What this process granted of each account's limit.
+    /// Requests that this process has granted, counted against each account's limit.
     pub usage: Sharded<Usage>,
-    /// Second tries left, by account.
+    /// Budget for second attempts, by account.
     pub budgets: Sharded<Budget>,
-    /// Second tries left, by pool.
+    /// Budget for second attempts, by pool.
     pub pool_budgets: Sharded<Budget>,
-    /// Which answers are rated.
+    /// Selection of the answers to be rated.
     pub ratings: Ratings,
-    /// What is reported to control.
+    /// Evidence and outcomes for the next report to a control.
     pub reports: Reports,
-    /// Streams on their way to callers.
+    /// Tasks that pass streams on to callers; a shutdown waits for them.
     pub relays: TaskTracker,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub in_flight: AtomicUsize,
-    /// Cancelled when the process is to take no new requests.
+    /// Cancelled when the shutdown begins; the process is no longer ready from then on.
     pub stop: CancellationToken,
     incarnation: u64,
     requests: AtomicU64,
 }
 
 impl State {
-    /// At the start of the process.
+    /// State at the start of the process, without a configuration.
     #[must_use]
     pub fn new(settings: settings::Entry, key: &Key, stop: CancellationToken) -> Self {
         Self {
@@ -78,7 +78,8 @@
         }
     }
 
-    /// A request id, unique for all time: host, a random number drawn at the start, a count.
+    /// A new request id, unique across hosts and restarts: the host's name, a random number drawn
+    /// at the start of the process, and a counter.
     #[must_use]
     pub fn request_id(&self) -> Name {
         let count = self.requests.fetch_add(1, Ordering::Relaxed);
