--- a/crates/entry/src/bills.rs
+++ b/crates/entry/src/bills.rs
@@ -60,7 +60,7 @@
     /// Whether new requests must be rejected: the last call found no control that holds its bills,
     /// or this process has [`PENDING_MAX`] unconfirmed bills.
     #[must_use]
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.is_unsafe.load(Ordering::Relaxed) || self.pending() >= PENDING_MAX
     }
 
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -39,7 +39,7 @@
 
     /// Whether a new connection is accepted. Otherwise the connection is closed unread, and its
     /// caller connects again to another host.
-    fn takes_connection(&self) -> bool {
+    fn accepts_connection(&self) -> bool {
         true
     }
 }
@@ -96,7 +96,7 @@
 ) {
     match accepted {
         // Dropping the stream closes the connection without reading from it.
-        Ok(_) if !state.takes_connection() => {
+        Ok(_) if !state.accepts_connection() => {
             metrics::counter!("callers_connections_closed_unread_total").increment(1);
         }
         Ok((stream, _)) => {
--- a/crates/entry/src/chain.rs
+++ b/crates/entry/src/chain.rs
@@ -113,7 +113,7 @@
     metrics::counter!("entry_refusals_total", "code" => code).increment(1);
     // A caller's own mistake says nothing of the service level it gets.
     if let (Some(account), Some(task), 500..) = (trace.account, trace.task, refusal.code.status()) {
-        state.reports.outcome(ending::outcome(account, task, started, started.elapsed()));
+        state.reports.record_outcome(ending::outcome(account, task, started, started.elapsed()));
     }
     refuse::response(refusal)
 }
--- a/crates/entry/src/connection.rs
+++ b/crates/entry/src/connection.rs
@@ -107,13 +107,13 @@
 
     /// Whether the connection has carried a whole answer before.
     #[must_use]
-    pub fn reused(&self) -> bool {
+    pub fn is_reused(&self) -> bool {
         self.is_reused
     }
 
     /// Whether the connection is open and last proved that it works less than `within` ago.
     #[must_use]
-    pub fn usable(&self, within: Duration) -> bool {
+    pub fn is_usable(&self, within: Duration) -> bool {
         !self.sender.is_closed() && self.proven_at.elapsed() < within
     }
 
@@ -158,7 +158,7 @@
 
     /// Records that a whole answer ended, and waits up to `within` until the connection can take
     /// the next request; false if it can't by then.
-    pub async fn proved(&mut self, within: Duration) -> bool {
+    pub async fn finish_answer(&mut self, within: Duration) -> bool {
         self.mark_proven();
         matches!(tokio::time::timeout(within, self.sender.ready()).await, Ok(Ok(())))
     }
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -69,8 +69,8 @@
 /// # Errors
 /// A refusal; `ran: "no"` only if no try can have written a byte.
 pub async fn dispatch(state: &Arc<State>, job: &Job) -> Result<Reply, Refusal> {
-    state.budgets.with(&job.account, retry::Budget::fill);
-    state.pool_budgets.with(&job.pool, retry::Budget::fill);
+    state.retry_budgets.with(&job.account, retry::Budget::fill);
+    state.pool_retry_budgets.with(&job.pool, retry::Budget::fill);
     let mut call = Call { state, job, tries: Tries::default() };
     let reply = carry(&mut call).await;
     let granted = call.tries.claimed.is_some();
@@ -175,7 +175,7 @@
         if let Some(wanted) = job.claim.as_ref().filter(|_| tries.claimed.is_none()) {
             tries.claimed = Some(claim::claim(state, wanted, job.deadline).await?);
         }
-        let reused = connection.reused();
+        let reused = connection.is_reused();
         let unsent =
             |failure| Stop::Failed(Failed { failure, reused, alone: false, unopened: false });
         if job.left().is_zero() {
@@ -199,13 +199,13 @@
             if let Some(claimed) = self.tries.claimed.as_mut().filter(|_| !failure.sent) {
                 claimed.not_used();
             }
-            let alone = failure.cause == Cause::Silent && server.worked_since(began);
+            let alone = failure.cause == Cause::Silent && server.answered_since(began);
             Stop::Failed(Failed { failure, reused, alone, unopened: false })
         })
     }
 
     fn answered(&self, server: &Server) {
-        server.note_success(clock::now());
+        server.record_success(clock::now());
         self.job.note(self.state, false);
     }
 }
@@ -218,16 +218,16 @@
         _ if job.left().is_zero() => {}
         Cause::Deadline => {}
         _ if unopened => {
-            server.note_failure(clock::now());
+            server.record_failure(clock::now());
             tries.tried.push(server.name.clone());
         }
         Cause::Silent | Cause::Broken if reused => {
-            server.note_suspicion();
+            server.record_suspicion();
             tries.old_failed = true;
             tries.new_only = true;
         }
         Cause::Silent | Cause::Broken | Cause::Refused | Cause::Unreachable if !alone => {
-            server.note_failure(clock::now());
+            server.record_failure(clock::now());
             tries.tried.push(server.name.clone());
             job.note(state, true);
         }
@@ -254,8 +254,8 @@
     let paid = || {
         !tries.sent
             || tries.old_failed
-            || (state.budgets.with(&job.account, retry::Budget::take)
-                && state.pool_budgets.with(&job.pool, retry::Budget::take))
+            || (state.retry_budgets.with(&job.account, retry::Budget::take)
+                && state.pool_retry_budgets.with(&job.pool, retry::Budget::take))
     };
     tries.count < TRIES_MAX && retry::may_retry_elsewhere(&attempt) && paid()
 }
--- a/crates/entry/src/ending.rs
+++ b/crates/entry/src/ending.rs
@@ -57,7 +57,7 @@
         drop(held.place);
         let billed = billing.settle(self.deadline).await;
         let outcome = outcome(self.account, self.task.clone(), self.started, self.first_byte);
-        state.reports.outcome(Outcome { answered: billed, ..outcome });
+        state.reports.record_outcome(Outcome { answered: billed, ..outcome });
         metrics::histogram!("entry_request_seconds").record(self.started.elapsed().as_secs_f64());
         match billed {
             true => metrics::counter!("entry_answers_total", "end" => "whole").increment(1),
@@ -80,10 +80,10 @@
         log::info!("entry: the answer of request {} breaks: {cause:?}", self.id);
         metrics::counter!("entry_answers_total", "end" => "broken").increment(1);
         if let Some(version) = &self.version {
-            self.state.reports.call(version, &self.task, true);
+            self.state.reports.record_call(version, &self.task, true);
         }
         let reports = &self.state.reports;
-        reports.outcome(outcome(self.account, self.task, self.started, self.first_byte));
+        reports.record_outcome(outcome(self.account, self.task, self.started, self.first_byte));
     }
 
     /// The caller went away before the answer's end.
--- a/crates/entry/src/filter/admit.rs
+++ b/crates/entry/src/filter/admit.rs
@@ -153,7 +153,7 @@
     let mut slots = 0;
     let mut others = 0.0;
     for server in snapshot.pools.get(pool).into_iter().flatten() {
-        let placed = server.placed();
+        let placed = server.placement_record();
         if placed.takes_work(now) {
             slots += placed.report.map_or(slots_each, |report| report.slots);
             others += placed.load(now) - f64::from(placed.in_flight);
@@ -169,7 +169,8 @@
 /// Without it a request would wait for servers that are held ill for longer than its caller
 /// does, and be refused only when its deadline comes.
 fn closed_ms(snapshot: &Snapshot, pool: &Name, now: Millis) -> u64 {
-    let servers = snapshot.pools.get(pool).into_iter().flatten().map(|server| server.placed());
+    let servers =
+        snapshot.pools.get(pool).into_iter().flatten().map(|server| server.placement_record());
     let staying = servers.filter(|server| !server.draining);
     staying.map(|server| server.ill_until.since(now)).min().unwrap_or(NEVER_MS)
 }
--- a/crates/entry/src/filter/open.rs
+++ b/crates/entry/src/filter/open.rs
@@ -31,7 +31,7 @@
     match () {
         () if !snapshot.is_ready() => Err(Refusal::not_run(Code::NotReady, "no configuration yet")
             .retry_after(NOT_READY_RETRY_MS)),
-        () if snapshot.bills_full || state.bills.full() => {
+        () if snapshot.bills_full || state.bills.is_full() => {
             Err(Refusal::not_run(Code::BillsFull, "bills can't be kept safe at the moment")
                 .retry_after(BILLS_RETRY_MS))
         }
--- a/crates/entry/src/filter/place.rs
+++ b/crates/entry/src/filter/place.rs
@@ -18,7 +18,7 @@
 ) -> Option<Arc<Server>> {
     let open: Vec<&Arc<Server>> =
         servers.iter().filter(|server| !tried.contains(&server.name)).collect();
-    let known: Vec<place::Server> = open.iter().map(|server| server.placed()).collect();
+    let known: Vec<place::Server> = open.iter().map(|server| server.placement_record()).collect();
     let index = place::choose(&known, affinity, rand::random(), now)?;
     open.get(index).map(|server| Arc::clone(server))
 }
--- a/crates/entry/src/filter/select.rs
+++ b/crates/entry/src/filter/select.rs
@@ -102,7 +102,7 @@
 
 /// A version as selection sees it; none if it takes no new sessions or no host serves it.
 fn candidate(snapshot: &Snapshot, name: &Name, task: &Name, now: Millis) -> Option<Candidate> {
-    let version = snapshot.version(name).filter(|_| snapshot.opens_sessions(name))?;
+    let version = snapshot.version(name).filter(|_| snapshot.accepts_new_sessions(name))?;
     snapshot.versions.get(name).filter(|servers| !servers.is_empty())?;
     let prior =
         version.quality.get(task).map_or(Estimate::unknown(), |mean| Estimate::prior(*mean));
@@ -138,14 +138,14 @@
             Code::NotAllowed,
             format!("the account may not use version {name}"),
         )),
-        () if !snapshot.opens_sessions(name) => Err(no_version(name)),
+        () if !snapshot.accepts_new_sessions(name) => Err(no_version(name)),
         () => Ok(Plan::Single(name.clone())),
     }
 }
 
 fn drawn(snapshot: &Snapshot, ask: &Ask<'_>, unit: f64) -> Result<Plan, Refusal> {
     let key = (ask.account_name.clone(), ask.task_name.clone(), Name::from(ask.model));
-    let Some(tables) = snapshot.tables.get(&key) else {
+    let Some(tables) = snapshot.plans.get(&key) else {
         let known = snapshot.document.versions.values().any(|v| v.model.as_str() == ask.model);
         return Err(match known {
             true => Refusal::not_run(
@@ -160,7 +160,7 @@
         false => (&tables.free, &tables.free_live),
     };
     // The table may be older than a candidate's `stale_limit`, so the plan drawn is looked at.
-    let open = |plan: &&Plan| versions(plan).all(|name| snapshot.opens_sessions(name));
+    let open = |plan: &&Plan| versions(plan).all(|name| snapshot.accepts_new_sessions(name));
     let plan = table.draw(unit).filter(open).or_else(|| live.draw(unit).filter(open));
     plan.cloned().ok_or_else(|| no_version(ask.model))
 }
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -93,7 +93,7 @@
     /// Counts a try for the version's evidence.
     pub fn note(&self, state: &State, failed: bool) {
         if let Some(version) = &self.version {
-            state.reports.call(version, &self.task, failed);
+            state.reports.record_call(version, &self.task, failed);
         }
     }
 }
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/loads.rs
@@ -55,17 +55,17 @@
         Ok(Ok(Some(load))) => {
             let now = clock::steady();
             server.with_intake(now, |intake| intake.apply_report(load.draining, asked_at, now));
-            server.note_load(load, clock::now());
+            server.record_load(load, clock::now());
         }
         // An answer without a valid report still shows that the server works.
-        Ok(Ok(None)) => server.note_success(clock::now()),
+        Ok(Ok(None)) => server.record_success(clock::now()),
         Ok(Err(failure)) if matches!(failure.cause, Cause::Refused | Cause::Unreachable) => {
-            server.note_failure(clock::now());
+            server.record_failure(clock::now());
         }
         // A busy server can be late with its report while it serves requests. Holding it ill for
         // that would reject requests that a slow pool can still serve.
-        Ok(Err(_)) | Err(_) if server.worked_since(asked) => {}
-        Ok(Err(_)) | Err(_) => server.note_failure(clock::now()),
+        Ok(Err(_)) | Err(_) if server.answered_since(asked) => {}
+        Ok(Err(_)) | Err(_) => server.record_failure(clock::now()),
     }
 }
 
--- a/crates/entry/src/rating.rs
+++ b/crates/entry/src/rating.rs
@@ -56,7 +56,7 @@
     /// Whether to rate the next answer of a version; draws a random number. Always false without a
     /// rating service.
     #[must_use]
-    pub fn wants(&self, snapshot: &Snapshot, version: &Name) -> bool {
+    pub fn should_rate(&self, snapshot: &Snapshot, version: &Name) -> bool {
         let is_candidate =
             snapshot.version(version).is_some_and(|v| v.state == VersionState::Candidate);
         let verdict = self.tests.with(version, |test| test.verdict());
@@ -107,14 +107,14 @@
         Ok(Some(rating)) => rating.good,
         Ok(None) | Err(_) => {
             metrics::counter!("entry_ratings_failed_total").increment(1);
-            server.note_failure(clock::now());
+            server.record_failure(clock::now());
             return None;
         }
     };
     let prior = snapshot.version(version).and_then(|v| v.quality.get(task)).copied();
     let hypotheses = Hypotheses::from_expected(prior.unwrap_or(policy::estimate::UNKNOWN_MEAN));
     state.ratings.tests.with(version, |test| test.observe(good, &hypotheses));
-    state.reports.rated(version, task, good);
+    state.reports.record_rating(version, task, good);
     Some(good)
 }
 
@@ -133,7 +133,7 @@
         .ok()?;
     let response = connection.send(question, TIMEOUT).await.ok()?;
     let body = Limited::new(response.into_body(), RATING_BYTES_MAX).collect().await.ok()?;
-    if connection.proved(TIMEOUT).await {
+    if connection.finish_answer(TIMEOUT).await {
         server.put_idle(connection);
     }
     drop(lease);
@@ -142,14 +142,14 @@
 
 /// The text in the body of a chat completion, for the rating service.
 #[must_use]
-pub fn text_of(answer: &[u8]) -> Option<String> {
+pub fn answer_text(answer: &[u8]) -> Option<String> {
     let value: serde_json::Value = serde_json::from_slice(answer).ok()?;
     value["choices"][0]["message"]["content"].as_str().map(str::to_owned)
 }
 
 /// The text in a complete event stream of a chat completion.
 #[must_use]
-pub fn text_of_events(answer: &[u8]) -> Option<String> {
+pub fn stream_text(answer: &[u8]) -> Option<String> {
     let mut watch = crate::sse::Watch::default().with_text(answer.len());
     watch.feed(answer);
     watch.into_text()
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -203,7 +203,9 @@
         let until = (Instant::now() + within).min(deadline);
         loop {
             let frame = match tokio::time::timeout_at(until.into(), self.body.frame()).await {
-                Ok(None) if self.watch.as_ref().is_none_or(Watch::done) => return Ok(Piece::End),
+                Ok(None) if self.watch.as_ref().is_none_or(Watch::is_done) => {
+                    return Ok(Piece::End);
+                }
                 // A clean end without the final event is a broken answer.
                 Ok(None) => return Err(Cause::Truncated),
                 Ok(Some(Ok(frame))) => frame,
@@ -259,7 +261,7 @@
 async fn give_back(mut body: Incoming, mut connection: Connection, lease: Lease) {
     let rest = tokio::time::timeout(READY, body.frame()).await;
     // Anything after the end, or no end at all, leaves the connection in doubt.
-    if matches!(rest, Ok(None)) && connection.proved(READY).await {
+    if matches!(rest, Ok(None)) && connection.finish_answer(READY).await {
         lease.server.put_idle(connection);
     }
 }
--- a/crates/entry/src/reports.rs
+++ b/crates/entry/src/reports.rs
@@ -48,7 +48,7 @@
     }
 
     /// Counts a finished call of a version; `failed` if its version failed in it.
-    pub fn call(&self, version: &Name, task: &Name, failed: bool) {
+    pub fn record_call(&self, version: &Name, task: &Name, failed: bool) {
         self.update_evidence(version, task, |evidence| {
             evidence.calls += 1;
             evidence.failed += u64::from(failed);
@@ -56,12 +56,12 @@
     }
 
     /// Adds the rating of an answer.
-    pub fn rated(&self, version: &Name, task: &Name, good: bool) {
+    pub fn record_rating(&self, version: &Name, task: &Name, good: bool) {
         self.update_evidence(version, task, |evidence| evidence.rated.push(good));
     }
 
     /// Adds the outcome of a finished request, unless the report is full.
-    pub fn outcome(&self, outcome: Outcome) {
+    pub fn record_outcome(&self, outcome: Outcome) {
         self.with_shard(|shard| {
             if shard.outcomes.len() < OUTCOMES_MAX / SHARDS_COUNT {
                 shard.outcomes.push(outcome);
@@ -72,7 +72,7 @@
     /// Removes and returns everything collected since the last call, with one evidence entry per
     /// version and task.
     #[must_use]
-    pub fn take(&self) -> (Vec<Evidence>, Vec<Outcome>) {
+    pub fn drain(&self) -> (Vec<Evidence>, Vec<Outcome>) {
         let mut all: HashMap<(Name, Name), Evidence> = HashMap::new();
         let mut outcomes = Vec::new();
         for shard in &self.shards {
@@ -107,7 +107,7 @@
     let mut number = 0;
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
-        let (evidence, outcomes) = state.reports.take();
+        let (evidence, outcomes) = state.reports.drain();
         if evidence.is_empty() && outcomes.is_empty() {
             continue;
         }
--- a/crates/entry/src/respond.rs
+++ b/crates/entry/src/respond.rs
@@ -60,8 +60,8 @@
 #[must_use]
 pub fn text(head: &Parts, bytes: &Bytes) -> Option<String> {
     match crate::reply::is_event_stream(head) {
-        true => rating::text_of_events(bytes),
-        false => rating::text_of(bytes),
+        true => rating::stream_text(bytes),
+        false => rating::answer_text(bytes),
     }
 }
 
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -21,6 +21,9 @@
 const IDLE_CONNECTIONS_MAX: usize = 64;
 
 /// Health of a backend server as this process has observed it; newer evidence replaces older.
+///
+/// Its times come from the clock that the callers pass as `now`: the wall clock in this crate, the
+/// steady clock in the gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     /// State of the health check: healthy, suspect, or held ill until a time.
@@ -29,11 +32,11 @@
     pub load: Load,
     /// Requests in flight from other hosts: those in the last load report minus this process's own
     /// requests at the moment the report arrived.
-    pub others: u32,
-    /// Wall-clock time at which the last load report arrived; 0 before the first one.
-    pub load_at: Millis,
-    /// Wall-clock time of the last answer other than a load report; 0 before the first one.
-    pub worked_at: Millis,
+    pub others_in_flight: u32,
+    /// Time at which the last load report arrived; 0 before the first one.
+    pub load_received_at: Millis,
+    /// Time of the last answer other than a load report; 0 before the first one.
+    pub answered_at: Millis,
 }
 
 /// One backend server. The object is kept from view to view for as long as the host list names the
@@ -77,7 +80,7 @@
     /// if there is no such connection.
     pub fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|connection| connection.usable(IDLE));
+        idle.retain(|connection| connection.is_usable(IDLE));
         let ready = idle.iter().rposition(Connection::is_ready)?;
         Some(idle.remove(ready))
     }
@@ -97,7 +100,7 @@
         reuse: Option<Duration>,
         within: Duration,
     ) -> Result<Connection, Failure> {
-        let idle = reuse.and_then(|reuse| self.take_idle().filter(|idle| idle.usable(reuse)));
+        let idle = reuse.and_then(|reuse| self.take_idle().filter(|idle| idle.is_usable(reuse)));
         match idle {
             Some(connection) => Ok(connection),
             None => Connection::open(self.address, within).await,
@@ -115,7 +118,7 @@
     /// Closes the idle connections older than [`IDLE`], or with `all` every idle connection.
     pub fn retire(&self, all: bool) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|connection| !all && connection.usable(IDLE));
+        idle.retain(|connection| !all && connection.is_usable(IDLE));
     }
 
     /// A copy of the current health.
@@ -127,13 +130,13 @@
     /// Whether new requests may be sent to the server: it is not draining, held ill or closed by
     /// its own word.
     #[must_use]
-    pub fn takes_work(&self, now: Millis) -> bool {
+    pub fn accepts_work(&self, now: Millis) -> bool {
         let health = self.lock();
         let is_healthy = !health.load.draining && health.probe.ill_until <= now;
         is_healthy && self.closed_until(clock::steady()).is_none()
     }
 
-    /// Whether the server is held ill at the wall-clock time `now`.
+    /// Whether the server is held ill at `now`.
     #[must_use]
     pub fn is_ill(&self, now: Millis) -> bool {
         self.lock().probe.ill_until > now
@@ -179,9 +182,9 @@
 
     /// The record that placement decides by.
     #[must_use]
-    pub fn placed(&self) -> place::Server {
+    pub fn placement_record(&self) -> place::Server {
         let health = self.lock();
-        let has_report = health.load_at > Millis(0);
+        let has_report = health.load_received_at > Millis(0);
         let own = self.in_flight.load(Ordering::Relaxed);
         place::Server {
             name: self.name.clone(),
@@ -190,9 +193,9 @@
                 // Placement subtracts the requests of this process again. Subtracting the present
                 // count from an old report would count each request of this process that has ended
                 // since as load from other hosts.
-                in_flight: own.saturating_add(health.others),
+                in_flight: own.saturating_add(health.others_in_flight),
                 slots: health.load.slots,
-                at: health.load_at,
+                at: health.load_received_at,
             }),
             draining: health.load.draining || self.is_leaving(),
             ill_until: health.probe.ill_until.max(self.pause_end()),
@@ -201,29 +204,28 @@
     }
 
     /// Records that the server answered a request.
-    pub fn note_success(&self, now: Millis) {
+    pub fn record_success(&self, now: Millis) {
         let mut health = self.lock();
         health.probe.mark_healthy();
-        health.worked_at = now;
+        health.answered_at = now;
     }
 
-    /// Whether the server answered anything but a load report at or after the wall-clock time
-    /// `since`.
+    /// Whether the server answered anything but a load report at or after `since`.
     #[must_use]
-    pub fn worked_since(&self, since: Millis) -> bool {
-        self.lock().worked_at >= since
+    pub fn answered_since(&self, since: Millis) -> bool {
+        self.lock().answered_at >= since
     }
 
     /// Records that a reused connection went silent or broke. That is evidence against the
     /// connection and not yet against the server, so all idle connections are closed and the next
     /// request uses a new one.
-    pub fn note_suspicion(&self) {
+    pub fn record_suspicion(&self) {
         self.lock().probe.mark_suspect();
         self.retire(true);
     }
 
     /// Records that the server refused a connection or failed on a new one, and holds it ill.
-    pub fn note_failure(&self, now: Millis) {
+    pub fn record_failure(&self, now: Millis) {
         let mut health = self.lock();
         // Failures of requests that were in flight when the server was first held ill are no new
         // evidence. If each doubled the time, a second of silence would exclude a busy server for
@@ -237,11 +239,12 @@
 
     /// Records a load report. A server that answers is reachable again, so it is no longer held
     /// ill. The `draining` in its own report is newer than any host list.
-    pub fn note_load(&self, load: Load, now: Millis) {
+    pub fn record_load(&self, load: Load, now: Millis) {
         let mut health = self.lock();
-        health.others = load.in_flight.saturating_sub(self.in_flight.load(Ordering::Relaxed));
+        health.others_in_flight =
+            load.in_flight.saturating_sub(self.in_flight.load(Ordering::Relaxed));
         health.load = load;
-        health.load_at = now;
+        health.load_received_at = now;
         health.probe.mark_healthy();
     }
 
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -41,7 +41,7 @@
     /// Backend servers that are not leaving, by version.
     pub versions: HashMap<Name, Vec<Arc<Server>>>,
     /// Selection plans by account, task and model.
-    pub tables: select::Index,
+    pub plans: select::Index,
     /// Rating services that are not leaving.
     pub raters: Vec<Arc<Server>>,
     /// Newest host list that any control has sent.
@@ -96,7 +96,7 @@
         for host in &Arc::clone(&next.hosts).hosts {
             next.add_host(previous, host);
         }
-        next.tables = select::index(&next, clock::now());
+        next.plans = select::index(&next, clock::now());
         next
     }
 
@@ -161,7 +161,7 @@
     /// A partitioned host can't know that a candidate was stopped elsewhere. After the version's
     /// `stale_limit_ms` without a confirmed generation it opens no more sessions on a candidate.
     #[must_use]
-    pub fn opens_sessions(&self, name: &str) -> bool {
+    pub fn accepts_new_sessions(&self, name: &str) -> bool {
         self.version(name).is_some_and(|version| match version.state {
             _ if self.quarantined.contains(name) => false,
             VersionState::Live => true,
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -37,9 +37,9 @@
     /// Requests that this process has granted, counted against each account's limit.
     pub usage: Sharded<Usage>,
     /// Budget for second attempts, by account.
-    pub budgets: Sharded<Budget>,
+    pub retry_budgets: Sharded<Budget>,
     /// Budget for second attempts, by pool.
-    pub pool_budgets: Sharded<Budget>,
+    pub pool_retry_budgets: Sharded<Budget>,
     /// Selection of the answers to be rated.
     pub ratings: Ratings,
     /// Evidence and outcomes for the next report to a control.
@@ -67,8 +67,8 @@
             pins: Pins::default(),
             gates: Gates::default(),
             usage: Sharded::default(),
-            budgets: Sharded::default(),
-            pool_budgets: Sharded::default(),
+            retry_budgets: Sharded::default(),
+            pool_retry_budgets: Sharded::default(),
             reports: Reports::default(),
             relays: TaskTracker::new(),
             in_flight: AtomicUsize::new(0),
--- a/crates/entry/tests/common/bench.rs
+++ b/crates/entry/tests/common/bench.rs
@@ -320,8 +320,8 @@
 /// The text that the engine answered with.
 pub fn text(answer: &Answer) -> standin::answer::Answer {
     let text = match header(answer, "content-type") {
-        "text/event-stream" => entry::rating::text_of_events(answer.body()),
-        _ => entry::rating::text_of(answer.body()),
+        "text/event-stream" => entry::rating::stream_text(answer.body()),
+        _ => entry::rating::answer_text(answer.body()),
     };
     standin::answer::Answer::parse(&text.unwrap()).unwrap()
 }
--- a/crates/entry/tests/health.rs
+++ b/crates/entry/tests/health.rs
@@ -19,7 +19,7 @@
 #[test]
 fn note_failure_of_many_requests_at_once_is_one() {
     let server = server();
-    (0..20).for_each(|n| server.note_failure(START + n * 10));
+    (0..20).for_each(|n| server.record_failure(START + n * 10));
     assert!(server.is_ill(START + ILL_MS - 1));
     assert!(!server.is_ill(START + ILL_MS));
 }
@@ -28,9 +28,9 @@
 #[test]
 fn note_failure_after_another_holds_for_longer() {
     let server = server();
-    server.note_failure(START);
+    server.record_failure(START);
     let again = START + ILL_MS;
-    server.note_failure(again);
+    server.record_failure(again);
     assert!(server.is_ill(again + 2 * ILL_MS - 1));
     assert!(!server.is_ill(again + 2 * ILL_MS));
 }
--- a/crates/entry/tests/sse.rs
+++ b/crates/entry/tests/sse.rs
@@ -30,7 +30,7 @@
 fn feed_final_event_without_its_blank_line() {
     let mut watch = Watch::default();
     assert_eq!(feed(&mut watch, &[b"data: [DONE]\n"]), None);
-    assert!(watch.done());
+    assert!(watch.is_done());
 }
 
 #[test]
@@ -40,7 +40,7 @@
     let message =
         b"data: {\"choices\":[{\"delta\":{\"content\":\"[DONE]\"}}]}\n\n data: [DONE]\n\n";
     assert_eq!(feed(&mut watch, &[message]), None);
-    assert!(!watch.done());
+    assert!(!watch.is_done());
 }
 
 #[test]
@@ -74,7 +74,7 @@
         for piece in pieces {
             let end = watch.feed(piece);
             assert!(end.is_none_or(|end| end <= piece.len()));
-            assert!(end.is_none() || watch.done());
+            assert!(end.is_none() || watch.is_done());
         }
         assert!(watch.into_text().is_some_and(|text| text.len() <= 8));
     });
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -106,7 +106,7 @@
     let lease = Lease::new(Arc::clone(&backend.server));
     let (sent_at, sent) = (Instant::now(), clock::steady());
     let response = wait_for_head(job, backend, connection.send(request, job.time_left())).await?;
-    if !connection.reused() {
+    if !connection.is_reused() {
         job.state.record_reached();
     }
     pending.begin(clock::steady());
--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -278,7 +278,8 @@
         observations.reported_at = now;
         drop(observations);
         let in_flight = load.requests;
-        self.server.note_load(backend::Load { in_flight, slots: load.slots, draining: false }, now);
+        self.server
+            .record_load(backend::Load { in_flight, slots: load.slots, draining: false }, now);
     }
 
     /// Records that the server sent anything at all.
@@ -294,7 +295,7 @@
         if !failed {
             observations.timeouts = 0;
             drop(observations);
-            self.server.note_success(now);
+            self.server.record_success(now);
         }
     }
 
@@ -303,7 +304,7 @@
         if !self.server.is_ill(now) {
             self.lock().suspicion.record(true, now);
         }
-        self.server.note_failure(now);
+        self.server.record_failure(now);
     }
 
     /// Records that a connection to the server timed out. Returns true if the server is now ill.
@@ -319,7 +320,7 @@
         let ill = observations.timeouts >= TIMEOUTS_TO_ILL;
         drop(observations);
         if ill {
-            self.server.note_failure(now);
+            self.server.record_failure(now);
         }
         ill
     }
--- a/crates/gateway/src/backend/probe.rs
+++ b/crates/gateway/src/backend/probe.rs
@@ -124,7 +124,7 @@
             return false;
         };
         tokio::time::sleep(STABLE_AFTER).await;
-        connection.usable(CONNECT_TIMEOUT)
+        connection.is_usable(CONNECT_TIMEOUT)
     }
 
     /// Opens a connection and closes it. A server that is unreachable, or cut off from this host,
@@ -151,7 +151,7 @@
         tokio::spawn(async move {
             if backend.accepts_connections().await {
                 log::info!(target: "route", backend:% = backend.id; "backend server reached again");
-                backend.server.note_success(clock::steady());
+                backend.server.record_success(clock::steady());
             }
         });
     }
--- a/crates/gateway/src/blame.rs
+++ b/crates/gateway/src/blame.rs
@@ -38,7 +38,7 @@
                 self.attempts.needs_new_connection = true;
                 self.attempts.excluded.retain(|tried| *tried != host.id);
             }
-            Failure::Unsent(_) => host.server.note_failure(now),
+            Failure::Unsent(_) => host.server.record_failure(now),
             // The host itself is well, and may take requests again at any time.
             Failure::NotRun { misdirected: true } => host.record_unavailable(now),
             Failure::NotRun { misdirected: false } | Failure::Unwanted => {}
@@ -48,7 +48,7 @@
                 // An answer that was truncated mostly broke off at the backend server, not at the
                 // host.
                 if matches!(cause, Cause::Silent | Cause::Broken) {
-                    host.server.note_failure(now);
+                    host.server.record_failure(now);
                     self.attempts.excluded.push(host.id.clone());
                 }
             }
--- a/crates/gateway/src/detour_hosts.rs
+++ b/crates/gateway/src/detour_hosts.rs
@@ -30,7 +30,7 @@
         match hosts.get(name) {
             // The host is alive, whatever it failed before.
             Some(known) if known.server.address == address => {
-                known.server.note_success(clock::steady());
+                known.server.record_success(clock::steady());
             }
             _ => {
                 let host = Backend::host(name.clone(), address, failure_domain.clone(), is_near);
@@ -58,7 +58,7 @@
     #[must_use]
     pub fn wants_far(&self, now: Millis) -> bool {
         let hosts = self.lock();
-        let usable = hosts.values().filter(|host| !host.is_near && host.server.takes_work(now));
+        let usable = hosts.values().filter(|host| !host.is_near && host.server.accepts_work(now));
         self.domain(&hosts).needs_other_domains(usable.count())
     }
 
@@ -98,5 +98,5 @@
 }
 
 fn is_untried(host: &Backend, tried: &[Name], now: Millis) -> bool {
-    !tried.contains(&host.id) && host.server.takes_work(now)
+    !tried.contains(&host.id) && host.server.accepts_work(now)
 }
--- a/crates/gateway/src/end.rs
+++ b/crates/gateway/src/end.rs
@@ -101,7 +101,7 @@
     let pool = snapshot.pools.get(&job.service);
     let takes_work = |version| {
         let servers = pool.into_iter().flat_map(|pool| pool.servers(version));
-        servers.filter(|backend| backend.server.takes_work(now)).count()
+        servers.filter(|backend| backend.server.accepts_work(now)).count()
     };
     let rollout = pool.and_then(|pool| pool.rollout.as_ref());
     metrics::counter!("gateway_streams_stranded_total", "why" => obstacle.label()).increment(1);
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    fn takes_connection(&self) -> bool {
+    fn accepts_connection(&self) -> bool {
         self.shed.accepts(clock::steady())
     }
 }
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -64,7 +64,7 @@
     let (reachable, unreachable): (Vec<_>, Vec<_>) = untried
         .partition(|backend| !job.attempts.silent_domains.contains(&backend.server.failure_domain));
     let (well, ill): (Vec<_>, Vec<_>) =
-        reachable.into_iter().partition(|backend| backend.server.takes_work(now));
+        reachable.into_iter().partition(|backend| backend.server.accepts_work(now));
     match (well.as_slice(), unreachable.as_slice()) {
         ([], []) => {
             let probed = sample::draw(ill.len(), PROBED_MAX, rand::random());
@@ -88,7 +88,7 @@
     let mut backends = pool.backends.iter().filter(|backend| {
         version.is_none_or(|version| backend.version == *version)
             && !job.attempts.excluded.contains(&backend.id)
-            && backend.server.takes_work(now)
+            && backend.server.accepts_work(now)
     });
     backends.any(|backend| limits.may_send(backend, now))
 }
--- a/crates/gateway/src/reach.rs
+++ b/crates/gateway/src/reach.rs
@@ -103,7 +103,7 @@
         // time, requests would go on taking the way through other hosts.
         let (snapshot, now) = (self.snapshot.load(), clock::steady());
         let backends = snapshot.pools.values().flat_map(|pool| &pool.backends);
-        backends.for_each(|backend| backend.server.note_success(now));
+        backends.for_each(|backend| backend.server.record_success(now));
     }
 
     /// Probes servers whenever this host reaches none, until one accepts connections. Runs until
--- a/crates/gateway/src/unavailable.rs
+++ b/crates/gateway/src/unavailable.rs
@@ -41,7 +41,7 @@
         let snapshot = self.state.snapshot.load();
         let Some(pool) = snapshot.pools.get(&self.service) else { return false };
         let now = clock::steady();
-        let takes_work = |backend: &Arc<Backend>| backend.server.takes_work(now);
+        let takes_work = |backend: &Arc<Backend>| backend.server.accepts_work(now);
         self.tolerance().is_some() && pool.backends.iter().any(takes_work)
     }
 
@@ -51,7 +51,7 @@
         let snapshot = self.state.snapshot.load();
         let backends = &snapshot.pools.get(&self.service)?.backends;
         let now = clock::steady();
-        let limited = backends.iter().filter(|backend| backend.server.takes_work(now));
+        let limited = backends.iter().filter(|backend| backend.server.accepts_work(now));
         let rates = limited
             .filter_map(|backend| backend.with_intake(|intake| intake.throttle.per_second(now)));
         let rate: f64 = rates.sum();
--- a/crates/gateway/src/wait.rs
+++ b/crates/gateway/src/wait.rs
@@ -54,7 +54,7 @@
         let is_other = |other: &&Arc<Backend>| {
             other.id != backend.id
                 && !self.attempts.excluded.contains(&other.id)
-                && other.server.takes_work(clock::steady())
+                && other.server.accepts_work(clock::steady())
         };
         let sent = self.attempts.sent + u32::from(!self.attempts.is_answering);
         let is_isolated = backend.is_host || self.state.reach.is_isolated();
--- a/crates/gateway/tests/helpers.rs
+++ b/crates/gateway/tests/helpers.rs
@@ -36,7 +36,7 @@
 fn add_again_makes_a_failed_host_usable() {
     let detour_hosts = detour_hosts();
     let host = detour_hosts.choose(&[], 1, clock::steady()).unwrap();
-    host.server.note_failure(clock::steady());
+    host.server.record_failure(clock::steady());
     assert_eq!(choose(&detour_hosts, &[]), None);
     detour_hosts.add(&Name::from(NAME), address(), &Name::from("a"), true);
     assert_eq!(choose(&detour_hosts, &[]), Some(Name::from(NAME)));
