--- a/crates/entry/src/bills.rs
+++ b/crates/entry/src/bills.rs
@@ -123,9 +123,7 @@
                 metrics::counter!("entry_bills_held_once_total").increment(bills.len() as u64);
                 break;
             }
-            Ok(BillAnswer::Full) => {
-                log::warn!("bills: the controls hold as many bills as they may; retrying")
-            }
+            Ok(BillAnswer::Full) => log::warn!("bills: controls hold the maximum; retrying"),
             Err(error) => log::warn!(
                 "bills: no control accepted a batch of {}: {error}; retrying",
                 bills.len()
--- a/crates/entry/src/chat.rs
+++ b/crates/entry/src/chat.rs
@@ -221,9 +221,7 @@
     async fn call(&mut self, version: Name, step: Step) -> Result<Done, Refusal> {
         let place = self.place(&version, step == Step::Second).await?;
         let (rate, whole) = match step {
-            Step::Only => {
-                (self.from.state.ratings.should_rate(self.from.snapshot, &version), false)
-            }
+            Step::Only => (self.from.state.ratings.selects(self.from.snapshot, &version), false),
             Step::First => (true, true),
             // It answers what the first could not: rated, it would look worse than it is.
             Step::Second => (false, false),
--- a/crates/entry/src/rating.rs
+++ b/crates/entry/src/rating.rs
@@ -56,7 +56,7 @@
     /// Whether to rate the next answer of a version; draws a random number. Always false without a
     /// rating service.
     #[must_use]
-    pub fn should_rate(&self, snapshot: &Snapshot, version: &Name) -> bool {
+    pub fn selects(&self, snapshot: &Snapshot, version: &Name) -> bool {
         let is_candidate =
             snapshot.version(version).is_some_and(|v| v.state == VersionState::Candidate);
         let verdict = self.tests.with(version, |test| test.verdict());
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -203,9 +203,7 @@
         let until = (Instant::now() + within).min(deadline);
         loop {
             let frame = match tokio::time::timeout_at(until.into(), self.body.frame()).await {
-                Ok(None) if self.watch.as_ref().is_none_or(Watch::is_done) => {
-                    return Ok(Piece::End);
-                }
+                Ok(None) if self.watch.as_ref().is_none_or(Watch::done) => return Ok(Piece::End),
                 // A clean end without the final event is a broken answer.
                 Ok(None) => return Err(Cause::Truncated),
                 Ok(Some(Ok(frame))) => frame,
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -165,9 +165,9 @@
         if self.is_restricted() { intake().closed_until(now) } else { None }
     }
 
-    /// Wall-clock time at which a pause that the server asked for ends; 0 without a pause. Health
-    /// uses wall-clock times, but a pause is stored by the steady clock, as the wall clock may be
-    /// set back.
+    /// Wall-clock time at which a pause that the server asked for ends; 0 without a pause.
+    /// Placement in this crate uses wall-clock times, but a pause is stored by the steady clock, as
+    /// the wall clock may be set back.
     fn pause_end(&self) -> Millis {
         let now = clock::steady();
         self.closed_until(now).map_or(Millis(0), |until| clock::now() + until.since(now))
--- a/crates/entry/src/sse.rs
+++ b/crates/entry/src/sse.rs
@@ -31,7 +31,7 @@
     /// Whether the final event's data line has been received. Some senders end the answer without
     /// the blank line after it.
     #[must_use]
-    pub fn is_done(&self) -> bool {
+    pub fn done(&self) -> bool {
         self.is_done
     }
 
--- a/crates/entry/tests/bills.rs
+++ b/crates/entry/tests/bills.rs
@@ -1,4 +1,4 @@
-//! Each request is billed once, before its last byte goes out.
+//! Each request is billed exactly once, before the last byte of its answer is sent.
 
 mod common;
 
@@ -12,11 +12,11 @@
 const TAG: (&str, &str) = ("chestnutspur-task", "tag");
 
 #[tokio::test(flavor = "multi_thread")]
-async fn last_byte_waits_for_the_bill() {
-    // Controls are at their bound while a stream ends. Its first events go out, its last one
-    // doesn't until a control holds the bill; then the answer ends whole.
+async fn stream_end_before_the_bill_is_held_waits() {
+    // The controls hold as many bills as they may when a stream ends. Its first events are sent,
+    // but its last one only once a control holds the bill; then the answer is complete.
     let bench = Arc::new(Bench::start().await);
-    *bench.control.says.lock().unwrap() = Bills::Full;
+    *bench.control.bills_mode.lock().unwrap() = Bills::Full;
     let calling = Arc::clone(&bench);
     let call = tokio::spawn(async move { calling.chat(&[TAG], true).await });
     until("the run has ended", || {
@@ -29,7 +29,7 @@
     })
     .await;
     assert!(!call.is_finished());
-    *bench.control.says.lock().unwrap() = Bills::Twice;
+    *bench.control.bills_mode.lock().unwrap() = Bills::Twice;
     let answer = call.await.unwrap().unwrap();
     assert!(answer.body().ends_with(b"data: [DONE]\n\n"));
     assert_eq!(bench.control.bills_of(header(&answer, "x-request-id")).len(), 1);
@@ -40,34 +40,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_control_by_the_deadline_breaks_the_answer_but_keeps_the_bill() {
-    // No control answers. Releasing the end would be an answer that is never paid, so at the
-    // deadline the answer breaks visibly. The bill is kept, and held once a control is back.
+async fn stream_without_a_control_by_the_deadline_breaks_and_keeps_its_bill() {
+    // No control answers. Sending the end would complete an answer that is never paid, so the
+    // answer breaks visibly at its deadline. The bill stays queued, and a control that returns
+    // gets it.
     let bench = Bench::start().await;
-    *bench.control.says.lock().unwrap() = Bills::Silent;
+    *bench.control.bills_mode.lock().unwrap() = Bills::Silent;
     let headers = [TAG, ("chestnutspur-deadline", "300")];
     let broken = bench.chat(&headers, true).await.unwrap_err();
     assert_eq!(broken.0, Some(200));
     assert!(bench.control.bills.lock().unwrap().is_empty());
-    *bench.control.says.lock().unwrap() = Bills::Twice;
+    *bench.control.bills_mode.lock().unwrap() = Bills::Twice;
     until("the bill is held", || bench.control.bills.lock().unwrap().len() == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_at_once_are_billed_once_each() {
+async fn concurrent_requests_are_billed_once_each() {
     let bench = Bench::start().await;
     let calls = (0..100).map(|number| bench.chat(&[TAG], number % 2 == 0));
     let answers = futures::future::join_all(calls).await;
-    let mut whole = 0;
+    let mut answered = 0;
     for answer in answers {
         let answer = answer.unwrap();
         if answer.status() == 200 {
-            whole += 1;
+            answered += 1;
             assert_eq!(bench.control.bills_of(header(&answer, "x-request-id")).len(), 1);
         }
     }
-    assert!(whole > 0);
-    assert_eq!(bench.control.bills.lock().unwrap().len(), whole);
+    assert!(answered > 0);
+    assert_eq!(bench.control.bills.lock().unwrap().len(), answered);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/entry/tests/common/bench.rs
+++ b/crates/entry/tests/common/bench.rs
@@ -1,4 +1,5 @@
-//! One entry before two model engines, a rater, a plain service and a control.
+//! An entry process in front of two model engines, a rater and a plain service, fed by a stand-in
+//! control.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,42 +30,42 @@
 use super::control::{self, Fake};
 use super::until_async;
 
-/// The caller's key.
+/// API key of the caller, who belongs to the account `mill`.
 pub const KEY: &str = "key-of-the-mill";
 const PEER_KEY: &str = "0123456789abcdef0123456789abcdef";
 
-/// An answer that has neither ended nor broken by then never will.
-const ANSWER_MAX: Duration = Duration::from_secs(20);
+/// Timeout of one exchange; an answer that has neither ended nor broken by then hangs.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Between two looks at a condition.
-const STEP: Duration = Duration::from_millis(5);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// An answer, read to its end.
+/// An answer with its complete body.
 pub type Answer = Response<Bytes>;
 
-/// Everything a test needs.
+/// The process under test and all servers around it.
 pub struct Bench {
-    /// Model engines.
+    /// Model engines; the host list names them `engine-0` and `engine-1`.
     pub engines: Vec<Running<Engine>>,
-    /// The rater.
+    /// Rating service.
     pub rater: Running<Rater>,
-    /// The plain service.
+    /// Plain service `desk`.
     pub service: Running<Service>,
-    /// The control's state.
+    /// State of the stand-in control: what it answers and what it received.
     pub control: Arc<Fake>,
-    /// The control itself.
+    /// Listener of the stand-in control; taking and dropping it closes the control.
     pub running: Option<control::Running>,
-    /// Where callers go.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Health and metrics.
+    /// Address of the health and metrics interface.
     pub operators: SocketAddr,
-    /// Begins the shutdown.
+    /// Cancelling it begins the shutdown of the process.
     pub stop: CancellationToken,
-    /// The process under test.
+    /// Task that runs the process under test.
     pub process: JoinHandle<Result<(), entry::Error>>,
 }
 
-/// The document: one model with a cheap and a good version, in one pool; one service.
+/// Configuration with one model, whose cheap and good versions share a pool, and one service.
 pub fn document() -> Value {
     let hash: String = Sha256::digest(KEY).iter().map(|byte| format!("{byte:02x}")).collect();
     let version = |cost: f64, quality: f64| {
@@ -101,7 +102,7 @@
     }
 }
 
-/// A view of the document.
+/// A view that puts a document in force, without hosts.
 pub fn view(document: &Value) -> View {
     View {
         incarnation: "control/1".into(),
@@ -113,7 +114,7 @@
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
@@ -123,15 +124,15 @@
         ..engine::Version::default()
     };
     let versions = [("feed-1".into(), version(1.0)), ("feed-2".into(), version(1.0))].into();
-    engine::start(any(), engine::Settings { versions, ..engine::Settings::default() }).unwrap()
+    engine::start(any_port(), engine::Settings { versions, ..engine::Settings::default() }).unwrap()
 }
 
 fn settings(control: SocketAddr) -> Entry {
     Entry {
         name: "entry-1".into(),
         failure_domain: "hal-a".into(),
-        listen: any(),
-        operators: any(),
+        listen: any_port(),
+        operators: any_port(),
         controls: vec![Peer {
             name: "control-1".into(),
             failure_domain: "hal-a".into(),
@@ -146,17 +147,17 @@
 }
 
 impl Bench {
-    /// Two engines, and the document as it is.
+    /// Starts a bench with the default document and settings.
     pub async fn start() -> Self {
         Self::with(document(), |_| {}).await
     }
 
-    /// Another document, or other settings.
+    /// Starts a bench with the given document, and settings adjusted by `change`.
     pub async fn with(document: Value, change: impl FnOnce(&mut Entry)) -> Self {
         let engines = vec![engine(), engine()];
-        let rater = rater::start(any(), rater::Faults::default()).unwrap();
+        let rater = rater::start(any_port(), rater::Faults::default()).unwrap();
         let desk = service::Settings { name: "desk".into(), ..service::Settings::default() };
-        let service = service::start(any(), desk).unwrap();
+        let service = service::start(any_port(), desk).unwrap();
         let mut view = view(&document);
         let both = ["feed-1", "feed-2"];
         view.hosts = List {
@@ -188,22 +189,22 @@
 
     async fn until_ready(&self) {
         until_async("the process is ready", async || {
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let ready = Request::get("/ready").body(Bytes::new()).unwrap();
             send(self.operators, ready).await.is_ok_and(|answer| answer.status() == 200)
         })
         .await;
     }
 
-    /// Takes the second engine out of the list, so that the first gets every request.
+    /// Removes the second engine from the host list, so that the first gets every request.
     pub async fn only_first_engine(&self) {
         self.control
             .change(|view| view.hosts.hosts.retain(|host| host.name.as_str() != "engine-1"));
-        // The view is in force when a request for a version that only it knows is known.
         self.settled().await;
     }
 
-    /// Waits until the newest view is in force.
+    /// Waits until the newest view is in force: publishes a view with a new service, and asks for
+    /// that service until the process knows it.
     pub async fn settled(&self) {
         let marker = Name::from(format!("marker-{}", self.control.view.borrow().revision));
         self.control.change(|view| {
@@ -216,15 +217,16 @@
         });
         let path = format!("/services/{marker}/");
         until_async("the newest view is in force", async || {
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let answer = self.call(Method::GET, &path, &[], "").await;
-            // Known now, though the account may not use it.
+            // 403: the process knows the service, but the account may not use it. An unknown
+            // service gives 404.
             answer.is_ok_and(|answer| answer.status() == 403)
         })
         .await;
     }
 
-    /// Changes the document that is in force, and waits until it is.
+    /// Publishes a changed document and waits until it is in force.
     pub async fn change_document(&self, change: impl FnOnce(&mut Value)) {
         self.control.change(|view| {
             let mut document: Value = serde_json::from_str(&view.document).unwrap();
@@ -236,7 +238,7 @@
         self.settled().await;
     }
 
-    /// Any request with the caller's key.
+    /// Sends any request with the caller's API key.
     pub async fn call(
         &self,
         method: Method,
@@ -252,18 +254,18 @@
         send(self.callers, request.body(Bytes::from(body.to_owned())).unwrap()).await
     }
 
-    /// A chat completion.
+    /// Sends a request for a chat completion of the model `feed`.
     pub async fn chat(&self, headers: &[(&str, &str)], stream: bool) -> Result<Answer, Broken> {
         let body = chat_body("feed", stream);
         self.call(Method::POST, "/v1/chat/completions", headers, &body).await
     }
 
-    /// Runs on all engines.
+    /// Runs recorded by all engines.
     pub fn runs(&self) -> Vec<standin::run::Run> {
         self.engines.iter().flat_map(|engine| engine.runs()).collect()
     }
 
-    /// Sets the faults of all engines.
+    /// Sets the same faults on all engines.
     pub fn fault(&self, faults: &standin::backend::Faults) {
         for engine in &self.engines {
             engine.set_faults(faults.clone());
@@ -271,20 +273,20 @@
     }
 }
 
-/// A chat completion's body.
+/// Body of a request for a chat completion.
 pub fn chat_body(model: &str, stream: bool) -> String {
     let messages = json!([{"role": "user", "content": "plan the next delivery"}]);
     json!({"model": model, "messages": messages, "stream": stream}).to_string()
 }
 
-/// The answer did not come, or broke off.
+/// An answer that did not arrive or broke off; holds its HTTP status if the head arrived.
 #[derive(Debug)]
 pub struct Broken(pub Option<u16>);
 
-/// Sends a request on a connection of its own and reads the answer to its end.
+/// Sends a request on a new connection and reads the answer to its end.
 pub async fn send(address: SocketAddr, request: Request<Bytes>) -> Result<Answer, Broken> {
-    let answer = tokio::time::timeout(ANSWER_MAX, exchange(address, request)).await;
-    answer.expect("no end of an answer at all")
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, exchange(address, request)).await;
+    answer.expect("the answer should end or break within ANSWER_TIMEOUT")
 }
 
 async fn exchange(address: SocketAddr, request: Request<Bytes>) -> Result<Answer, Broken> {
@@ -299,25 +301,25 @@
     Ok(Response::from_parts(head, body.to_bytes()))
 }
 
-/// The refusal in an answer.
+/// The refusal in an answer's body; checks that it matches the status.
 pub fn refusal(answer: &Answer) -> Refusal {
     let body: Body = serde_json::from_slice(answer.body()).unwrap();
     assert_eq!(body.error.code.status(), answer.status().as_u16());
     body.error
 }
 
-/// The refusal's code and whether the request may have run.
+/// Code of the refusal in an answer, and whether the request may have run.
 pub fn refused(answer: &Answer) -> (Code, Ran) {
     let refusal = refusal(answer);
     (refusal.code, refusal.ran)
 }
 
-/// One header as text.
+/// Value of a header; empty if the answer has no such header.
 pub fn header<'a>(answer: &'a Answer, name: &str) -> &'a str {
     answer.headers().get(name).map(|value| value.to_str().unwrap()).unwrap_or_default()
 }
 
-/// The text that the engine answered with.
+/// The stand-in engine's answer, parsed from the text of a stream or a whole body.
 pub fn text(answer: &Answer) -> standin::answer::Answer {
     let text = match header(answer, "content-type") {
         "text/event-stream" => entry::rating::stream_text(answer.body()),
--- a/crates/entry/tests/common/control.rs
+++ b/crates/entry/tests/common/control.rs
@@ -1,4 +1,4 @@
-//! A control that gives one view, grants each key once and keeps every bill.
+//! A stand-in control that gives one view, grants each key once and records every bill.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,41 +21,41 @@
 use wire::shard::{Append, Appended, Holder, Home, Reply};
 use wire::view::{View, ViewRequest};
 
-/// What it says of bills.
+/// How the stand-in control answers calls with bills.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Bills {
-    /// Held by two.
+    /// Answers that two controls hold the bills, and records them.
     Twice,
-    /// At the bound.
+    /// Answers that it holds as many bills as it may.
     Full,
-    /// Nothing: the question hangs.
+    /// Never answers; the call hangs.
     Silent,
 }
 
-/// Its state.
+/// What the stand-in control answers and what it has received.
 pub struct Fake {
-    /// The view it gives.
+    /// View that the control gives to polls.
     pub view: watch::Sender<View>,
-    /// Every bill it was sent, repeats included.
+    /// Every bill received while `bills_mode` was [`Bills::Twice`], repeats included.
     pub bills: Mutex<Vec<Bill>>,
-    /// What it says of them.
-    pub says: Mutex<Bills>,
-    /// Keys by account, and the requests that hold them.
+    /// Answer to further calls with bills.
+    pub bills_mode: Mutex<Bills>,
+    /// Request that holds a key, by account and key.
     pub keys: Mutex<HashMap<(Name, Name), Name>>,
-    /// Whether claims take effect and their answers get lost.
+    /// Whether claims take effect while their answers are lost.
     pub claims_lost: Mutex<bool>,
-    /// Whether the homes of keys and sessions are out of reach.
+    /// Whether the homes of keys and sessions are unreachable: claims and pins take no effect.
     pub home_gone: Mutex<bool>,
-    /// Claims take effect, and their answers say that the home is out of reach.
+    /// Whether claims take effect while their answers say that the home is unreachable.
     pub claims_unheard: Mutex<bool>,
-    /// Sessions by account, and their versions.
+    /// Version that a session is pinned to, by account and session.
     pub pins: Mutex<HashMap<(Name, Name), Name>>,
-    /// Every report.
+    /// Every report received.
     pub reports: Mutex<Vec<Report>>,
 }
 
 impl Fake {
-    /// Changes the view.
+    /// Changes the view and raises its revision, which ends waiting polls.
     pub fn change(&self, change: impl FnOnce(&mut View)) {
         self.view.send_modify(|view| {
             change(view);
@@ -63,23 +63,23 @@
         });
     }
 
-    /// Bills of one request.
+    /// Bills received for one request.
     pub fn bills_of(&self, request: &str) -> Vec<Bill> {
         let bills = self.bills.lock().unwrap();
         bills.iter().filter(|bill| bill.request.as_str() == request).cloned().collect()
     }
 }
 
-/// Serves one connection.
+/// Serves the calls of one connection.
 #[derive(Clone)]
 struct Server(Arc<Fake>);
 
 impl Control for Server {
-    async fn view(self, _: Context, ask: ViewRequest) -> View {
+    async fn view(self, _: Context, poll: ViewRequest) -> View {
         let mut view = self.0.view.subscribe();
         let changed = view
-            .wait_for(|view| view.revision > ask.revision || view.incarnation != ask.incarnation);
-        let waited = tokio::time::timeout(Duration::from_millis(ask.wait_ms), changed).await;
+            .wait_for(|view| view.revision > poll.revision || view.incarnation != poll.incarnation);
+        let waited = tokio::time::timeout(Duration::from_millis(poll.wait_ms), changed).await;
         drop(waited);
         self.0.view.borrow().clone()
     }
@@ -121,8 +121,8 @@
     }
 
     async fn bill(self, _: Context, bills: Vec<Bill>) -> BillAnswer {
-        let says = *self.0.says.lock().unwrap();
-        match says {
+        let mode = *self.0.bills_mode.lock().unwrap();
+        match mode {
             Bills::Silent => std::future::pending().await,
             Bills::Full => BillAnswer::Full,
             Bills::Twice => {
@@ -183,14 +183,14 @@
     async fn release(self, _: Context, _: Name, _: Vec<Name>) {}
 }
 
-/// A control that runs; dropping it closes its port and all its connections.
+/// A running stand-in control; dropping it closes its port and all its connections.
 pub struct Running {
-    /// Where it listens.
+    /// Address that the control listens on.
     pub address: SocketAddr,
     _accepts: AbortOnDropHandle<()>,
 }
 
-/// Starts one.
+/// Starts a stand-in control on a free port.
 pub async fn start(fake: Arc<Fake>, key: Key) -> Running {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -208,12 +208,12 @@
     Running { address, _accepts: AbortOnDropHandle::new(accepts) }
 }
 
-/// A control's state with a view.
+/// State of a stand-in control that gives `view` and holds all bills.
 pub fn fake(view: View) -> Arc<Fake> {
     Arc::new(Fake {
         view: watch::Sender::new(view),
         bills: Mutex::default(),
-        says: Mutex::new(Bills::Twice),
+        bills_mode: Mutex::new(Bills::Twice),
         keys: Mutex::default(),
         claims_lost: Mutex::new(false),
         home_gone: Mutex::new(false),
--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of entry share: a control that does as it is told, and a bench round it.
+//! Helpers shared by the tests of entry: a stand-in control, and a bench with the process under
+//! test and its servers.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod bench;
@@ -6,7 +7,7 @@
 
 use std::time::Duration;
 
-/// Waits until a condition holds; fails with what it waited for after a long while.
+/// Waits until a condition holds; after 20 s it fails with the text `what`.
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
     let waits = async {
         while !holds() {
@@ -14,12 +15,12 @@
         }
     };
     let waited = tokio::time::timeout(Duration::from_secs(20), waits).await;
-    assert!(waited.is_ok(), "waited in vain: {what}");
+    assert!(waited.is_ok(), "not within 20 s: {what}");
 }
 
-/// The same with a condition that takes steps of its own.
+/// Like [`until`], for an asynchronous condition, which also sets the interval of the checks.
 pub async fn until_async(what: &str, holds: impl AsyncFn() -> bool) {
     let waits = async { while !holds().await {} };
     let waited = tokio::time::timeout(Duration::from_secs(20), waits).await;
-    assert!(waited.is_ok(), "waited in vain: {what}");
+    assert!(waited.is_ok(), "not within 20 s: {what}");
 }
--- a/crates/entry/tests/connect.rs
+++ b/crates/entry/tests/connect.rs
@@ -1,4 +1,4 @@
-//! Connections that do not open, and what that says of the server.
+//! Connections that do not open or go silent, and the cause that is reported.
 
 use std::time::{Duration, Instant};
 
@@ -7,9 +7,9 @@
 use http_body_util::Full;
 use hyper::Request;
 
-/// Guards against servers that are taken for ended where this host has no way to them.
+/// Guards against a server that is judged to have ended when this host merely has no route to it.
 #[tokio::test]
-async fn open_without_a_way_is_no_refusal() {
+async fn open_without_a_route_is_unreachable_not_refused() {
     let within = Duration::from_millis(250);
     let broadcast = "255.255.255.255:9".parse().unwrap();
     let failure = Connection::open(broadcast, within).await.err().unwrap();
@@ -19,10 +19,11 @@
     assert_eq!(failure.cause, Cause::Refused);
 }
 
-/// Guards against waits that are left to the system: without a time set for it, it finds a silent
-/// connection after minutes, and a time that a library sets would decide in place of ours.
+/// Guards against waits that depend on a timeout of the operating system or a library: by default
+/// the system detects a silent connection only after minutes, and a timeout set by a library would
+/// take precedence over the one that the caller passes.
 #[tokio::test]
-async fn send_on_a_silent_connection_ends_by_our_own_time() {
+async fn send_on_a_silent_connection_ends_at_the_given_timeout() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (connection, silent) =
--- a/crates/entry/tests/health.rs
+++ b/crates/entry/tests/health.rs
@@ -1,4 +1,4 @@
-//! How long a backend server is held ill.
+//! Time for which a backend server is held ill after failures.
 
 use std::net::SocketAddr;
 
@@ -14,19 +14,19 @@
     Server::new(Name::from("s"), address, Name::from("a"))
 }
 
-/// Guards against a server that is silent for a second and held ill for half a minute, since many
-/// requests found it silent.
+/// Guards against a server that is silent for a second and held ill for half a minute, because each
+/// of many requests in flight counted as a further failure.
 #[test]
-fn note_failure_of_many_requests_at_once_is_one() {
+fn record_failure_of_many_requests_at_once_counts_one() {
     let server = server();
     (0..20).for_each(|n| server.record_failure(START + n * 10));
     assert!(server.is_ill(START + ILL_MS - 1));
     assert!(!server.is_ill(START + ILL_MS));
 }
 
-/// Guards against a server that is gone and tried again each second.
+/// Guards against a server that is gone and still gets an attempt every second.
 #[test]
-fn note_failure_after_another_holds_for_longer() {
+fn record_failure_after_another_doubles_the_time() {
     let server = server();
     server.record_failure(START);
     let again = START + ILL_MS;
--- a/crates/entry/tests/leaving.rs
+++ b/crates/entry/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Backend servers that leave, and the process's own shutdown.
+//! Backend servers that leave, pause or return, outdated views, and the shutdown of the process.
 
 mod common;
 
@@ -20,8 +20,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_report_stops_new_work() {
-    // The list still says live, but the server's own report says that it is leaving. The report
-    // is the newer evidence.
+    // The host list still names the server as live, but the server's own report says that it is
+    // leaving. The report is newer evidence.
     let bench = Bench::start().await;
     bench.engines[0].set_faults(Faults { draining: true, ..Faults::default() });
     until_async("nothing goes to the leaving server", async || {
@@ -39,11 +39,12 @@
     assert_eq!(bench.engines[0].runs().len(), before);
 }
 
-/// Guards against a server that says only in its answers that it leaves, since its reports do not come.
+/// Guards against further requests to a server that announces only in its answers that it leaves,
+/// because its load reports do not arrive.
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_that_says_leaving_stops_new_work() {
     let bench = Bench::start().await;
-    let _proxies = without_reports(&bench).await;
+    let _proxies = block_reports(&bench).await;
     bench.engines[0].set_faults(Faults { draining: true, ..Faults::default() });
     let ask = async |number: usize| {
         let body = chat_body("feed-1", false).replace("plan the", &format!("{number}: plan the"));
@@ -61,9 +62,9 @@
     assert_eq!(bench.engines[0].runs().len(), 1);
 }
 
-/// Guards against requests at a server that has asked for a pause.
+/// Guards against further requests to a server that has asked for a pause.
 #[tokio::test(flavor = "multi_thread")]
-async fn server_that_asks_for_a_pause_is_left_alone() {
+async fn server_that_asks_for_a_pause_gets_nothing_new() {
     let bench = Bench::start().await;
     let ask = |number: usize| {
         let body = chat_body("feed-1", false).replace("plan the", &format!("{number}: plan the"));
@@ -71,19 +72,19 @@
         async move { bench.call(Method::POST, "/v1/chat/completions", &[TAG], &body).await }
     };
     bench.engines[0].set_faults(Faults { down: Down::Unavailable, ..Faults::default() });
-    let tried = || bench.engines[0].turned_away();
+    let rejected = || bench.engines[0].turned_away();
     let mut number = 0;
-    while tried() == 0 {
+    while rejected() == 0 {
         ask(number).await.unwrap();
         number += 1;
     }
     let began = std::time::Instant::now();
-    let before = tried();
+    let before = rejected();
     while began.elapsed() < Duration::from_millis(700) {
         ask(number).await.unwrap();
         number += 1;
     }
-    assert!(tried() - before <= 2, "{}", tried() - before);
+    assert!(rejected() - before <= 2, "{}", rejected() - before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -98,9 +99,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn list_of_a_control_that_lags_brings_no_server_back() {
-    // An engine has left. The control that said so dies, and the entry asks another one that is
-    // cut off from the platform: its list is older and still says live. Nothing may go there.
+async fn older_list_of_another_control_brings_no_server_back() {
+    // An engine has left. The control that reported it fails, and the entry polls another control,
+    // which is cut off from the platform: its host list is older and still names the engine as
+    // live. The engine must get no request.
     let bench = Bench::start().await;
     bench.control.change(|view| {
         view.hosts.revision = 2_000.into();
@@ -119,12 +121,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_report_of_a_working_server_closes_nothing() {
-    // Both servers answer requests but never their load reports. Held ill for that, they would
-    // be refused work that they can do.
+async fn missing_reports_of_a_working_server_stop_no_work() {
+    // Both servers answer requests but never send load reports. If they were held ill for that,
+    // requests that they can serve would be rejected.
     let bench = Bench::start().await;
-    let _proxies = without_reports(&bench).await;
-    // Long enough for reports to be found silent; the prompts differ, so both servers are used.
+    let _proxies = block_reports(&bench).await;
+    // 3 s are long enough for the polls for load reports to time out. The prompts differ, so both
+    // servers are used.
     let started = std::time::Instant::now();
     let mut late = Vec::new();
     for number in 0.. {
@@ -143,11 +146,11 @@
     }
 }
 
-/// Puts a proxy before each engine that passes everything on but load reports.
-async fn without_reports(bench: &Bench) -> Vec<(SocketAddr, AbortOnDropHandle<()>)> {
+/// Puts a proxy in front of each engine that passes on everything but polls for load reports.
+async fn block_reports(bench: &Bench) -> Vec<(SocketAddr, AbortOnDropHandle<()>)> {
     let mut proxies = Vec::new();
     for engine in &bench.engines {
-        proxies.push(no_reports(engine.address).await);
+        proxies.push(start_blocking_proxy(engine.address).await);
     }
     bench.control.change(|view| {
         for (host, proxy) in view.hosts.hosts.iter_mut().zip(&proxies) {
@@ -158,8 +161,9 @@
     proxies
 }
 
-/// Passes connections on, but not those that ask for a load report: these stay silent.
-async fn no_reports(to: SocketAddr) -> (SocketAddr, AbortOnDropHandle<()>) {
+/// Starts a proxy to an address. It leaves connections that ask for a load report open without an
+/// answer.
+async fn start_blocking_proxy(to: SocketAddr) -> (SocketAddr, AbortOnDropHandle<()>) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let accepts = tokio::spawn(async move {
@@ -195,9 +199,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn view_that_falls_back_is_not_adopted() {
-    // A control that restarted from an old peer gives a lower generation, in which a withdrawn
-    // version is live. Taking it would put the version back to work.
+async fn view_of_an_older_generation_is_ignored() {
+    // A control that restarted from an outdated peer gives a lower generation, in which a withdrawn
+    // version is live. Using it would bring the version back into use.
     let bench = Bench::start().await;
     let old = bench.control.view.borrow().clone();
     bench
@@ -213,9 +217,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn control_gone_leaves_the_view_in_force() {
-    // The only control goes away. The process goes on with its last view until bills can't be
-    // kept safe any more; then it says so, and nothing runs that no bill would follow.
+async fn loss_of_the_only_control_leaves_the_view_in_force() {
+    // The only control fails. The process serves by its last view until a call with bills fails.
+    // From then on it rejects new requests, so that nothing runs that is never billed.
     let mut bench = Bench::start().await;
     assert_eq!(bench.chat(&[TAG], false).await.unwrap().status(), 200);
     drop(bench.running.take());
@@ -237,9 +241,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn shutdown_cuts_off_no_request() {
-    // A request is under way when the process is told to stop, and takes longer than the time in
-    // which new ones are still served. The process is not ready at once, waits for the answer,
-    // hands over the bill, and ends without an error.
+    // A request is in flight when the process is told to stop, and takes longer than the time in
+    // which new connections are still accepted. The process stops being ready at once, waits for
+    // the answer, delivers the bill and ends without an error.
     let mut document = common::bench::document();
     document["versions"]["feed-1"]["first_byte_ms"] = 10_000.into();
     let mut bench = Bench::with(document, |_| {}).await;
@@ -250,7 +254,7 @@
         .header("chestnutspur-task", "tag")
         .body(bytes::Bytes::from(body))
         .unwrap();
-    let under_way = tokio::spawn(send(bench.callers, request));
+    let in_flight = tokio::spawn(send(bench.callers, request));
     until("the request is at an engine", || bench.runs().len() == 1).await;
     bench.stop.cancel();
     until_async("not ready", async || {
@@ -260,16 +264,16 @@
     .await;
     (&mut bench.process).await.unwrap().unwrap();
     assert_eq!(bench.runs()[0].outcome, standin::run::Outcome::Whole);
-    let answer = under_way.await.unwrap().unwrap();
+    let answer = in_flight.await.unwrap().unwrap();
     assert_eq!(text(&answer).request.as_str(), header(&answer, "x-request-id"));
     assert_eq!(bench.control.bills_of(header(&answer, "x-request-id")).len(), 1);
     assert!(TcpStream::connect(bench.callers).await.is_err());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn shutdown_still_serves_what_the_balancer_sends() {
-    // Between the stop and the moment the balancer sees it, new connections come in. They are
-    // served, and told to close.
+async fn shutdown_serves_requests_until_the_balancer_notices() {
+    // New connections arrive between the stop and the moment at which the load balancer notices it.
+    // Their requests are served, and the answers tell them to close.
     let bench = Bench::start().await;
     bench.stop.cancel();
     let answer = bench.chat(&[TAG], false).await.unwrap();
