--- a/crates/entry/src/bills.rs
+++ b/crates/entry/src/bills.rs
@@ -1,4 +1,5 @@
-//! Queues bills and sends them in batches to a control, until two controls hold them.
+//! Queues bills and sends them in batches to a control, until controls hold them: two, or only one
+//! if that is all a control can get.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -58,7 +59,7 @@
     }
 
     /// Whether new requests must be rejected: the last call found no control that holds its bills,
-    /// or this process has [`PENDING_MAX`] unconfirmed bills.
+    /// or this process has `PENDING_MAX` unconfirmed bills.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.is_unsafe.load(Ordering::Relaxed) || self.pending() >= PENDING_MAX
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -19,7 +19,7 @@
 
 /// Time after the stop signal in which new connections are still accepted: the load balancer sends
 /// them until it has seen that the process is not ready.
-const STOP_ACCEPT_TIME: Duration = Duration::from_millis(1_000);
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(1_000);
 /// Shortest time left for the last bills after the last answer, even if the drain used up its own
 /// time.
 const BILLS_TIMEOUT: Duration = Duration::from_secs(5);
@@ -80,7 +80,7 @@
     stop.cancelled().await;
     log::info!("entry: shutting down; no longer ready, {} connections open", connections.len());
     let deadline = Instant::now() + drain;
-    tokio::time::sleep(STOP_ACCEPT_TIME.min(drain)).await;
+    tokio::time::sleep(ACCEPT_AFTER_STOP.min(drain)).await;
     close.cancel();
     drop(accepts.await);
     finish(&state, &connections, deadline).await
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -40,7 +40,7 @@
 }
 
 /// One backend server. The object is kept from view to view for as long as the host list names the
-/// server.
+/// server as live at the same address.
 pub struct Server {
     /// Name of the server in the host list.
     pub name: Name,
@@ -127,8 +127,8 @@
         self.lock().clone()
     }
 
-    /// Whether new requests may be sent to the server: it is not draining, held ill or closed by
-    /// its own word.
+    /// Whether new requests may be sent to the server: it is not draining, not held ill, and
+    /// has not asked for no requests.
     #[must_use]
     pub fn accepts_work(&self, now: Millis) -> bool {
         let health = self.lock();
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Records that the server answered a request.
+    /// Records that the server answered on a working connection.
     pub fn record_success(&self, now: Millis) {
         let mut health = self.lock();
         health.probe.mark_healthy();
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -42,8 +42,8 @@
     let deadline = call.deadline(service.deadline_ms)?;
     let granted = admit::grant(state, snapshot, account_name, account)?;
     let left = deadline.saturating_duration_since(Instant::now());
-    let deadline_at = clock::now() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    let arrival = policy::admit::Arrival::new(account_name.clone(), PRIORITY, deadline_at);
+    let expires_at = clock::now() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+    let arrival = policy::admit::Arrival::new(account_name.clone(), PRIORITY, expires_at);
     let place = admit::enter(state, snapshot, &service.pool, &arrival).await?;
     let may_repeat =
         service.repeatable.iter().any(|method| method.as_str() == call.method.as_str());
