--- a/crates/entry/src/chain.rs
+++ b/crates/entry/src/chain.rs
@@ -115,7 +115,7 @@
     metrics::counter!("entry_refusals_total", "code" => code).increment(1);
     // A caller's own mistake (4xx) says nothing about the service level that the account gets.
     if let (Some(account), Some(task), 500..) = (trace.account, trace.task, refusal.code.status()) {
-        state.reports.outcome(ending::outcome(account, task, started, started.elapsed()));
+        state.reports.record_outcome(ending::outcome(account, task, started, started.elapsed()));
     }
     refuse::response(refusal)
 }
--- a/crates/entry/src/chat.rs
+++ b/crates/entry/src/chat.rs
@@ -229,7 +229,7 @@
     async fn call(&mut self, version: Name, stage: Stage) -> Result<Completion, Refusal> {
         let place = self.enter_pool(&version, stage == Stage::Second).await?;
         let (rate, is_buffered) = match stage {
-            Stage::Only => (self.ctx.state.ratings.wants(self.ctx.snapshot, &version), false),
+            Stage::Only => (self.ctx.state.ratings.selects(self.ctx.snapshot, &version), false),
             Stage::First => (true, true),
             // The second call gets the requests that the first could not answer well, so ratings of
             // its answers would make the version look worse than it is.
--- a/crates/entry/src/dispatch.rs
+++ b/crates/entry/src/dispatch.rs
@@ -74,8 +74,8 @@
 /// # Errors
 /// The refusal for the caller. It says `ran: "no"` only if no attempt can have written a byte.
 pub async fn dispatch(state: &Arc<State>, job: &Job) -> Result<Reply, Refusal> {
-    state.budgets.with(&job.account, retry::Budget::fill);
-    state.pool_budgets.with(&job.pool, retry::Budget::fill);
+    state.retry_budgets.with(&job.account, retry::Budget::fill);
+    state.pool_retry_budgets.with(&job.pool, retry::Budget::fill);
     let mut call = Call { state, job, progress: Progress::default() };
     let reply = carry(&mut call).await;
     let granted = call.progress.claimed.is_some();
@@ -180,7 +180,7 @@
         if let Some(wanted) = job.claim.as_ref().filter(|_| progress.claimed.is_none()) {
             progress.claimed = Some(claim::claim(state, wanted, job.deadline).await?);
         }
-        let reused = connection.reused();
+        let reused = connection.is_reused();
         let unsent =
             |failure| Error::Failed(Fault { failure, reused, worked: false, unopened: false });
         if job.remaining().is_zero() {
@@ -204,13 +204,13 @@
             if let Some(claimed) = self.progress.claimed.as_mut().filter(|_| !failure.sent) {
                 claimed.mark_unused();
             }
-            let worked = failure.cause == Cause::Silent && server.worked_since(began);
+            let worked = failure.cause == Cause::Silent && server.answered_since(began);
             Error::Failed(Fault { failure, reused, worked, unopened: false })
         })
     }
 
     fn record_answer(&self, server: &Server) {
-        server.note_success(clock::now());
+        server.record_success(clock::now());
         self.job.record_attempt(self.state, false);
     }
 }
@@ -223,16 +223,16 @@
         _ if job.remaining().is_zero() => {}
         Cause::Deadline => {}
         _ if unopened => {
-            server.note_failure(clock::now());
+            server.record_failure(clock::now());
             progress.failed_servers.push(server.name.clone());
         }
         Cause::Silent | Cause::Broken if reused => {
-            server.note_suspicion();
+            server.record_suspicion();
             progress.has_reused_failed = true;
             progress.needs_new_connection = true;
         }
         Cause::Silent | Cause::Broken | Cause::Refused | Cause::Unreachable if !worked => {
-            server.note_failure(clock::now());
+            server.record_failure(clock::now());
             progress.failed_servers.push(server.name.clone());
             job.record_attempt(state, true);
         }
@@ -259,8 +259,8 @@
     let has_budget = || {
         !progress.may_be_sent
             || progress.has_reused_failed
-            || (state.budgets.with(&job.account, retry::Budget::take)
-                && state.pool_budgets.with(&job.pool, retry::Budget::take))
+            || (state.retry_budgets.with(&job.account, retry::Budget::take)
+                && state.pool_retry_budgets.with(&job.pool, retry::Budget::take))
     };
     progress.count < ATTEMPTS_MAX && retry::may_retry_elsewhere(&attempt) && has_budget()
 }
--- a/crates/entry/src/filter/select.rs
+++ b/crates/entry/src/filter/select.rs
@@ -104,7 +104,7 @@
 /// A version as input of selection. `None` if it accepts no new sessions, has no backend server, or
 /// is a candidate without a share of the requests.
 fn candidate(snapshot: &Snapshot, name: &Name, task: &Name, now: Millis) -> Option<Candidate> {
-    let version = snapshot.version(name).filter(|_| snapshot.opens_sessions(name))?;
+    let version = snapshot.version(name).filter(|_| snapshot.accepts_new_sessions(name))?;
     snapshot.versions.get(name).filter(|servers| !servers.is_empty())?;
     let prior =
         version.quality.get(task).map_or(Estimate::unknown(), |mean| Estimate::prior(*mean));
@@ -140,14 +140,14 @@
             Code::NotAllowed,
             format!("the account may not use version {name}"),
         )),
-        () if !snapshot.opens_sessions(name) => Err(no_version(name)),
+        () if !snapshot.accepts_new_sessions(name) => Err(no_version(name)),
         () => Ok(Plan::Single(name.clone())),
     }
 }
 
 fn draw_plan(snapshot: &Snapshot, query: &Query<'_>, unit: f64) -> Result<Plan, Refusal> {
     let key = (query.account_name.clone(), query.task_name.clone(), Name::from(query.model));
-    let Some(tables) = snapshot.tables.get(&key) else {
+    let Some(tables) = snapshot.plans.get(&key) else {
         let is_known = snapshot.document.versions.values().any(|v| v.model.as_str() == query.model);
         return Err(match is_known {
             true => Refusal::not_run(
@@ -163,7 +163,7 @@
     };
     // A candidate's `stale_limit` may have passed since the table was built, so the drawn plan is
     // checked again.
-    let is_open = |plan: &&Plan| versions(plan).all(|name| snapshot.opens_sessions(name));
+    let is_open = |plan: &&Plan| versions(plan).all(|name| snapshot.accepts_new_sessions(name));
     let plan = table.draw(unit).filter(is_open).or_else(|| live.draw(unit).filter(is_open));
     plan.cloned().ok_or_else(|| no_version(query.model))
 }
--- a/crates/entry/src/job.rs
+++ b/crates/entry/src/job.rs
@@ -98,7 +98,7 @@
     /// Counts an attempt as evidence for or against its version; plain services are not counted.
     pub fn record_attempt(&self, state: &State, has_failed: bool) {
         if let Some(version) = &self.version {
-            state.reports.call(version, &self.task, has_failed);
+            state.reports.record_call(version, &self.task, has_failed);
         }
     }
 }
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -272,7 +272,7 @@
 async fn return_connection(mut body: Incoming, mut connection: Connection, lease: Lease) {
     let rest = tokio::time::timeout(READY_TIMEOUT, body.frame()).await;
     // A connection with data after the end, or without an end in time, can't be trusted.
-    if matches!(rest, Ok(None)) && connection.proved(READY_TIMEOUT).await {
+    if matches!(rest, Ok(None)) && connection.finish_answer(READY_TIMEOUT).await {
         lease.server.put_idle(connection);
     }
 }
