--- a/crates/replay/src/generate.rs
+++ b/crates/replay/src/generate.rs
@@ -1,4 +1,4 @@
-//! Generated traces: a kind of trouble and a seed give a trace, always the same one.
+//! Generates traces. A scenario and a seed always give the same trace.
 
 pub mod deployment;
 pub mod draw;
@@ -13,17 +13,18 @@
 use draw::Draw;
 pub use kind::Kind;
 
-/// Requests of a trace.
+/// Number of requests in a generated trace.
 const REQUESTS: u64 = 1400;
-/// Of a version's answers, this share depends on the request's difficulty, which all versions
-/// share; the rest is the version's own luck.
+/// Fraction of a version's answers that depend on the request's difficulty, which is the same for
+/// all versions; the other answers are drawn for each version independently.
 const COMMON_LUCK: f64 = 0.6;
-/// Spread of times, as the standard deviation of their logarithm.
+/// Standard deviation of the logarithm of answer times.
 const TIME_SPREAD: f64 = 0.35;
-/// Requests of one session.
+/// Mean number of requests for one session number: each block of ten times as many requests draws
+/// from ten session numbers.
 const SESSION_REQUESTS: u64 = 4;
 
-/// Makes a trace.
+/// Generates the trace of a scenario.
 #[must_use]
 pub fn trace(kind: Kind, seed: u64) -> Trace {
     let scenario = kind.scenario();
@@ -39,7 +40,7 @@
     Trace { header, requests, events: scenario.events }
 }
 
-/// The trace as JSON lines, events among requests by time.
+/// Formats a trace as JSON lines, with requests and events merged by time.
 #[must_use]
 pub fn lines(trace: &Trace) -> String {
     let mut text = json!(trace.header).to_string() + "\n";
--- a/crates/replay/src/generate/deployment.rs
+++ b/crates/replay/src/generate/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments at today's size.
+//! The two deployments that traces are generated for, at their current size.
 
 use std::collections::BTreeMap;
 
@@ -8,69 +8,69 @@
 use super::draw::Draw;
 use crate::trace::{Expect, Header, Pool};
 
-/// Stands for the key that signs session tokens; traces hold no real one.
+/// Placeholder for the key that signs session tokens, because traces must not hold a real key.
 const SESSION_KEY: &str = "00000000000000000000000000000000000000000000000000000000000000ff";
-/// Ratings cost this, in units of the cheapest version's call.
+/// Cost of one rating; a call of the cheapest version costs 1.
 const RATE_COST: f64 = 0.1;
 
-/// A version as the generator knows it.
+/// A model version, with the true quality that the generator draws answers from.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Its name.
+    /// Name of the version.
     pub name: &'static str,
-    /// Its model's.
+    /// Name of the model that the version belongs to.
     pub model: &'static str,
-    /// Cost of one call.
+    /// Cost of one call, in units of the cheapest version's call.
     pub cost: f64,
-    /// Mean time of a request of size 1, in milliseconds.
+    /// Median answer time for a task of size 1, in milliseconds.
     pub ms: f64,
-    /// Share of good answers by task, in the order of [`Deployment::tasks`].
+    /// True share of good answers by task, in the order of [`Deployment::tasks`].
     pub quality: [f64; 3],
-    /// What the document says of it, less what is true.
+    /// Quality stated in the configuration minus the true quality, by task.
     pub misjudged: [f64; 3],
-    /// Whether it is still a candidate.
+    /// Whether the version is a candidate, which only a roll-out brings into use.
     pub candidate: bool,
 }
 
-/// A task as the generator knows it.
+/// A task that every client account has.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
-    /// Its name.
+    /// Name of the task.
     pub name: &'static str,
-    /// Part of all requests, 0 to 1.
+    /// Fraction of all requests that belong to the task, 0 to 1.
     pub part: f64,
-    /// Times are multiplied by this.
+    /// Factor on the versions' answer times for the task.
     pub size: f64,
-    /// Share of good answers promised.
+    /// Target for the share of good answers, 0 to 1.
     pub target: f64,
-    /// Whether its requests may run more than once.
+    /// Whether requests of the task may run more than once.
     pub may_repeat: bool,
-    /// Longest time, in milliseconds.
+    /// Time allowed for an answer, in milliseconds.
     pub deadline_ms: u64,
-    /// 0 is served first.
+    /// Priority in queues; 0 is served first.
     pub priority: u8,
-    /// Whether its requests come in sessions.
+    /// Whether requests of the task belong to sessions.
     pub in_session: bool,
 }
 
-/// A deployment.
+/// A deployment of the router: its hosts, backend servers, client accounts and versions.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub entry_hosts: u32,
-    /// The model pool's name.
+    /// Name of the only pool, which runs all versions.
     pub pool: &'static str,
-    /// Its backend servers.
+    /// Number of backend servers in the pool.
     pub workers: u32,
-    /// Client accounts; the first three are large.
+    /// Client accounts; the first three send most of the requests.
     pub accounts: [&'static str; 10],
-    /// Tasks, which all accounts have.
+    /// Tasks, the same for all accounts.
     pub tasks: [Work; 3],
-    /// Versions.
+    /// Model versions that all accounts may use, the cheapest first.
     pub versions: Vec<Kind>,
 }
 
-/// A task that may be repeated, without a session and without haste.
+/// A task with the usual settings: repeatable, no sessions, normal priority and deadline.
 fn work(name: &'static str, part: f64, size: f64, target: f64) -> Work {
     Work {
         name,
@@ -85,7 +85,7 @@
 }
 
 impl Deployment {
-    /// The benefit office: latency and exposure weigh most.
+    /// The benefit office, for which latency and exposure to bad versions matter most.
     #[must_use]
     pub fn benefit() -> Self {
         Self {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The feed cooperative: cost weighs most.
+    /// The feed cooperative, for which cost matters most.
     #[must_use]
     pub fn feed() -> Self {
         Self {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Adds a candidate that would follow the cheap version.
+    /// Adds a candidate that is to replace the cheapest version and is as good.
     #[must_use]
     pub fn with_candidate(mut self) -> Self {
         let small = self.versions[0];
@@ -141,7 +141,8 @@
         self
     }
 
-    /// Has the document praise the cheap version's worst task and blame the next one's.
+    /// Makes the configuration overstate the cheapest version's quality on its two worst tasks and
+    /// understate it on its best, and misstate the next version's quality slightly.
     #[must_use]
     pub fn misjudged(mut self) -> Self {
         self.versions[0].misjudged = [-0.04, 0.06, 0.06];
@@ -149,7 +150,7 @@
         self
     }
 
-    /// A task by its part of all requests.
+    /// Draws a task, weighted by the tasks' shares of all requests.
     pub fn task(&self, draw: &mut Draw) -> &Work {
         let unit = draw.unit();
         let mut sum = 0.0;
@@ -160,7 +161,7 @@
         found.unwrap_or(&self.tasks[0])
     }
 
-    /// The first line of a trace, with the outcomes that every trace states.
+    /// Builds the header of a trace, with the expected outcomes that every scenario starts from.
     #[must_use]
     pub fn header(&self, seed: u64) -> Header {
         let pool = Pool { workers: self.workers, slots: 8, report_lag_ms: 1_000 };
@@ -226,12 +227,12 @@
     }
 }
 
-/// Rounded, so that a document says 0.88 and not 0.8799999999999999.
+/// Rounds to hundredths, so that a configuration says 0.88 and not 0.8799999999999999.
 fn hundredths(share: f64) -> f64 {
     (share * 100.0).round() / 100.0
 }
 
-/// A hash of its own for each account, from the bytes of its name.
+/// Makes up a distinct key hash for each account from the bytes of the account's name.
 fn key_hash(name: &str) -> Name {
     let digits: String = name.bytes().map(|byte| format!("{byte:02x}")).collect();
     format!("{digits:0>64}").into()
--- a/crates/replay/src/generate/draw.rs
+++ b/crates/replay/src/generate/draw.rs
@@ -1,40 +1,41 @@
-//! Seeded draws that are the same on every machine.
+//! Seeded random draws that are the same on every machine.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A stream of draws.
+/// A stream of random draws.
 #[derive(Clone, Debug)]
 pub struct Draw(ChaCha8Rng);
 
 impl Draw {
-    /// The stream of a seed.
+    /// Creates the stream that belongs to a seed.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    /// Uniform from 0 to 1.
+    /// Draws a number uniformly from 0 (included) to 1 (excluded).
     pub fn unit(&mut self) -> f64 {
         self.0.random()
     }
 
-    /// 64 uniform bits.
+    /// Draws 64 uniform bits.
     pub fn bits(&mut self) -> u64 {
         self.0.random()
     }
 
-    /// Uniform from 0 to `bound`, which is left out.
+    /// Draws an integer uniformly from 0 (included) to `bound` (excluded); 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0.random_range(0..bound.max(1))
     }
 
-    /// Standard normal, as the sum of twelve uniform draws less six.
+    /// Draws from an approximate standard normal distribution: the sum of twelve uniform draws,
+    /// minus six.
     pub fn normal(&mut self) -> f64 {
         (0..12).map(|_| self.unit()).sum::<f64>() - 6.0
     }
 
-    /// Exponential with this mean.
+    /// Draws from the exponential distribution with the given mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit()).ln()
     }
--- a/crates/replay/src/generate/kind.rs
+++ b/crates/replay/src/generate/kind.rs
@@ -1,4 +1,4 @@
-//! The kinds of trouble, each with the outcomes stated for it.
+//! The scenarios that traces are generated for, each with its expected outcomes.
 
 use policy::domain;
 use policy::name::Name;
@@ -9,37 +9,37 @@
 use crate::trace::{Event, Happening, Header};
 
 domain! {
-    /// What a trace is about.
+    /// What happens in a generated trace.
     #[derive(Copy, Eq)]
     pub enum Kind {
         /// The benefit office on an ordinary day.
         SteadyBenefit,
         /// The feed cooperative on an ordinary day.
         SteadyFeed,
-        /// A version turns bad at once.
+        /// The cheapest version turns bad from one moment to the next.
         Sudden,
-        /// A version turns bad by and by.
+        /// The cheapest version turns bad gradually.
         Slow,
-        /// A good candidate's roll-out, interrupted twice.
+        /// The roll-out of a good candidate is interrupted twice.
         Rollout,
-        /// A candidate turns bad on its second step.
+        /// A candidate turns bad on the second step of its roll-out.
         BadCandidate,
-        /// The pool loses most of its backend servers for a while.
+        /// The pool loses most of its backend servers for ten seconds.
         Capacity,
         /// One large account sends many times its usual traffic.
         Flood,
-        /// The cheap version becomes a little worse than its document says.
+        /// The cheapest version becomes slightly worse than the configuration states.
         Drift,
-        /// Ratings come late, then not at all, then again.
+        /// Ratings become slow, then stop, then work again.
         Ratings,
-        /// The evening's peak.
+        /// All accounts send several times their usual traffic for ten seconds.
         Peak,
-        /// The document is wrong about what the versions are good for.
+        /// The configuration misstates the versions' quality.
         Misjudged,
     }
 }
 
-/// All kinds, by the names that `--kind` takes.
+/// All kinds with the names that `--kind` accepts.
 pub const KINDS: [(&str, Kind); 12] = [
     ("steady-benefit", Kind::SteadyBenefit),
     ("steady-feed", Kind::SteadyFeed),
@@ -55,7 +55,7 @@
     ("misjudged", Kind::Misjudged),
 ];
 
-/// A change of a version's quality: from one time to another it moves by so much.
+/// A linear change of a version's quality between two times.
 #[derive(Clone, Copy, Debug)]
 struct Turn {
     version: usize,
@@ -64,22 +64,22 @@
     by: f64,
 }
 
-/// Traffic over time: the rate is multiplied between two times.
+/// A time span in which the request rate is multiplied.
 #[derive(Clone, Copy, Debug)]
 struct Surge {
     from_ms: u64,
     to_ms: u64,
     times: f64,
-    /// Whether all of the surplus is the first account's.
+    /// Whether the first account sends all of the additional requests.
     one_account: bool,
 }
 
-/// All that makes a trace of one kind.
+/// Everything that defines the traces of one kind, apart from the seed.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Where.
+    /// Deployment that the trace is generated for.
     pub deployment: Deployment,
-    /// What happens.
+    /// Events of the trace, ordered by time.
     pub events: Vec<Event>,
     kind: Kind,
     requests_per_second: f64,
@@ -88,7 +88,7 @@
 }
 
 impl Kind {
-    /// By its name in [`KINDS`].
+    /// Looks up a kind by its name in [`KINDS`]; `None` for any other name.
     #[must_use]
     pub fn by_name(name: &str) -> Option<Self> {
         KINDS.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind)
@@ -167,13 +167,14 @@
 }
 
 impl Scenario {
-    /// The seed of its draws: traces of different kinds share none.
+    /// Derives the seed of the generator's draws, so that traces of different kinds don't share
+    /// draws.
     #[must_use]
     pub fn seed(&self, seed: u64) -> u64 {
         policy::place::mix(seed.wrapping_mul(KINDS.len() as u64) + self.kind as u64)
     }
 
-    /// Sets what this kind's header has beyond the deployment's, stated outcomes included.
+    /// Adds the settings and expected outcomes of this kind to the deployment's header.
     pub fn arrange(&self, header: &mut Header) {
         let expect = &mut header.expect;
         let others = &self.deployment.accounts[1..];
@@ -234,7 +235,7 @@
         header.configuration.pools.values_mut().for_each(|pool| pool.slots = slots);
     }
 
-    /// When requests come.
+    /// Draws the arrival times of requests, in milliseconds since the trace began.
     #[must_use]
     pub fn times(&self, requests: u64, draw: &mut Draw) -> Vec<u64> {
         let mut at = 0.0;
@@ -247,7 +248,7 @@
         times
     }
 
-    /// Whose a request is: three accounts in ten send seven requests in ten.
+    /// Draws the account of a request; three accounts in ten send seven requests in ten.
     pub fn account(&self, at_ms: u64, draw: &mut Draw) -> Name {
         let accounts = &self.deployment.accounts;
         let surplus = match self.surge_at(at_ms) {
@@ -262,7 +263,7 @@
         accounts[index as usize].into()
     }
 
-    /// A version's share of good answers on a task at a time.
+    /// Returns a version's true share of good answers for a task at a time of the trace.
     #[must_use]
     pub fn quality(&self, version: &deployment::Kind, task: &Work, at_ms: u64) -> f64 {
         let index = self.deployment.tasks.iter().position(|known| known.name == task.name);
--- a/crates/replay/src/oracle.rs
+++ b/crates/replay/src/oracle.rs
@@ -1,8 +1,8 @@
-//! What the best fixed plans would have cost, in hindsight.
+//! Computes what the best fixed plans would have cost, in hindsight.
 //!
-//! For each task: the cheapest of all single versions and, where its requests may be repeated and
-//! are in no session, cascades, whose answers on this very trace reach the target. The versions
-//! are those that were in full use all the time.
+//! For each task, the oracle is the cheapest plan whose answers in this trace reach the target.
+//! Plans are all single versions and, for requests that may be repeated and belong to no session,
+//! all cascades of two versions. Only versions that were live during the whole trace count.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,29 +14,30 @@
 use crate::trace::{Happening, Request, Trace};
 
 domain! {
-    /// Costs of fixed plans, over the requests that the replay answered.
+    /// Costs of fixed plans for the requests that the replay answered in time.
     #[derive(Copy, Default)]
     pub struct Costs {
-        /// Of the cheapest plan that meets the target, for each task.
+        /// Cost of the cheapest plan that meets each task's target.
         pub oracle: f64,
-        /// Of the cheapest mix of two plans that meets it.
+        /// Cost of the cheapest mix of two plans that meets each task's target.
         pub oracle_mix: f64,
-        /// Of the version with most good answers, for each task.
+        /// Cost of the version with the most good answers for each task.
         pub always_best: f64,
-        /// Of the cheapest version.
+        /// Cost of always using the cheapest version.
         pub always_cheapest: f64,
     }
 
-    /// The oracle's cost by task.
+    /// Costs of fixed plans in total and by task.
     pub struct Hindsights {
-        /// Over all tasks.
+        /// Sum over all tasks.
         pub sum: Costs,
-        /// By task; a task whose requests may only in part be cascaded counts as one.
+        /// Costs by task. The costs of requests that may be cascaded and of those that may not are
+        /// computed apart and added.
         pub tasks: BTreeMap<Name, Costs>,
     }
 }
 
-/// A plan on one task's requests.
+/// Result of one plan for all of a task's requests.
 #[derive(Clone, Debug)]
 struct Hindsight {
     plan: Plan,
@@ -44,7 +45,7 @@
     cost: f64,
 }
 
-/// Works out all four.
+/// Computes the [`Costs`] for the requests with the indices in `answered`.
 #[must_use]
 pub fn costs(trace: &Trace, answered: &[usize]) -> Hindsights {
     let answered: BTreeSet<usize> = answered.iter().copied().collect();
@@ -95,7 +96,8 @@
     }
 }
 
-/// The cheapest share of a plan that misses the target beside one that meets it.
+/// Returns the lowest cost of a mix of two plans that just meets the target: one plan that meets it
+/// and one that misses it. Infinite if there is no such pair.
 fn mix(plans: &[Hindsight], needed: f64) -> f64 {
     let meeting = || plans.iter().filter(|plan| plan.good as f64 >= needed);
     let missing = || plans.iter().filter(|plan| (plan.good as f64) < needed);
@@ -121,7 +123,8 @@
     plans
 }
 
-/// Versions in full use from beginning to end that every account of the task may use.
+/// Returns the versions that are live and not withdrawn during the trace, and that every account of
+/// the requests may use.
 fn versions(trace: &Trace, requests: &[&Request]) -> Vec<Name> {
     let document = &trace.header.configuration;
     let withdrawn = |version: &Name| {
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -1,4 +1,4 @@
-//! What a replay came to, checked against what was stated.
+//! The results of a replay, checked against the outcomes that the trace states.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -12,81 +12,82 @@
 use crate::trace::{Expect, Trace};
 
 domain! {
-    /// One task's figures.
+    /// Results of one task, over all accounts.
     #[derive(Copy, Default)]
     pub struct Task {
-        /// Answered in time.
+        /// Number of requests answered in time.
         pub answered: u64,
-        /// Share of good answers.
+        /// Share of good answers among the answers in time, 0 to 1.
         pub quality: f64,
-        /// The highest share that any account was promised.
+        /// The highest quality target that any account has for the task.
         pub target: f64,
-        /// Cost of all calls and ratings.
+        /// Cost of all calls and ratings for the task.
         pub cost: f64,
-        /// Of the best fixed plan in hindsight.
+        /// Cost of the best fixed plan in hindsight.
         pub cost_oracle: f64,
-        /// Of the best mix of two plans in hindsight.
+        /// Cost of the best mix of two plans in hindsight.
         pub cost_oracle_mix: f64,
     }
 
-    /// One trace's figures.
+    /// Results of the replay of one trace.
     pub struct Report {
-        /// The trace's file.
+        /// Name of the trace file.
         pub trace: String,
-        /// The policy's name.
+        /// Name of the policy, one of [`NAMES`](crate::variant::NAMES).
         pub policy: String,
-        /// Requests.
+        /// Number of requests in the trace.
         pub requests: u64,
-        /// Share of good answers, over all tasks.
+        /// Share of good answers among all answers in time, 0 to 1.
         pub quality: f64,
-        /// The share that the tasks' targets ask for, over all tasks.
+        /// Mean quality target of the answered requests.
         pub target: f64,
-        /// The smallest distance of a task's quality from its target; below 0 is missed.
+        /// Smallest difference of a task's quality and its target; below 0, a target is missed.
         pub quality_margin: f64,
         /// Cost of all calls and ratings.
         pub cost: f64,
-        /// Of the best fixed plans in hindsight.
+        /// Cost of the best fixed plans in hindsight.
         pub cost_oracle: f64,
-        /// Of the best mixes of two plans in hindsight.
+        /// Cost of the best mixes of two plans in hindsight.
         pub cost_oracle_mix: f64,
-        /// Of always using the best version.
+        /// Cost of always using the best version.
         pub cost_always_best: f64,
-        /// Of always using the cheapest version.
+        /// Cost of always using the cheapest version.
         pub cost_always_cheapest: f64,
-        /// Requests that reached versions turned bad.
+        /// Number of calls of versions that had turned bad.
         pub exposure: u64,
-        /// The same, in parts.
+        /// The calls of versions that had turned bad, by stage.
         pub exposure_parts: Exposure,
-        /// What one host with all the traffic would have let through, if the trace asks for it.
+        /// Exposure in a replay with a single host; `None` if the trace states no limit for it.
         pub exposure_one_host: Option<u64>,
-        /// Good versions put under quarantine.
+        /// Number of good versions that were quarantined.
         pub false_alarms: u64,
-        /// Answers rated.
+        /// Number of rated answers.
         pub rated: u64,
-        /// Half of all answers came within this, in milliseconds.
+        /// Median answer time, in milliseconds.
         pub p50_ms: u64,
-        /// 95 in 100.
+        /// 95th percentile of answer times, in milliseconds.
         pub p95_ms: u64,
-        /// 99 in 100.
+        /// 99th percentile of answer times, in milliseconds.
         pub p99_ms: u64,
-        /// 99 in 100 calls waited this long at most at their backend server, in milliseconds.
+        /// 99th percentile of the time that calls waited at a backend server, in milliseconds.
         pub server_wait_p99_ms: u64,
-        /// Share of requests refused, failed or late.
+        /// Share of requests that were refused, failed or answered late, 0 to 1.
         pub refused_share: f64,
-        /// The same of the account that has most of it.
+        /// The highest share of refused, failed or late requests of any account, 0 to 1.
         pub refused_share_worst_account: f64,
-        /// Why.
+        /// Number of refused, failed or late requests by reason.
         pub refusals: Refusals,
-        /// By task.
+        /// Results by task.
         pub tasks: BTreeMap<Name, Task>,
-        /// Stated outcomes that were not held, in words.
+        /// Expected outcomes that the replay missed, as messages for people.
         pub missed: Vec<String>,
-        /// Whether all stated outcomes were held.
+        /// Whether the replay met all expected outcomes.
         pub held: bool,
     }
 }
 
-/// Replays a trace and checks what it states.
+/// Replays a trace and checks the outcomes that the trace states. `file` and `policy` are the
+/// names that the report shows.
 #[must_use]
 pub fn report(file: &str, policy: &str, trace: &Trace, options: Options) -> Report {
     let tally = run::run(trace, options);
@@ -144,7 +145,8 @@
     targets.sum::<f64>() / tally.answered.len().max(1) as f64
 }
 
-/// Tasks of one name are judged together, each against the highest target that any account has.
+/// Computes the results by task. Tasks with the same name count together for all accounts and are
+/// compared with the highest target that any account has.
 fn tasks(trace: &Trace, tally: &Tally, costs: &Hindsights) -> BTreeMap<Name, Task> {
     let target = |task: &Name| {
         let accounts = trace.header.configuration.accounts.values();
@@ -200,7 +202,7 @@
     missed
 }
 
-/// The table for people, one line a trace.
+/// Formats a table for people: one line per trace, followed by the outcomes that it missed.
 #[must_use]
 pub fn table(reports: &[Report]) -> String {
     let mut text = format!(
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,4 +1,4 @@
-//! Replaying a trace: requests meet the decisions in the trace's own time.
+//! Replays a trace: processes its requests and events in the trace's own time.
 
 pub mod clock;
 pub mod host;
@@ -26,52 +26,55 @@
 use pool::Pool;
 use tally::Tally;
 
-/// How often backend servers report, roll-outs are looked at and queues swept, in milliseconds.
+/// Interval at which backend servers report their load.
 const REPORT_EVERY_MS: u64 = 250;
+/// Interval at which the control checks the roll-outs.
 const ROLLOUT_EVERY_MS: u64 = 1_000;
+/// Interval at which queues are swept for overdue requests.
 const SWEEP_EVERY_MS: u64 = 50;
-/// How long after the last request the replay goes on, in milliseconds.
+/// How long periodic steps continue after the last request, so that requests in flight can end.
 const TAIL_MS: u64 = 30_000;
 
 domain! {
-    /// How to replay.
+    /// Options of a replay.
     #[derive(Copy, Default)]
     pub struct Options {
-        /// The policy.
+        /// Policy that makes the decisions.
         pub variant: Variant,
-        /// Entry hosts, if not as many as the trace says.
+        /// Number of entry hosts; `None` uses the trace's.
         pub entry_hosts: Option<u32>,
     }
 }
 
-/// What happens at a moment.
+/// A scheduled step of the replay.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A request arrives, by index in the trace.
+    /// A request arrives; holds its index in the trace.
     Request(usize),
-    /// An event of the trace, by index.
+    /// An event of the trace occurs; holds its index in the trace.
     Event(usize),
-    /// A backend server ends a call.
+    /// A backend server ends a call; holds the call's index.
     Ended(usize),
-    /// A rating comes back to the host that asked for it.
+    /// A rating arrives at the host that requested it. `cascade` is the request that waits for the
+    /// rating, if any; `asked` is when the rating was requested.
     Rated { host: usize, rated: Rated, cascade: Option<usize>, asked: Millis },
-    /// A host hears of another's rating.
+    /// A rating that another host requested arrives at a host.
     Heard { host: usize, rated: Rated },
-    /// A host hears that a version is stopped.
+    /// A host learns that a version is stopped.
     Stopped { host: usize, version: Name },
-    /// A host hears of a roll-out's share.
+    /// A host learns the current share of a roll-out.
     Share { host: usize, version: Name, share: f64 },
-    /// Reports of load arrive at all hosts.
+    /// Load reports that a pool's servers made at `at` arrive at all hosts.
     Reports { pool: Name, loads: Vec<Option<u32>>, at: Millis },
-    /// Backend servers report.
+    /// All backend servers report their load.
     Report,
-    /// A control looks at the roll-outs.
+    /// The control checks the roll-outs and raises or stops them.
     Rollouts,
-    /// Queues are swept for requests that can't be answered in time.
+    /// Hosts evict queued requests that can't be answered in time any more.
     Sweep,
 }
 
-/// A roll-out's row in the platform's table.
+/// The row of a roll-out in the platform's store.
 #[derive(Clone, Debug)]
 struct Row {
     version: Name,
@@ -79,7 +82,7 @@
     progress: Progress,
 }
 
-/// Everything in a replay.
+/// State of a replay.
 struct World<'a> {
     trace: &'a Trace,
     options: Options,
@@ -90,12 +93,12 @@
     pools: BTreeMap<Name, Pool>,
     lives: Vec<Life>,
     calls: Vec<Call>,
-    /// Versions of sessions, as their signed tokens say.
+    /// Version that each session is pinned to, as its signed token says.
     sessions: BTreeMap<Name, Name>,
     rollouts: Vec<Row>,
-    /// Versions turned bad, with the rated answers of them so far.
+    /// Versions that have turned bad, with their number of rated answers until the verdict.
     bad: BTreeMap<Name, u64>,
-    /// Versions whose test has its verdict at some host.
+    /// When a version's test first had the verdict "bad" at any host.
     found: BTreeMap<Name, Millis>,
     withdrawn: Vec<Name>,
     rater_up: bool,
@@ -105,7 +108,7 @@
     tally: Tally,
 }
 
-/// Replays a trace to its end.
+/// Replays a trace to its end and returns the counts.
 #[must_use]
 pub fn run(trace: &Trace, options: Options) -> Tally {
     let mut world = World::new(trace, options);
@@ -180,7 +183,7 @@
         }
     }
 
-    /// The same step again after a while, until the trace is well over.
+    /// Schedules a periodic step again, unless the trace has been over for [`TAIL_MS`].
     fn again(&mut self, after_ms: u64, step: Step) {
         let last = self.trace.requests.last().map_or(0, |request| request.at_ms);
         if self.now.0 < last + TAIL_MS {
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Tells all hosts but one, after the evidence delay.
+    /// Schedules a step at every host but `host`, after the evidence delay.
     fn tell_others(&mut self, host: usize, step: impl Fn(usize) -> Step) {
         let at = self.now + self.trace.header.evidence_delay_ms;
         for other in (0..self.hosts.len()).filter(|other| *other != host) {
--- a/crates/replay/src/run/clock.rs
+++ b/crates/replay/src/run/clock.rs
@@ -1,11 +1,12 @@
-//! What happens next: by time, then in the order it was put in.
+//! A queue of scheduled items, ordered by time and then by insertion.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use policy::time::Millis;
 
-/// Things to come.
+/// Items scheduled for a time. Items for the same time come out in the order of insertion, so that
+/// a replay is deterministic.
 #[derive(Debug)]
 pub struct Clock<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
@@ -26,13 +27,13 @@
 }
 
 impl<T> Clock<T> {
-    /// Puts in one.
+    /// Schedules an item for the time `at`.
     pub fn push(&mut self, at: Millis, item: T) {
         self.number += 1;
         self.heap.push(Reverse(Entry { at, number: self.number, item }));
     }
 
-    /// Takes out the next.
+    /// Removes and returns the next item with its time; `None` if there is no item.
     pub fn pop(&mut self) -> Option<(Millis, T)> {
         self.heap.pop().map(|Reverse(entry)| (entry.at, entry.item))
     }
--- a/crates/replay/src/run/host.rs
+++ b/crates/replay/src/run/host.rs
@@ -1,4 +1,4 @@
-//! One entry host: its knowledge, its view of the backend servers, its queues and budgets.
+//! An entry host: what it knows of versions and backend servers, its queues and retry budgets.
 
 use std::collections::BTreeMap;
 
@@ -15,43 +15,43 @@
 use crate::trace::Header;
 use crate::variant::{Placement, Variant};
 
-/// First guess of the time that a request takes, in milliseconds.
+/// Service time that a queue assumes until it has measured answers.
 const SERVICE_MS: f64 = 500.0;
 
 /// A pool as one host sees it.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Its backend servers.
+    /// Backend servers of the pool, with the load and health that the host assumes.
     pub servers: Vec<Server>,
-    /// Their health.
+    /// Health of each backend server, in the order of `servers`.
     pub health: Vec<Health>,
-    /// Who waits for it.
+    /// Requests that wait on the host for a slot in the pool.
     pub queue: Queue,
-    /// Lives that wait, by ticket.
+    /// Indices of the waiting requests, by queue ticket.
     pub waiting: BTreeMap<Ticket, usize>,
-    /// Second tries.
+    /// Retry budget of the pool.
     pub retries: Budget,
-    /// Slots of one server, from the configuration.
+    /// Requests that one backend server works on at once, from the trace header.
     pub slots: u32,
 }
 
 /// One entry host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// What it knows of the versions.
+    /// What the host knows of the versions.
     pub knowledge: Knowledge,
-    /// Its pools.
+    /// The host's view of each pool, by name.
     pub pools: BTreeMap<Name, Pool>,
-    /// Use of accounts' limits.
+    /// Use of each client account's limits.
     pub usage: BTreeMap<Name, Usage>,
-    /// Second tries by account.
+    /// Retry budget of each client account.
     pub retries: BTreeMap<Name, Budget>,
-    /// Which answers it has rated.
+    /// Selects the answers that the host sends to the rating service.
     pub sampler: Sampler,
 }
 
 impl Host {
-    /// One that has just started.
+    /// Creates a host that has just started and has seen no requests.
     #[must_use]
     pub fn new(header: &Header, variant: Variant) -> Self {
         let document = &header.configuration;
@@ -79,7 +79,7 @@
 }
 
 impl Pool {
-    /// The pool's load as this host knows it.
+    /// Returns the pool's load as this host estimates it; `entries` is the number of entry hosts.
     #[must_use]
     pub fn load(&self, entries: u32, now: Millis) -> Load {
         let usable = || self.servers.iter().filter(|server| server.takes_work(now));
@@ -92,7 +92,7 @@
         }
     }
 
-    /// A report arrives, made at `at`.
+    /// Records load reports that the servers made at `at`; `None` is a server that is down.
     pub fn reported(&mut self, loads: &[Option<u32>], at: Millis) {
         let servers = self.servers.iter_mut().zip(&mut self.health);
         for ((server, health), load) in servers.zip(loads) {
@@ -104,7 +104,8 @@
         }
     }
 
-    /// The backend server for a call.
+    /// Selects the backend server for a call; `None` if no server takes work. `except` is a server
+    /// that just refused the connection, `affinity` the hash of the session, `draw` random bits.
     #[must_use]
     pub fn place(
         &self,
@@ -123,7 +124,8 @@
         }
     }
 
-    /// A server refused the connection, and would refuse a new one.
+    /// Records that a server refused or broke a connection; new calls avoid the server for a
+    /// while.
     pub fn refused(&mut self, server: usize, now: Millis) {
         self.health[server].record_failure(now);
         self.servers[server].ill_until = self.health[server].ill_until;
--- a/crates/replay/src/run/knowledge.rs
+++ b/crates/replay/src/run/knowledge.rs
@@ -1,4 +1,4 @@
-//! What one entry host knows of the versions: ratings, verdicts, shares, times.
+//! What one entry host knows of the versions: ratings, verdicts, roll-out shares, answer times.
 
 use std::collections::BTreeMap;
 
@@ -15,27 +15,27 @@
 
 use crate::variant::{Detection, Selection, Variant};
 
-/// How much one answer's time moves the mean.
+/// Weight of a new sample in the moving averages of answer and rating times, 0 to 1.
 const TIME_GAIN: f64 = 0.1;
-/// Times are planned with this multiple of the mean, so that most answers are within.
+/// Factor on the mean answer time for planning, so that most answers come within the planned time.
 const TIME_MARGIN: f64 = 2.0;
-/// A table is planned again after this time at the soonest, in milliseconds.
+/// Age at which a table of plans is built again.
 const TABLE_MS: u64 = 1_000;
 
 domain! {
     /// One rated answer.
     #[derive(Eq)]
     pub struct Rated {
-        /// The version that gave it.
+        /// Version that gave the answer.
         pub version: Name,
-        /// Its task.
+        /// Task of the answered request.
         pub task: Name,
-        /// Whether it is good.
+        /// Whether the answer is good.
         pub good: bool,
     }
 }
 
-/// One version.
+/// What the host knows of one version.
 #[derive(Clone, Debug)]
 struct Known {
     model: Name,
@@ -43,13 +43,13 @@
     takes_work: bool,
     share: Option<f64>,
     test: Detector,
-    /// What is expected of it by task.
+    /// Quality expected of the version, by task.
     expected: BTreeMap<Name, Expectation>,
     rated: u64,
     good: u64,
 }
 
-/// The test of one version.
+/// The test that detects whether one version has turned bad.
 #[derive(Clone, Copy, Debug)]
 enum Detector {
     Cusum(Cusum),
@@ -57,7 +57,7 @@
     None,
 }
 
-/// All versions.
+/// What one entry host knows of all versions.
 #[derive(Clone, Debug)]
 pub struct Knowledge {
     variant: Variant,
@@ -65,14 +65,14 @@
     estimates: BTreeMap<(Name, Name), Estimate>,
     times: BTreeMap<(Name, Name), f64>,
     tables: BTreeMap<(Name, Name, bool), (Millis, Table)>,
-    /// Whether the rating service answered when last asked.
+    /// Whether the rating service was reachable when the host last selected an answer for rating.
     pub rater_up: bool,
     rate_ms: f64,
     rate_cost: f64,
 }
 
 impl Knowledge {
-    /// What the document says.
+    /// Creates the knowledge of a host that has seen only the configuration.
     #[must_use]
     pub fn new(document: &Document, variant: Variant, rate_cost: f64, rate_ms: u64) -> Self {
         let mut estimates = BTreeMap::new();
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The plans for requests of an account's task.
+    /// Returns the table of plans for an account's task, and rebuilds it if it is too old.
     pub fn table(
         &mut self,
         document: &Document,
@@ -162,7 +162,8 @@
         })
     }
 
-    /// Takes in a rating, of this host or another; true if the version has just turned out bad.
+    /// Records a rating from this host or another one. Returns true if the test now finds the
+    /// version bad and the version still takes work.
     pub fn observe(&mut self, rated: &Rated, now: Millis) -> bool {
         let key = (rated.version.clone(), rated.task.clone());
         let estimate = self.estimates.entry(key).or_default();
@@ -176,7 +177,7 @@
         known.test.observe(rated.good, &expecting) == Verdict::Bad && known.takes_work
     }
 
-    /// The version gets no new work: quarantine or withdrawal.
+    /// Stops a version on quarantine or withdrawal, so that it gets no new requests.
     pub fn stop(&mut self, version: &Name) {
         if let Some(known) = self.versions.get_mut(version) {
             known.takes_work = false;
@@ -184,13 +185,13 @@
         }
     }
 
-    /// Whether the version takes work.
+    /// Returns whether the version gets new requests; false if it is unknown.
     #[must_use]
     pub fn takes_work(&self, version: &Name) -> bool {
         self.versions.get(version).is_some_and(|known| known.takes_work)
     }
 
-    /// A roll-out's share comes in force.
+    /// Sets the share of requests that a roll-out gives to a candidate, 0 to 1.
     pub fn share(&mut self, version: &Name, share: f64) {
         if let Some(known) = self.versions.get_mut(version) {
             known.share = Some(share);
@@ -198,24 +199,24 @@
         }
     }
 
-    /// An answer took this long.
+    /// Records the time that an answer took, in milliseconds.
     pub fn took(&mut self, version: &Name, task: &Name, ms: f64) {
         let time = self.times.entry((version.clone(), task.clone())).or_insert(ms);
         *time += TIME_GAIN * (ms - *time);
     }
 
-    /// Mean time of a version's answers on a task, in milliseconds; 0 if unknown.
+    /// Returns the mean time of a version's answers for a task, in milliseconds; 0 if unknown.
     #[must_use]
     pub fn time(&self, version: &Name, task: &Name) -> f64 {
         self.times.get(&(version.clone(), task.clone())).copied().unwrap_or(0.0)
     }
 
-    /// A rating took this long.
+    /// Records the time that a rating took, in milliseconds.
     pub fn rating_took(&mut self, ms: u64) {
         self.rate_ms += TIME_GAIN * (ms as f64 - self.rate_ms);
     }
 
-    /// How much the ratings of a version matter.
+    /// Returns how much further ratings of a version matter.
     #[must_use]
     pub fn interest(&self, version: &Name) -> Interest {
         match self.versions.get(version) {
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Ratings of a version so far: good ones, all, and whether it was found bad.
+    /// Returns the version's ratings so far, and whether the test found the version bad.
     #[must_use]
     pub fn ratings(&self, version: &Name) -> policy::rollout::Ratings {
         let known = self.versions.get(version);
--- a/crates/replay/src/run/life.rs
+++ b/crates/replay/src/run/life.rs
@@ -1,4 +1,4 @@
-//! One request's life: admitted, placed, answered, rated, or refused.
+//! Processes one request: limit, plan, queue, placement on a backend server, rating and answer.
 
 use policy::admit::{Arrival, Evicted, Verdict};
 use policy::limit;
@@ -14,36 +14,36 @@
 use super::{Step, World};
 use crate::trace::Request;
 
-/// Backend servers tried for one call at most.
+/// Maximum number of backend servers that one call is sent to.
 const TRIES: usize = 3;
 
-/// A request under way.
+/// The state of a request from arrival to answer or refusal.
 #[derive(Clone, Debug)]
 pub struct Life {
     request: usize,
     host: usize,
     plan: Plan,
-    /// Whether the cascade's second version is asked.
+    /// Whether the request has moved on to the second version of its cascade.
     escalated: bool,
     deadline: Millis,
     may_repeat: bool,
     over: bool,
 }
 
-/// A call of a backend server.
+/// A call of a version on a backend server.
 #[derive(Clone, Debug)]
 pub struct Call {
     life: usize,
-    /// The entry host that made it.
+    /// Index of the entry host that made the call.
     pub host: usize,
-    /// The version.
+    /// Version that the call runs on.
     pub version: Name,
     pool: Name,
     worker: usize,
     sent: Millis,
-    /// Whether the version had turned bad when it was made.
+    /// Whether the version had already turned bad when the call was made.
     pub exposed: bool,
-    /// Ended or broken.
+    /// Whether the call has ended or broken off.
     pub over: bool,
 }
 
@@ -104,13 +104,13 @@
                 return Ok(Plan::Single(version.clone()));
             }
             (Some(session), Some(_)) => {
-                // The caller learns of it, and its next request begins a new session.
+                // The caller receives the error, and the next request begins a new session.
                 self.sessions.remove(session);
                 return Err(|refusals| &mut refusals.session_ended);
             }
             _ => {}
         }
-        // A session stays on one version, so its plan is one version.
+        // A session stays on one version, so its requests can't use a cascade.
         let may_cascade = may_repeat && request.session.is_none();
         let document = &self.trace.header.configuration;
         let key = (&request.account, &request.task);
@@ -123,7 +123,7 @@
         Ok(plan)
     }
 
-    /// Asks for a place in the version's pool.
+    /// Requests a slot in the pool of the current version: sends the call, queues or refuses it.
     fn ask(&mut self, life: usize, priority: u8) {
         let version = self.version(life);
         let Some(pool) = self.pool_of(&version) else { return self.refuse(life, no_version) };
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Sends a call to a backend server; one that refuses the connection is left out next time.
+    /// Sends a call to a backend server. If the server refuses the connection, tries another one.
     fn launch(&mut self, life: usize) {
         let (host, request) = (self.lives[life].host, self.lives[life].request);
         let version = self.version(life);
@@ -228,15 +228,16 @@
         self.answered(life, version);
     }
 
-    /// A version's answer is here: it goes to the caller, or to the rating service first.
+    /// Handles a version's answer: returns it to the caller, in a cascade after a rating.
     fn answered(&mut self, life: usize, version: Name) {
         let Life { host, deadline, ref plan, escalated, .. } = self.lives[life];
         let cascade = matches!(plan, Plan::Cascade { .. }) && !escalated;
         let in_time = self.now + self.rate_ms < deadline;
         let unit = self.draw.unit();
         let interest = self.hosts[host].knowledge.interest(&version);
-        // What a cascade's second version is asked is what the first one failed at. Its ratings
-        // would make it look worse than it is, and in the end get it quarantined.
+        // A cascade's second version only gets the requests that the first version failed at.
+        // Ratings of these answers would make the second version look worse than it is, and in
+        // the end quarantine it.
         let wanted = cascade || !escalated && self.hosts[host].sampler.should_rate(interest, unit);
         if wanted {
             self.hosts[host].knowledge.rater_up = self.rater_up;
@@ -271,7 +272,7 @@
         }
     }
 
-    /// The version asked now.
+    /// Returns the version that the request currently uses.
     fn version(&self, life: usize) -> Name {
         match &self.lives[life].plan {
             Plan::Single(version) => version.clone(),
@@ -285,7 +286,8 @@
         Some(version.pool.clone())
     }
 
-    /// Nothing more can be done for a call. A cascade still has its first answer.
+    /// Ends a request whose call can't be made or repeated. A cascade in its second stage still
+    /// returns its first answer; any other request is refused.
     fn give_up(&mut self, life: usize, reason: Reason) {
         match self.lives[life].plan.clone() {
             Plan::Cascade { first, .. } if self.lives[life].escalated => self.finish(life, &first),
@@ -293,7 +295,7 @@
         }
     }
 
-    /// The backend server went while it worked on a call.
+    /// Handles a call whose backend server crashed: retries it elsewhere or gives up.
     pub(super) fn broken(&mut self, call: usize) {
         let Call { life, host, worker, ref pool, .. } = self.calls[call];
         let (pool, now) = (pool.clone(), self.now);
@@ -319,7 +321,7 @@
         }
     }
 
-    /// Lets those in who have waited, as far as there are places.
+    /// Sends queued requests of a pool as long as the pool has free slots.
     pub(super) fn pump(&mut self, host: usize, pool: &Name) {
         loop {
             let (entries, now) = (self.entries(), self.now);
@@ -353,7 +355,7 @@
         life.into_iter().for_each(|life| self.give_up(life, |refusals| &mut refusals.evicted));
     }
 
-    /// The caller has its answer, in time or late.
+    /// Returns an answer to the caller; counts the request as refused if the answer is late.
     fn finish(&mut self, life: usize, version: &Name) {
         let Life { request: index, deadline, .. } = self.lives[life];
         if self.now > deadline {
@@ -393,7 +395,7 @@
     }
 }
 
-/// Which count of refusals.
+/// Selects the counter for the reason of a refusal.
 type Reason = fn(&mut Refusals) -> &mut u64;
 
 fn no_version(refusals: &mut Refusals) -> &mut u64 {
--- a/crates/replay/src/run/news.rs
+++ b/crates/replay/src/run/news.rs
@@ -1,4 +1,4 @@
-//! Events of the trace, reports, ratings and roll-outs: all that is not a request's own life.
+//! Handles trace events, load reports, ratings, verdicts and roll-outs.
 
 use policy::name::Name;
 use policy::place;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A document that withdraws a version: each host has it after the same delay as evidence.
+    /// Withdraws a version: each host receives the new configuration after the evidence delay.
     fn withdraw(&mut self, version: &Name) {
         self.withdrawn.push(version.clone());
         let at = self.now + self.trace.header.evidence_delay_ms;
@@ -48,7 +48,8 @@
         }
     }
 
-    /// A rating comes back to the host that asked: it learns now, the others a little later.
+    /// Handles a rating at the host that requested it, and forwards it to the other hosts, which
+    /// receive it after the evidence delay.
     pub(super) fn rated(&mut self, host: usize, rated: &Rated) {
         self.tally.rated += 1;
         self.tally.rate_cost += self.trace.header.rate_cost;
@@ -117,7 +118,7 @@
 
     fn rollout(&mut self, index: usize) {
         let row = &mut self.rollouts[index];
-        // Any control decides alike, so the first host's stands for whichever looks.
+        // All controls decide alike, so the first host's ratings stand for any control's.
         let ratings = self.hosts[0].knowledge.ratings(&row.version);
         match rollout::next(&row.course, &row.progress, &ratings, self.now) {
             Next::Raise(progress) | Next::Stop(progress) => row.progress = progress,
@@ -141,7 +142,8 @@
         self.again(SWEEP_EVERY_MS, Step::Sweep);
     }
 
-    /// Hash that a session's requests are placed by: they share a prompt's prefix.
+    /// Returns the hash that places a session's requests on the same backend server, because they
+    /// share a prompt prefix; `None` without a session.
     pub(super) fn affinity(&self, request: usize) -> Option<u64> {
         let session = self.trace.requests[request].session.as_ref()?;
         Some(place::hash(session.as_bytes()))
--- a/crates/replay/src/run/pool.rs
+++ b/crates/replay/src/run/pool.rs
@@ -1,4 +1,5 @@
-//! The backend servers of one pool: each works on a few calls at once and queues the rest.
+//! The backend servers of one pool. Each works on a limited number of calls at once and queues the
+//! others.
 
 use std::collections::VecDeque;
 
@@ -7,43 +8,43 @@
 /// One backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Worker {
-    /// Whether it is there.
+    /// Whether the server runs; if not, it refuses connections.
     pub up: bool,
-    /// Calls it works on.
+    /// Indices of the calls that the server works on.
     pub running: Vec<usize>,
-    /// Calls that wait for it.
+    /// Indices of the calls in the server's queue, oldest first.
     pub waiting: VecDeque<usize>,
 }
 
-/// One pool.
+/// A pool of backend servers, as it really is; hosts only see reports of it.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// How it was given.
+    /// The pool's settings in the trace header.
     pub settings: trace::Pool,
-    /// Its backend servers.
+    /// Backend servers of the pool.
     pub workers: Vec<Worker>,
 }
 
-/// What a backend server does with a call.
+/// What a backend server does with a new call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Taken {
-    /// Works on it at once.
+    /// The server starts to work on the call.
     Running,
-    /// Queues it.
+    /// All slots are busy, and the server queues the call.
     Waiting,
-    /// It is not there: connection refused.
+    /// The server is down and refuses the connection.
     Refused,
 }
 
 impl Pool {
-    /// All servers up and idle.
+    /// Creates a pool with all servers up and idle.
     #[must_use]
     pub fn new(settings: trace::Pool) -> Self {
         let worker = Worker { up: true, ..Worker::default() };
         Self { settings, workers: vec![worker; settings.workers as usize] }
     }
 
-    /// A call arrives at a server.
+    /// Sends a call to a server.
     pub fn take(&mut self, worker: usize, call: usize) -> Taken {
         let slots = self.settings.slots as usize;
         match &mut self.workers[worker] {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// A call ends; the one that starts in its place, if any.
+    /// Ends a call and returns the queued call that starts in its place, if any.
     pub fn end(&mut self, worker: usize, call: usize) -> Option<usize> {
         let worker = &mut self.workers[worker];
         worker.running.retain(|running| *running != call);
@@ -68,7 +69,7 @@
         Some(next)
     }
 
-    /// Servers go; the calls that break.
+    /// Stops `count` servers, or all for `None`, and returns the calls that break off.
     pub fn down(&mut self, count: Option<u32>) -> Vec<usize> {
         let count = count.map_or(usize::MAX, |count| count as usize);
         let mut broken = Vec::new();
@@ -80,12 +81,12 @@
         broken
     }
 
-    /// All servers are back.
+    /// Brings all servers up again.
     pub fn up(&mut self) {
         self.workers.iter_mut().for_each(|worker| worker.up = true);
     }
 
-    /// What each server would report now; none from those that are gone.
+    /// Returns the load that each server reports now; `None` for a server that is down.
     #[must_use]
     pub fn loads(&self) -> Vec<Option<u32>> {
         let load = |worker: &Worker| (worker.running.len() + worker.waiting.len()) as u32;
--- a/crates/replay/src/run/tally.rs
+++ b/crates/replay/src/run/tally.rs
@@ -1,4 +1,4 @@
-//! What a replay counts.
+//! The counts of a replay.
 
 use std::collections::BTreeMap;
 
@@ -6,91 +6,91 @@
 use policy::name::Name;
 
 domain! {
-    /// Requests of one task, or of one client account.
+    /// Counts for the requests of one task or of one client account.
     #[derive(Copy, Default)]
     pub struct Served {
-        /// Answered in time.
+        /// Requests answered in time.
         pub answered: u64,
-        /// Of these, with a good answer.
+        /// Requests answered in time with a good answer.
         pub good: u64,
-        /// Refused, failed or late.
+        /// Requests that were refused, failed or answered late.
         pub refused: u64,
-        /// Cost of all calls and ratings, those of refused requests too.
+        /// Cost of all calls and ratings, including those for refused requests; 0 for accounts.
         pub cost: f64,
     }
 
-    /// Requests that reached versions turned bad, in parts.
+    /// Calls of versions that had turned bad, by stage.
     #[derive(Copy, Default, Eq)]
     pub struct Exposure {
-        /// Until the test of any host had its verdict.
+        /// Calls before any host's test had its verdict.
         pub test: u64,
-        /// From then until all hosts had stopped.
+        /// Calls after the first verdict, by hosts that had not yet stopped the version.
         pub spread: u64,
-        /// Of all these, calls that were still under way when their host stopped.
+        /// Calls among these that were in flight when their host stopped the version.
         pub in_flight: u64,
-        /// Rated answers that the verdict took.
+        /// Rated answers of the bad version until the verdict.
         pub rated: u64,
     }
 
     /// Why requests got no answer in time.
     #[derive(Copy, Default, Eq)]
     pub struct Refusals {
-        /// Over the account's limit.
+        /// The account was over its limit.
         pub limit: u64,
-        /// The pool could not answer in time.
+        /// The pool could not have answered in time, or no server accepted the call.
         pub overload: u64,
-        /// Gave way in a full queue, or could not be answered in time any more.
+        /// Evicted from a queue: the queue was full, or the answer would have come too late.
         pub evicted: u64,
-        /// The backend server went, and it could not be tried again.
+        /// The backend server crashed, and the request could not be retried.
         pub broken: u64,
         /// Answered after its deadline.
         pub late: u64,
-        /// Its session's version was stopped.
+        /// The version was stopped that the session was pinned to, or that the request waited for.
         pub session_ended: u64,
-        /// No version to run on.
+        /// No version was available for the request.
         pub no_version: u64,
     }
 
-    /// Everything.
+    /// All counts of one replay.
     #[derive(Default)]
     pub struct Tally {
-        /// By task.
+        /// Counts by task.
         pub tasks: BTreeMap<Name, Served>,
-        /// By client account.
+        /// Counts by client account.
         pub accounts: BTreeMap<Name, Served>,
-        /// Requests answered, by index in the trace.
+        /// Indices in the trace of the requests answered in time.
         pub answered: Vec<usize>,
-        /// Times of answers, in milliseconds.
+        /// Time from arrival to answer of each request answered in time, in milliseconds.
         pub times: Vec<u64>,
         /// Cost of all calls and ratings.
         pub cost: f64,
-        /// Of it, ratings.
+        /// Cost of all ratings, which `cost` includes.
         pub rate_cost: f64,
-        /// Answers rated.
+        /// Number of rated answers.
         pub rated: u64,
-        /// Exposure.
+        /// Calls of versions that had turned bad, by stage.
         pub exposure: Exposure,
-        /// Good versions stopped.
+        /// Number of good versions that a test stopped.
         pub false_alarms: u64,
-        /// Refusals by reason.
+        /// Number of refused, failed or late requests by reason.
         pub refusals: Refusals,
-        /// Time that calls waited at backend servers, in milliseconds.
+        /// Time that each call waited at its backend server, in milliseconds.
         pub server_waits: Vec<u64>,
-        /// Final roll-out shares.
+        /// Roll-out share of each candidate at the end of the replay.
         pub shares: BTreeMap<Name, f64>,
-        /// Calls that no rule of the configuration allows; must stay 0.
+        /// Calls of versions that the client account may not use; must stay 0.
         pub violations: u64,
     }
 }
 
 impl Tally {
-    /// A call or a rating was paid for.
+    /// Adds the cost of a call or a rating for a task.
     pub fn spend(&mut self, task: &Name, cost: f64) {
         self.cost += cost;
         self.tasks.entry(task.clone()).or_default().cost += cost;
     }
 
-    /// Requests that got no answer in time, over all.
+    /// Returns the share of all requests that got no answer in time, 0 to 1.
     #[must_use]
     pub fn refused_share(&self) -> f64 {
         let refused: u64 = self.accounts.values().map(|served| served.refused).sum();
@@ -98,14 +98,14 @@
         refused as f64 / all.max(1) as f64
     }
 
-    /// Share of good answers.
+    /// Returns the share of good answers among all answers in time; 0 if there is no answer.
     #[must_use]
     pub fn quality(&self) -> f64 {
         let good: u64 = self.tasks.values().map(|served| served.good).sum();
         good as f64 / self.answered.len().max(1) as f64
     }
 
-    /// The time within which `share` of all answers came, in milliseconds.
+    /// Returns the time within which `share` (0 to 1) of all answers came, in milliseconds.
     #[must_use]
     pub fn percentile(&self, share: f64) -> u64 {
         percentile(&self.times, share)
@@ -113,7 +113,7 @@
 }
 
 impl Served {
-    /// Share of good answers; 1 if there is none at all.
+    /// Returns the share of good answers among the answers in time; 1 if there is no answer.
     #[must_use]
     pub fn quality(&self) -> f64 {
         match self.answered {
@@ -122,14 +122,15 @@
         }
     }
 
-    /// Share refused, failed or late.
+    /// Returns the share of requests that were refused, failed or answered late, 0 to 1.
     #[must_use]
     pub fn refused_share(&self) -> f64 {
         self.refused as f64 / (self.answered + self.refused).max(1) as f64
     }
 }
 
-/// The value below or at which `share` of all values lie; 0 of none.
+/// Returns the smallest value that at least `share` (0 to 1) of all values don't exceed; 0 if
+/// `values` is empty.
 #[must_use]
 pub fn percentile(values: &[u64], share: f64) -> u64 {
     let mut sorted = values.to_vec();
--- a/crates/replay/src/trace.rs
+++ b/crates/replay/src/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: JSON lines, a header first, then requests and events in order of time.
+//! The trace format: JSON lines, first a header, then requests and events ordered by time.
 
 pub mod fault;
 
@@ -12,28 +12,28 @@
 pub use fault::Fault;
 
 domain! {
-    /// The first line.
+    /// The first line of a trace: deployment, settings of the replay and expected outcomes.
     pub struct Header {
-        /// The configuration in force.
+        /// Configuration in force from the beginning of the trace.
         pub configuration: Document,
-        /// Entry hosts that share the traffic.
+        /// Number of entry hosts that share the traffic; at least 1.
         pub entry_hosts: u32,
-        /// Time until a host learns of what another saw, in milliseconds.
+        /// Delay until a host receives another host's ratings and verdicts, in milliseconds.
         pub evidence_delay_ms: u64,
-        /// Share of answers that may be sent to the rating service, 0 to 1.
+        /// Fraction of answers that may be sent to the rating service, 0 to 1.
         pub rated_share: f64,
-        /// Backend servers by pool.
+        /// Backend servers of each pool, by the pool's name in the configuration.
         pub pools: BTreeMap<Name, Pool>,
-        /// Cost of one rating.
+        /// Cost of one rating, in the unit of the versions' cost.
         #[serde(default)]
         pub rate_cost: f64,
-        /// Time that one rating takes, in milliseconds.
+        /// Time that the rating service takes for one rating, in milliseconds.
         #[serde(default = "default_rate_ms")]
         pub rate_ms: u64,
-        /// Seed of all draws.
+        /// Seed of all random draws in the replay.
         #[serde(default)]
         pub seed: u64,
-        /// Stated outcomes.
+        /// Outcomes that a replay of this trace is checked against.
         #[serde(default)]
         pub expect: Expect,
     }
@@ -41,137 +41,138 @@
     /// The backend servers of one pool.
     #[derive(Copy)]
     pub struct Pool {
-        /// How many there are.
+        /// Number of backend servers in the pool.
         pub workers: u32,
-        /// Requests that each works on at once.
+        /// Requests that one backend server works on at once.
         pub slots: u32,
-        /// Age of its reports of load, in milliseconds.
+        /// Age of a backend server's load report when it reaches the hosts, in milliseconds.
         pub report_lag_ms: u64,
     }
 
-    /// Outcomes stated beforehand; an absent one is not checked.
+    /// Outcomes expected of a replay; an absent one is not checked.
     #[derive(Default)]
     #[serde(default, deny_unknown_fields)]
     pub struct Expect {
-        /// Every task's share of good answers reaches its target.
+        /// If true, every task's share of good answers must reach its target.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub quality_met: Option<bool>,
-        /// Cost over that of the best fixed plans in hindsight, at most.
+        /// Maximum ratio of the replay's cost to that of the best fixed plans in hindsight.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub cost_over_oracle_max: Option<f64>,
-        /// Cost over that of always using the best version, at most.
+        /// Maximum ratio of the replay's cost to that of always using the best version.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub cost_over_best_max: Option<f64>,
-        /// Requests that reach versions turned bad, at most.
+        /// Maximum number of calls of versions that have turned bad.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub exposure_max: Option<u64>,
-        /// The same over what one host with all the traffic would let through, at most.
+        /// Maximum ratio of that number to what a single host with all the traffic lets through.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub exposure_over_one_host_max: Option<f64>,
-        /// Good versions put under quarantine, at most.
+        /// Maximum number of good versions that are quarantined.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub false_alarms_max: Option<u64>,
-        /// 95 in 100 answers come within this, in milliseconds.
+        /// Maximum 95th percentile of answer times, in milliseconds.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub p95_ms_max: Option<u64>,
-        /// Share of requests refused, failed or late, at most.
+        /// Maximum share of requests that are refused, fail or are answered late, 0 to 1.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub refused_share_max: Option<f64>,
-        /// The same for single client accounts.
+        /// Maximum share of refused, failed or late requests of single client accounts.
         #[serde(skip_serializing_if = "BTreeMap::is_empty")]
         pub account_refused_share_max: BTreeMap<Name, f64>,
-        /// The final roll-out share of candidates, at least.
+        /// Minimum roll-out share of candidates at the end of the replay.
         #[serde(skip_serializing_if = "BTreeMap::is_empty")]
         pub rollout_share_min: BTreeMap<Name, f64>,
     }
 
-    /// A request, with what each version would have made of it.
+    /// A request, with each version's answer time and whether its answer would be good.
     #[serde(deny_unknown_fields)]
     pub struct Request {
-        /// When it came, in milliseconds since the trace began.
+        /// When the request arrived, in milliseconds since the trace began.
         pub at_ms: u64,
-        /// Its id.
+        /// Identifier of the request; the replay does not read it.
         pub id: Name,
-        /// The client account.
+        /// Client account that sent the request.
         pub account: Name,
-        /// The task.
+        /// Task of the client account that the request belongs to.
         pub task: Name,
-        /// The session, if it is part of one.
+        /// Session that the request belongs to; `None` for a single request.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub session: Option<Name>,
-        /// Whether it may run more than once; the task says so if absent.
+        /// False if the request must not run more than once; `None` leaves it to the task.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub may_repeat: Option<bool>,
-        /// Longest time it may take, in milliseconds; the task says so if absent.
+        /// Time allowed for the answer, in milliseconds; `None` uses the task's.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub deadline_ms: Option<u64>,
-        /// Whether each version's answer would be good.
+        /// Whether the answer would be good, by version.
         pub good: BTreeMap<Name, bool>,
-        /// Time that each version would take, in milliseconds.
+        /// Time that a backend server would need for the answer, by version, in milliseconds.
         pub ms: BTreeMap<Name, u64>,
     }
 
-    /// Something that happens.
+    /// A change in the deployment at a moment of the trace.
     pub struct Event {
-        /// When, in milliseconds since the trace began.
+        /// Time of the event, in milliseconds since the trace began.
         pub at_ms: u64,
-        /// What.
+        /// What changes.
         #[serde(flatten)]
         pub what: Happening,
     }
 
-    /// What can happen.
+    /// The kinds of events in a trace.
     #[serde(tag = "event", rename_all = "snake_case")]
     pub enum Happening {
-        /// A mark for counting exposure; the policy does not see it.
+        /// A version's quality drops. Only the count of exposed requests reads this event; the
+        /// policy does not see it.
         TurnedBad {
-            /// The version.
+            /// Version whose quality drops.
             version: Name,
         },
         /// An operator withdraws a version.
         Withdraw {
-            /// The version.
+            /// Version that gets no further requests.
             version: Name,
         },
-        /// Backend servers go, with what they work on.
+        /// Backend servers crash; the requests that they hold break off.
         PoolDown {
-            /// The pool.
+            /// Pool of the servers that crash.
             pool: Name,
-            /// How many; all if absent.
+            /// Number of servers that crash; `None` means all of the pool.
             #[serde(default, skip_serializing_if = "Option::is_none")]
             workers: Option<u32>,
         },
-        /// They all come back.
+        /// All backend servers of a pool are up again.
         PoolUp {
-            /// The pool.
+            /// Pool whose servers are up again.
             pool: Name,
         },
-        /// The platform's store is away: no roll-out step.
+        /// The platform's store becomes unreachable; roll-outs take no step until it is back.
         PlatformDown,
-        /// It is back.
+        /// The platform's store is reachable again.
         PlatformUp,
-        /// The rating service is away.
+        /// The rating service becomes unreachable.
         RaterDown,
-        /// It is back.
+        /// The rating service is reachable again.
         RaterUp,
-        /// Ratings take this long from now on.
+        /// The time that a rating takes changes.
         RaterSlow {
-            /// Milliseconds.
+            /// Time per rating from this event on, in milliseconds.
             ms: u64,
         },
-        /// The control that drives the roll-outs is gone, and no other has noticed yet.
+        /// The control that drives the roll-outs fails, and no other control has noticed yet.
         ControlDown,
-        /// Another one has taken over.
+        /// Another control has taken over the roll-outs.
         ControlUp,
     }
 
-    /// A whole trace.
+    /// A parsed trace.
     pub struct Trace {
-        /// The first line.
+        /// Deployment, settings of the replay and expected outcomes.
         pub header: Header,
-        /// Requests, in order of time.
+        /// All requests, ordered by time.
         pub requests: Vec<Request>,
-        /// Events, in order of time.
+        /// All events, ordered by time.
         pub events: Vec<Event>,
     }
 }
@@ -180,24 +181,25 @@
     50
 }
 
-/// A line after the first.
+/// A line after the header.
 enum Line {
     Request(Request),
     Event(Event),
 }
 
 impl Trace {
-    /// The request's task in the configuration; parsing has made sure that it is there.
+    /// Looks up a request's task in the configuration. [`parse`] rejects traces in which a
+    /// request's account or task is missing, so a parsed trace always has it.
     #[must_use]
     pub fn task(&self, request: &Request) -> Option<&Task> {
         self.header.configuration.accounts.get(&request.account)?.tasks.get(&request.task)
     }
 }
 
-/// Reads a trace; `file` is named in faults.
+/// Parses the text of a trace; `file` is the name that a [`Fault`] reports.
 ///
 /// # Errors
-/// The first malformed line, with its number.
+/// Returns the first malformed line with its number.
 pub fn parse(file: &str, text: &str) -> Result<Trace, Fault> {
     let fault = |line: usize, message: String| Fault { file: file.to_owned(), line, message };
     let mut lines = text.lines().enumerate().map(|(index, line)| (index + 1, line));
@@ -265,7 +267,7 @@
 }
 
 fn earlier(at_ms: u64, latest: u64) -> String {
-    format!("`at_ms` {at_ms} is earlier than {latest} of a line before")
+    format!("`at_ms` {at_ms} is earlier than {latest} of a previous line")
 }
 
 fn check_request(trace: &Trace, request: &Request) -> Result<(), String> {
--- a/crates/replay/src/trace/fault.rs
+++ b/crates/replay/src/trace/fault.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a trace, and where.
+//! The error for a malformed trace line.
 
 use std::fmt;
 
-/// A malformed line.
+/// An error in one line of a trace file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// The file.
+    /// Name of the trace file, as given to [`parse`](super::parse).
     pub file: String,
-    /// The line's number, from 1.
+    /// Number of the malformed line, counted from 1.
     pub line: usize,
-    /// What is wrong.
+    /// Why the line is rejected.
     pub message: String,
 }
 
--- a/crates/replay/src/variant.rs
+++ b/crates/replay/src/variant.rs
@@ -1,59 +1,60 @@
-//! The policies a trace can be replayed with: ours, and those it is measured against.
+//! The policies that a trace can be replayed with: the router's own, and baselines to compare
+//! it with.
 
 use policy::domain;
 
 domain! {
-    /// How versions are chosen.
+    /// Rule that selects the model version for a request.
     #[derive(Copy, Eq, Default)]
     pub enum Selection {
-        /// The cheapest plan that meets the target.
+        /// The cheapest plan that meets the task's quality target.
         #[default]
         Planned,
-        /// Always the version of highest expected quality.
+        /// Always the version with the highest expected quality.
         Best,
         /// Always the cheapest version.
         Cheapest,
-        /// All versions in equal shares.
+        /// All versions, with equal shares of the requests.
         Split,
     }
 
-    /// How backend servers are chosen.
+    /// Rule that selects the backend server for a call.
     #[derive(Copy, Eq, Default)]
     pub enum Placement {
-        /// Affinity with bounded load, else two choices.
+        /// Session affinity with bounded load, otherwise the better of two random servers.
         #[default]
         Bounded,
-        /// By draw.
+        /// A random server that takes work.
         Random,
-        /// The one of the lowest reported load.
+        /// The server with the lowest reported load.
         LeastReported,
     }
 
-    /// How a version turned bad is found.
+    /// Test that detects a version that has turned bad.
     #[derive(Copy, Eq, Default)]
     pub enum Detection {
-        /// By the CUSUM.
+        /// CUSUM test.
         #[default]
         Cusum,
-        /// By the likelihood ratio that starts over.
+        /// Likelihood ratio test that restarts.
         Likelihood,
-        /// Not at all.
+        /// No test: a version that has turned bad stays in use.
         None,
     }
 
-    /// One policy.
+    /// A complete policy; the default is the router's own.
     #[derive(Copy, Eq, Default)]
     pub struct Variant {
-        /// How versions are chosen.
+        /// Rule that selects the model version for a request.
         pub selection: Selection,
-        /// How backend servers are chosen.
+        /// Rule that selects the backend server for a call.
         pub placement: Placement,
-        /// How a version turned bad is found.
+        /// Test that detects a version that has turned bad.
         pub detection: Detection,
     }
 }
 
-/// The names that `--policy` takes.
+/// The policy names that `--policy` accepts.
 pub const NAMES: [&str; 8] = [
     "planned",
     "best",
@@ -66,7 +67,7 @@
 ];
 
 impl Variant {
-    /// By its name, one of [`NAMES`].
+    /// Looks up a policy by one of [`NAMES`]; `None` for any other name.
     #[must_use]
     pub fn by_name(name: &str) -> Option<Self> {
         let ours = Self::default();
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -1,4 +1,4 @@
-//! The committed traces hold what they state, and a replay is the same each time.
+//! Replays of the committed traces meet their expected outcomes, and replays are deterministic.
 
 use std::path::PathBuf;
 
@@ -48,7 +48,8 @@
     assert_eq!(once, twice);
 }
 
-/// Whatever the policy, each request ends exactly once, on a version that its account allows.
+/// With every policy, each request ends exactly once, and runs only on versions that its account
+/// may use.
 #[test]
 fn run_every_request_ends_once() {
     for kind in [Kind::Capacity, Kind::Flood, Kind::Sudden, Kind::Ratings] {
--- a/crates/replay/tests/trace.rs
+++ b/crates/replay/tests/trace.rs
@@ -1,4 +1,5 @@
-//! Traces: every malformed line is told by file and line; generated ones are always the same.
+//! Trace parsing: generated traces survive a round trip, and each malformed line is reported with
+//! file and line.
 
 use replay::generate::{self, Kind, kind::KINDS};
 use replay::trace::parse;
@@ -65,7 +66,7 @@
     assert!(fault(&lines.join("\n")).contains("is earlier than"));
 }
 
-/// Whatever bytes stand in a line, the parser gives a trace or a fault with a line number.
+/// For any bytes, the parser returns a trace or a fault whose line number is in the file.
 #[test]
 fn parse_any() {
     let header = text().lines().next().unwrap().to_owned();
