--- a/crates/replay/src/generate.rs
+++ b/crates/replay/src/generate.rs
@@ -14,12 +14,12 @@
 pub use kind::Kind;
 
 /// Number of requests in a generated trace.
-const REQUESTS: u64 = 1400;
+const REQUEST_COUNT: u64 = 1400;
 /// Fraction of a version's answers that depend on the request's difficulty, which is the same for
 /// all versions; the other answers are drawn for each version independently.
-const COMMON_LUCK: f64 = 0.6;
+const SHARED_LUCK_FRACTION: f64 = 0.6;
 /// Standard deviation of the logarithm of answer times.
-const TIME_SPREAD: f64 = 0.35;
+const LOG_LATENCY_DEVIATION: f64 = 0.35;
 /// Mean number of requests for one session number: each block of ten times as many requests draws
 /// from ten session numbers.
 const SESSION_REQUESTS: u64 = 4;
@@ -29,9 +29,9 @@
 pub fn trace(kind: Kind, seed: u64) -> Trace {
     let scenario = kind.scenario();
     let mut header = scenario.deployment.header(seed);
-    scenario.arrange(&mut header);
+    scenario.configure(&mut header);
     let mut draw = Draw::new(scenario.seed(seed));
-    let times = scenario.times(REQUESTS, &mut draw);
+    let times = scenario.times(REQUEST_COUNT, &mut draw);
     let requests = times
         .iter()
         .enumerate()
@@ -67,9 +67,9 @@
     let mut good = BTreeMap::new();
     let mut ms = BTreeMap::new();
     for version in &deployment.versions {
-        let luck = if draw.unit() < COMMON_LUCK { difficulty } else { draw.unit() };
+        let luck = if draw.unit() < SHARED_LUCK_FRACTION { difficulty } else { draw.unit() };
         let quality = scenario.quality(version, task, at_ms);
-        let time = version.ms * task.size * (TIME_SPREAD * draw.normal()).exp();
+        let time = version.ms * task.size * (LOG_LATENCY_DEVIATION * draw.normal()).exp();
         good.insert(Name::from(version.name), luck < quality);
         ms.insert(Name::from(version.name), time.round().max(1.0) as u64);
     }
--- a/crates/replay/src/generate/deployment.rs
+++ b/crates/replay/src/generate/deployment.rs
@@ -15,7 +15,7 @@
 
 /// A model version, with the true quality that the generator draws answers from.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct VersionSpec {
     /// Name of the version.
     pub name: &'static str,
     /// Name of the model that the version belongs to.
@@ -27,18 +27,18 @@
     /// True share of good answers by task, in the order of [`Deployment::tasks`].
     pub quality: [f64; 3],
     /// Quality stated in the configuration minus the true quality, by task.
-    pub misjudged: [f64; 3],
+    pub quality_error: [f64; 3],
     /// Whether the version is a candidate, which only a roll-out brings into use.
-    pub candidate: bool,
+    pub is_candidate: bool,
 }
 
 /// A task that every client account has.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct TaskSpec {
     /// Name of the task.
     pub name: &'static str,
     /// Fraction of all requests that belong to the task, 0 to 1.
-    pub part: f64,
+    pub share: f64,
     /// Factor on the versions' answer times for the task.
     pub size: f64,
     /// Target for the share of good answers, 0 to 1.
@@ -65,16 +65,16 @@
     /// Client accounts; the first three send most of the requests.
     pub accounts: [&'static str; 10],
     /// Tasks, the same for all accounts.
-    pub tasks: [Work; 3],
+    pub tasks: [TaskSpec; 3],
     /// Model versions that all accounts may use, the cheapest first.
-    pub versions: Vec<Kind>,
+    pub versions: Vec<VersionSpec>,
 }
 
 /// A task with the usual settings: repeatable, no sessions, normal priority and deadline.
-fn work(name: &'static str, part: f64, size: f64, target: f64) -> Work {
-    Work {
+fn task_spec(name: &'static str, share: f64, size: f64, target: f64) -> TaskSpec {
+    TaskSpec {
         name,
-        part,
+        share,
         size,
         target,
         may_repeat: true,
@@ -97,9 +97,13 @@
                 "hoorn", "venlo",
             ],
             tasks: [
-                Work { deadline_ms: 4_000, priority: 0, ..work("tag", 0.4, 0.6, 0.90) },
-                work("summarise", 0.3, 1.5, 0.92),
-                Work { may_repeat: false, in_session: true, ..work("draft", 0.3, 1.0, 0.92) },
+                TaskSpec { deadline_ms: 4_000, priority: 0, ..task_spec("tag", 0.4, 0.6, 0.90) },
+                task_spec("summarise", 0.3, 1.5, 0.92),
+                TaskSpec {
+                    may_repeat: false,
+                    in_session: true,
+                    ..task_spec("draft", 0.3, 1.0, 0.92)
+                },
             ],
             versions: versions(),
         }
@@ -125,9 +129,9 @@
                 "grange",
             ],
             tasks: [
-                Work { in_session: true, priority: 0, ..work("question", 0.4, 0.6, 0.90) },
-                work("plan", 0.3, 1.5, 0.92),
-                Work { may_repeat: false, ..work("order", 0.3, 1.0, 0.92) },
+                TaskSpec { in_session: true, priority: 0, ..task_spec("question", 0.4, 0.6, 0.90) },
+                task_spec("plan", 0.3, 1.5, 0.92),
+                TaskSpec { may_repeat: false, ..task_spec("order", 0.3, 1.0, 0.92) },
             ],
             versions: versions(),
         }
@@ -137,7 +141,7 @@
     #[must_use]
     pub fn with_candidate(mut self) -> Self {
         let small = self.versions[0];
-        self.versions.push(Kind { name: "small-2", candidate: true, ..small });
+        self.versions.push(VersionSpec { name: "small-2", is_candidate: true, ..small });
         self
     }
 
@@ -145,17 +149,17 @@
     /// understate it on its best, and misstate the next version's quality slightly.
     #[must_use]
     pub fn misjudged(mut self) -> Self {
-        self.versions[0].misjudged = [-0.04, 0.06, 0.06];
-        self.versions[1].misjudged = [0.0, -0.03, 0.02];
+        self.versions[0].quality_error = [-0.04, 0.06, 0.06];
+        self.versions[1].quality_error = [0.0, -0.03, 0.02];
         self
     }
 
     /// Draws a task, weighted by the tasks' shares of all requests.
-    pub fn task(&self, draw: &mut Draw) -> &Work {
+    pub fn task(&self, draw: &mut Draw) -> &TaskSpec {
         let unit = draw.unit();
         let mut sum = 0.0;
         let found = self.tasks.iter().find(|task| {
-            sum += task.part;
+            sum += task.share;
             unit < sum
         });
         found.unwrap_or(&self.tasks[0])
@@ -199,13 +203,13 @@
         }
     }
 
-    fn version(&self, kind: &Kind) -> Version {
-        let stated = [0, 1, 2].map(|i| hundredths(kind.quality[i] + kind.misjudged[i]));
+    fn version(&self, spec: &VersionSpec) -> Version {
+        let stated = [0, 1, 2].map(|i| hundredths(spec.quality[i] + spec.quality_error[i]));
         let tasks = self.tasks.iter().zip(stated);
         Version {
-            model: kind.model.into(),
-            state: if kind.candidate { VersionState::Candidate } else { VersionState::Live },
-            cost: kind.cost,
+            model: spec.model.into(),
+            state: if spec.is_candidate { VersionState::Candidate } else { VersionState::Live },
+            cost: spec.cost,
             pool: self.pool.into(),
             quality: tasks.map(|(task, quality)| (task.name.into(), quality)).collect(),
             first_byte_ms: 10_000,
@@ -238,28 +242,28 @@
     format!("{digits:0>64}").into()
 }
 
-fn task(work: &Work) -> Task {
+fn task(spec: &TaskSpec) -> Task {
     Task {
-        quality_target: work.target,
-        may_repeat: work.may_repeat,
-        deadline_ms: work.deadline_ms,
-        priority: work.priority,
+        quality_target: spec.target,
+        may_repeat: spec.may_repeat,
+        deadline_ms: spec.deadline_ms,
+        priority: spec.priority,
     }
 }
 
-fn versions() -> Vec<Kind> {
-    let kind = |name, model, cost, ms, quality| Kind {
+fn versions() -> Vec<VersionSpec> {
+    let spec = |name, model, cost, ms, quality| VersionSpec {
         name,
         model,
         cost,
         ms,
         quality,
-        misjudged: [0.0; 3],
-        candidate: false,
+        quality_error: [0.0; 3],
+        is_candidate: false,
     };
     vec![
-        kind("small-1", "small", 1.0, 250.0, [0.95, 0.82, 0.82]),
-        kind("mid-1", "mid", 3.0, 450.0, [0.96, 0.94, 0.95]),
-        kind("large-1", "large", 10.0, 900.0, [0.98, 0.97, 0.97]),
+        spec("small-1", "small", 1.0, 250.0, [0.95, 0.82, 0.82]),
+        spec("mid-1", "mid", 3.0, 450.0, [0.96, 0.94, 0.95]),
+        spec("large-1", "large", 10.0, 900.0, [0.98, 0.97, 0.97]),
     ]
 }
--- a/crates/replay/src/generate/kind.rs
+++ b/crates/replay/src/generate/kind.rs
@@ -4,7 +4,7 @@
 use policy::name::Name;
 use wire::configuration::Rollout;
 
-use super::deployment::{self, Deployment, Work};
+use super::deployment::{self, Deployment, TaskSpec};
 use super::draw::Draw;
 use crate::trace::{Event, Happening, Header};
 
@@ -57,11 +57,11 @@
 
 /// A linear change of a version's quality between two times.
 #[derive(Clone, Copy, Debug)]
-struct Turn {
+struct QualityChange {
     version: usize,
     from_ms: u64,
     to_ms: u64,
-    by: f64,
+    delta: f64,
 }
 
 /// A time span in which the request rate is multiplied.
@@ -69,9 +69,9 @@
 struct Surge {
     from_ms: u64,
     to_ms: u64,
-    times: f64,
+    factor: f64,
     /// Whether the first account sends all of the additional requests.
-    one_account: bool,
+    is_single_account: bool,
 }
 
 /// Everything that defines the traces of one kind, apart from the seed.
@@ -83,7 +83,7 @@
     pub events: Vec<Event>,
     kind: Kind,
     requests_per_second: f64,
-    turn: Option<Turn>,
+    change: Option<QualityChange>,
     surge: Option<Surge>,
 }
 
@@ -100,22 +100,23 @@
             events: Vec::new(),
             kind: self,
             requests_per_second: 8.0,
-            turn: None,
+            change: None,
             surge: None,
         };
         let benefit = || quiet(Deployment::benefit());
         let feed = || quiet(Deployment::feed());
-        let turn = |version, from_ms, to_ms, by| Some(Turn { version, from_ms, to_ms, by });
+        let change =
+            |version, from_ms, to_ms, delta| Some(QualityChange { version, from_ms, to_ms, delta });
         match self {
             Self::SteadyBenefit => benefit(),
             Self::SteadyFeed => feed(),
             Self::Sudden => Scenario {
-                turn: turn(0, 100_000, 100_000, -0.35),
+                change: change(0, 100_000, 100_000, -0.35),
                 events: vec![turned_bad(100_000, "small-1")],
                 ..benefit()
             },
             Self::Slow => Scenario {
-                turn: turn(0, 60_000, 180_000, -0.30),
+                change: change(0, 60_000, 180_000, -0.30),
                 events: vec![turned_bad(60_000, "small-1")],
                 ..feed()
             },
@@ -129,7 +130,7 @@
                 ..quiet(Deployment::feed().with_candidate())
             },
             Self::BadCandidate => Scenario {
-                turn: turn(3, 80_000, 80_000, -0.35),
+                change: change(3, 80_000, 80_000, -0.35),
                 events: vec![turned_bad(80_000, "small-2")],
                 ..quiet(Deployment::benefit().with_candidate())
             },
@@ -146,7 +147,7 @@
                 surge: surge(10_000, 14_000, 12.0, true),
                 ..feed()
             },
-            Self::Drift => Scenario { turn: turn(0, 60_000, 120_000, -0.06), ..feed() },
+            Self::Drift => Scenario { change: change(0, 60_000, 120_000, -0.06), ..feed() },
             Self::Ratings => Scenario {
                 events: vec![
                     at(40_000, Happening::RaterSlow { ms: 1_500 }),
@@ -175,7 +176,7 @@
     }
 
     /// Adds the settings and expected outcomes of this kind to the deployment's header.
-    pub fn arrange(&self, header: &mut Header) {
+    pub fn configure(&self, header: &mut Header) {
         let expect = &mut header.expect;
         let others = &self.deployment.accounts[1..];
         match self.kind {
@@ -190,36 +191,36 @@
             }
             Kind::Rollout => {
                 expect.rollout_share_min = [(Name::from("small-2"), 1.0)].into();
-                self.roll_out(header, "small-2");
+                self.add_rollout(header, "small-2");
             }
             Kind::BadCandidate => {
                 expect.exposure_max = Some(60);
                 expect.exposure_over_one_host_max = Some(1.5);
-                self.roll_out(header, "small-2");
+                self.add_rollout(header, "small-2");
             }
             Kind::Misjudged => expect.cost_over_oracle_max = Some(1.25),
             Kind::Ratings => expect.p95_ms_max = Some(3_500),
             Kind::Capacity => {
                 expect.refused_share_max = Some(0.25);
                 expect.p95_ms_max = Some(5_500);
-                self.slots(header, 2);
+                self.set_slots(header, 2);
             }
             Kind::Flood => {
                 expect.refused_share_max = Some(0.40);
                 expect.p95_ms_max = Some(5_000);
                 expect.account_refused_share_max =
                     others.iter().map(|name| (Name::from(*name), 0.02)).collect();
-                self.slots(header, 2);
+                self.set_slots(header, 2);
             }
             Kind::Peak => {
                 expect.refused_share_max = Some(0.05);
                 expect.p95_ms_max = Some(4_000);
-                self.slots(header, 2);
+                self.set_slots(header, 2);
             }
         }
     }
 
-    fn roll_out(&self, header: &mut Header, version: &str) {
+    fn add_rollout(&self, header: &mut Header, version: &str) {
         let rollout = Rollout {
             version: version.into(),
             steps: vec![0.1, 0.3, 0.6, 1.0],
@@ -230,7 +231,7 @@
         header.configuration.rollouts.insert("next-small".into(), rollout);
     }
 
-    fn slots(&self, header: &mut Header, slots: u32) {
+    fn set_slots(&self, header: &mut Header, slots: u32) {
         header.pools.values_mut().for_each(|pool| pool.slots = slots);
         header.configuration.pools.values_mut().for_each(|pool| pool.slots = slots);
     }
@@ -241,7 +242,8 @@
         let mut at = 0.0;
         let mut times = Vec::new();
         for _ in 0..requests {
-            let rate = self.requests_per_second * self.surge_at(at as u64).map_or(1.0, |s| s.times);
+            let rate =
+                self.requests_per_second * self.surge_at(at as u64).map_or(1.0, |s| s.factor);
             at += draw.exponential(1000.0 / rate);
             times.push(at as u64);
         }
@@ -252,7 +254,7 @@
     pub fn account(&self, at_ms: u64, draw: &mut Draw) -> Name {
         let accounts = &self.deployment.accounts;
         let surplus = match self.surge_at(at_ms) {
-            Some(surge) if surge.one_account => 1.0 - 1.0 / surge.times,
+            Some(surge) if surge.is_single_account => 1.0 - 1.0 / surge.factor,
             _ => 0.0,
         };
         let index = match draw.unit() {
@@ -265,11 +267,12 @@
 
     /// Returns a version's true share of good answers for a task at a time of the trace.
     #[must_use]
-    pub fn quality(&self, version: &deployment::Kind, task: &Work, at_ms: u64) -> f64 {
+    pub fn quality(&self, version: &deployment::VersionSpec, task: &TaskSpec, at_ms: u64) -> f64 {
         let index = self.deployment.tasks.iter().position(|known| known.name == task.name);
         let quality = version.quality[index.unwrap_or(0)];
-        let turn = self.turn.filter(|t| self.deployment.versions[t.version].name == version.name);
-        quality + turn.map_or(0.0, |turn| turn.at(at_ms))
+        let change =
+            self.change.filter(|t| self.deployment.versions[t.version].name == version.name);
+        quality + change.map_or(0.0, |change| change.at(at_ms))
     }
 
     fn surge_at(&self, at_ms: u64) -> Option<Surge> {
@@ -277,16 +280,16 @@
     }
 }
 
-impl Turn {
+impl QualityChange {
     fn at(&self, at_ms: u64) -> f64 {
         let length = (self.to_ms - self.from_ms).max(1) as f64;
-        let gone = (at_ms as f64 - self.from_ms as f64) / length;
-        self.by * gone.clamp(0.0, 1.0)
+        let elapsed = (at_ms as f64 - self.from_ms as f64) / length;
+        self.delta * elapsed.clamp(0.0, 1.0)
     }
 }
 
-fn surge(from_ms: u64, to_ms: u64, times: f64, one_account: bool) -> Option<Surge> {
-    Some(Surge { from_ms, to_ms, times, one_account })
+fn surge(from_ms: u64, to_ms: u64, factor: f64, is_single_account: bool) -> Option<Surge> {
+    Some(Surge { from_ms, to_ms, factor, is_single_account })
 }
 
 fn at(at_ms: u64, what: Happening) -> Event {
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,10 +1,10 @@
 //! Replays a trace: processes its requests and events in the trace's own time.
 
 pub mod clock;
+mod events;
 pub mod host;
+mod job;
 pub mod knowledge;
-mod life;
-mod news;
 pub mod pool;
 pub mod tally;
 
@@ -21,19 +21,19 @@
 
 use clock::Clock;
 use host::Host;
-use knowledge::Rated;
-use life::{Call, Life};
+use job::{Call, Job};
+use knowledge::Rating;
 use pool::Pool;
 use tally::Tally;
 
 /// Interval at which backend servers report their load.
-const REPORT_EVERY_MS: u64 = 250;
+const REPORT_INTERVAL_MS: u64 = 250;
 /// Interval at which the control checks the roll-outs.
-const ROLLOUT_EVERY_MS: u64 = 1_000;
+const ROLLOUT_INTERVAL_MS: u64 = 1_000;
 /// Interval at which queues are swept for overdue requests.
-const SWEEP_EVERY_MS: u64 = 50;
+const SWEEP_INTERVAL_MS: u64 = 50;
 /// How long periodic steps continue after the last request, so that requests in flight can end.
-const TAIL_MS: u64 = 30_000;
+const DRAIN_MS: u64 = 30_000;
 
 domain! {
     /// Options of a replay.
@@ -57,15 +57,15 @@
     Ended(usize),
     /// A rating arrives at the host that requested it. `cascade` is the request that waits for the
     /// rating, if any; `asked` is when the rating was requested.
-    Rated { host: usize, rated: Rated, cascade: Option<usize>, asked: Millis },
+    OwnRating { host: usize, rated: Rating, cascade: Option<usize>, asked: Millis },
     /// A rating that another host requested arrives at a host.
-    Heard { host: usize, rated: Rated },
+    PeerRating { host: usize, rated: Rating },
     /// A host learns that a version is stopped.
     Stopped { host: usize, version: Name },
     /// A host learns the current share of a roll-out.
     Share { host: usize, version: Name, share: f64 },
     /// Load reports that a pool's servers made at `at` arrive at all hosts.
-    Reports { pool: Name, loads: Vec<Option<u32>>, at: Millis },
+    DeliverReports { pool: Name, loads: Vec<Option<u32>>, at: Millis },
     /// All backend servers report their load.
     Report,
     /// The control checks the roll-outs and raises or stops them.
@@ -78,12 +78,12 @@
 #[derive(Clone, Debug)]
 struct Row {
     version: Name,
-    course: Schedule,
+    schedule: Schedule,
     progress: Progress,
 }
 
 /// State of a replay.
-struct World<'a> {
+struct Replay<'a> {
     trace: &'a Trace,
     options: Options,
     clock: Clock<Step>,
@@ -91,7 +91,7 @@
     draw: Draw,
     hosts: Vec<Host>,
     pools: BTreeMap<Name, Pool>,
-    lives: Vec<Life>,
+    jobs: Vec<Job>,
     calls: Vec<Call>,
     /// Version that each session is pinned to, as its signed token says.
     sessions: BTreeMap<Name, Name>,
@@ -99,7 +99,7 @@
     /// Versions that have turned bad, with their number of rated answers until the verdict.
     bad: BTreeMap<Name, u64>,
     /// When a version's test first had the verdict "bad" at any host.
-    found: BTreeMap<Name, Millis>,
+    detected_at: BTreeMap<Name, Millis>,
     withdrawn: Vec<Name>,
     rater_up: bool,
     rate_ms: u64,
@@ -111,19 +111,19 @@
 /// Replays a trace to its end and returns the counts.
 #[must_use]
 pub fn run(trace: &Trace, options: Options) -> Tally {
-    let mut world = World::new(trace, options);
-    while let Some((at, step)) = world.clock.pop() {
-        world.now = at;
-        world.step(step);
+    let mut replay = Replay::new(trace, options);
+    while let Some((at, step)) = replay.clock.pop() {
+        replay.now = at;
+        replay.step(step);
     }
-    for row in &world.rollouts {
-        let share = row.progress.share(&row.course);
-        world.tally.shares.insert(row.version.clone(), share);
+    for row in &replay.rollouts {
+        let share = row.progress.share(&row.schedule);
+        replay.tally.shares.insert(row.version.clone(), share);
     }
-    world.tally
+    replay.tally
 }
 
-impl<'a> World<'a> {
+impl<'a> Replay<'a> {
     fn new(trace: &'a Trace, options: Options) -> Self {
         let header = &trace.header;
         let hosts = options.entry_hosts.unwrap_or(header.entry_hosts);
@@ -145,12 +145,12 @@
             draw: Draw::new(header.seed),
             hosts: (0..hosts).map(|_| Host::new(header, options.variant)).collect(),
             pools: header.pools.iter().map(|(n, p)| (n.clone(), Pool::new(*p))).collect(),
-            lives: Vec::new(),
+            jobs: Vec::new(),
             calls: Vec::new(),
             sessions: BTreeMap::new(),
             rollouts: rows(trace),
             bad: BTreeMap::new(),
-            found: BTreeMap::new(),
+            detected_at: BTreeMap::new(),
             withdrawn: Vec::new(),
             rater_up: true,
             rate_ms: header.rate_ms,
@@ -163,43 +163,43 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Request(index) => self.arrive(index),
-            Step::Event(index) => self.happen(index),
-            Step::Ended(call) => self.ended(call),
-            Step::Rated { host, rated, cascade, asked } => {
+            Step::Event(index) => self.apply_event(index),
+            Step::Ended(call) => self.end_call(call),
+            Step::OwnRating { host, rated, cascade, asked } => {
                 let took = self.now.since(asked);
-                self.hosts[host].knowledge.rating_took(took);
-                self.rated(host, &rated);
-                self.cascade_rated(cascade, rated.good);
+                self.hosts[host].knowledge.record_rating_latency(took);
+                self.receive_rating(host, &rated);
+                self.continue_cascade(cascade, rated.good);
             }
-            Step::Heard { host, rated } => self.observe(host, &rated),
-            Step::Stopped { host, version } => self.stop(host, &version),
+            Step::PeerRating { host, rated } => self.record_rating(host, &rated),
+            Step::Stopped { host, version } => self.stop_version(host, &version),
             Step::Share { host, version, share } => {
-                self.hosts[host].knowledge.share(&version, share);
+                self.hosts[host].knowledge.set_share(&version, share);
             }
-            Step::Reports { pool, loads, at } => self.reports(&pool, &loads, at),
-            Step::Report => self.report(),
-            Step::Rollouts => self.rollouts(),
+            Step::DeliverReports { pool, loads, at } => self.deliver_reports(&pool, &loads, at),
+            Step::Report => self.collect_reports(),
+            Step::Rollouts => self.check_rollouts(),
             Step::Sweep => self.sweep(),
         }
     }
 
-    /// Schedules a periodic step again, unless the trace has been over for [`TAIL_MS`].
-    fn again(&mut self, after_ms: u64, step: Step) {
+    /// Schedules a periodic step again, unless the trace has been over for [`DRAIN_MS`].
+    fn reschedule(&mut self, after_ms: u64, step: Step) {
         let last = self.trace.requests.last().map_or(0, |request| request.at_ms);
-        if self.now.0 < last + TAIL_MS {
+        if self.now.0 < last + DRAIN_MS {
             self.clock.push(self.now + after_ms, step);
         }
     }
 
     /// Schedules a step at every host but `host`, after the evidence delay.
-    fn tell_others(&mut self, host: usize, step: impl Fn(usize) -> Step) {
+    fn notify_peers(&mut self, host: usize, step: impl Fn(usize) -> Step) {
         let at = self.now + self.trace.header.evidence_delay_ms;
         for other in (0..self.hosts.len()).filter(|other| *other != host) {
             self.clock.push(at, step(other));
         }
     }
 
-    fn entries(&self) -> u32 {
+    fn host_count(&self) -> u32 {
         self.hosts.len() as u32
     }
 }
@@ -207,7 +207,7 @@
 fn rows(trace: &Trace) -> Vec<Row> {
     let row = |rollout: &wire::configuration::Rollout| Row {
         version: rollout.version.clone(),
-        course: Schedule {
+        schedule: Schedule {
             steps: rollout.steps.clone(),
             step_ms: rollout.step_ms,
             min_rated: rollout.min_rated,
--- a/crates/replay/src/run/news.rs
+++ b/crates/replay/src/run/events.rs
@@ -5,12 +5,12 @@
 use policy::rollout::{self, Action as Next};
 use policy::time::Millis;
 
-use super::knowledge::Rated;
-use super::{REPORT_EVERY_MS, ROLLOUT_EVERY_MS, SWEEP_EVERY_MS, Step, World};
+use super::knowledge::Rating;
+use super::{REPORT_INTERVAL_MS, ROLLOUT_INTERVAL_MS, Replay, SWEEP_INTERVAL_MS, Step};
 use crate::trace::Happening;
 
-impl World<'_> {
-    pub(super) fn happen(&mut self, index: usize) {
+impl Replay<'_> {
+    pub(super) fn apply_event(&mut self, index: usize) {
         match &self.trace.events[index].what {
             Happening::TurnedBad { version } => {
                 self.bad.insert(version.clone(), 0);
@@ -19,7 +19,7 @@
             Happening::PoolDown { pool, workers } => self.pool_down(pool, *workers),
             Happening::PoolUp { pool } => {
                 if let Some(pool) = self.pools.get_mut(pool) {
-                    pool.up();
+                    pool.restart();
                 }
             }
             Happening::PlatformDown => self.platform_up = false,
@@ -43,88 +43,89 @@
 
     fn pool_down(&mut self, name: &Name, workers: Option<u32>) {
         let Some(pool) = self.pools.get_mut(name) else { return };
-        for call in pool.down(workers) {
-            self.broken(call);
+        for call in pool.stop(workers) {
+            self.break_call(call);
         }
     }
 
     /// Handles a rating at the host that requested it, and forwards it to the other hosts, which
     /// receive it after the evidence delay.
-    pub(super) fn rated(&mut self, host: usize, rated: &Rated) {
+    pub(super) fn receive_rating(&mut self, host: usize, rated: &Rating) {
         self.tally.rated += 1;
         self.tally.rate_cost += self.trace.header.rate_cost;
         self.tally.spend(&rated.task, self.trace.header.rate_cost);
         match self.bad.get_mut(&rated.version) {
-            Some(count) if !self.found.contains_key(&rated.version) => *count += 1,
+            Some(count) if !self.detected_at.contains_key(&rated.version) => *count += 1,
             _ => {}
         }
-        self.observe(host, rated);
-        self.tell_others(host, |host| Step::Heard { host, rated: rated.clone() });
+        self.record_rating(host, rated);
+        self.notify_peers(host, |host| Step::PeerRating { host, rated: rated.clone() });
     }
 
-    pub(super) fn observe(&mut self, host: usize, rated: &Rated) {
+    pub(super) fn record_rating(&mut self, host: usize, rated: &Rating) {
         let now = self.now;
         if !self.hosts[host].knowledge.observe(rated, now) {
             return;
         }
         let version = rated.version.clone();
-        if !self.found.contains_key(&version) {
-            self.found.insert(version.clone(), now);
+        if !self.detected_at.contains_key(&version) {
+            self.detected_at.insert(version.clone(), now);
             match self.bad.get(&version) {
                 Some(rated) => self.tally.exposure.rated += rated,
                 None => self.tally.false_alarms += 1,
             }
         }
-        self.stop(host, &version);
-        self.tell_others(host, |host| Step::Stopped { host, version: version.clone() });
+        self.stop_version(host, &version);
+        self.notify_peers(host, |host| Step::Stopped { host, version: version.clone() });
     }
 
-    pub(super) fn stop(&mut self, host: usize, version: &Name) {
+    pub(super) fn stop_version(&mut self, host: usize, version: &Name) {
         if !self.hosts[host].knowledge.takes_work(version) {
             return;
         }
         self.hosts[host].knowledge.stop(version);
         let exposed = |call: &&super::Call| {
-            call.host == host && call.exposed && !call.over && call.version == *version
+            call.host == host && call.is_exposed && !call.is_finished && call.version == *version
         };
         self.tally.exposure.in_flight += self.calls.iter().filter(exposed).count() as u64;
     }
 
-    pub(super) fn report(&mut self) {
+    pub(super) fn collect_reports(&mut self) {
         for (name, pool) in &self.pools {
-            let step = Step::Reports { pool: name.clone(), loads: pool.loads(), at: self.now };
+            let step =
+                Step::DeliverReports { pool: name.clone(), loads: pool.loads(), at: self.now };
             self.clock.push(self.now + pool.settings.report_lag_ms, step);
         }
-        self.again(REPORT_EVERY_MS, Step::Report);
+        self.reschedule(REPORT_INTERVAL_MS, Step::Report);
     }
 
-    pub(super) fn reports(&mut self, pool: &Name, loads: &[Option<u32>], at: Millis) {
+    pub(super) fn deliver_reports(&mut self, pool: &Name, loads: &[Option<u32>], at: Millis) {
         for host in &mut self.hosts {
-            if let Some(known) = host.pools.get_mut(pool) {
-                known.reported(loads, at);
+            if let Some(view) = host.pools.get_mut(pool) {
+                view.record_reports(loads, at);
             }
         }
         for host in 0..self.hosts.len() {
-            self.pump(host, pool);
+            self.drain_queue(host, pool);
         }
     }
 
-    pub(super) fn rollouts(&mut self) {
+    pub(super) fn check_rollouts(&mut self) {
         if self.platform_up && self.control_up {
-            (0..self.rollouts.len()).for_each(|index| self.rollout(index));
+            (0..self.rollouts.len()).for_each(|index| self.check_rollout(index));
         }
-        self.again(ROLLOUT_EVERY_MS, Step::Rollouts);
+        self.reschedule(ROLLOUT_INTERVAL_MS, Step::Rollouts);
     }
 
-    fn rollout(&mut self, index: usize) {
+    fn check_rollout(&mut self, index: usize) {
         let row = &mut self.rollouts[index];
         // All controls decide alike, so the first host's ratings stand for any control's.
         let ratings = self.hosts[0].knowledge.ratings(&row.version);
-        match rollout::next(&row.course, &row.progress, &ratings, self.now) {
+        match rollout::next(&row.schedule, &row.progress, &ratings, self.now) {
             Next::Raise(progress) | Next::Stop(progress) => row.progress = progress,
             Next::Hold | Next::Done => {}
         }
-        let (version, share) = (row.version.clone(), row.progress.share(&row.course));
+        let (version, share) = (row.version.clone(), row.progress.share(&row.schedule));
         let at = self.now + self.trace.header.evidence_delay_ms;
         for host in 0..self.hosts.len() {
             self.clock.push(at, Step::Share { host, version: version.clone(), share });
@@ -136,10 +137,10 @@
         for host in 0..self.hosts.len() {
             for name in &names {
                 self.sweep_queue(host, name);
-                self.pump(host, name);
+                self.drain_queue(host, name);
             }
         }
-        self.again(SWEEP_EVERY_MS, Step::Sweep);
+        self.reschedule(SWEEP_INTERVAL_MS, Step::Sweep);
     }
 
     /// Returns the hash that places a session's requests on the same backend server, because they
--- a/crates/replay/src/run/host.rs
+++ b/crates/replay/src/run/host.rs
@@ -16,7 +16,7 @@
 use crate::variant::{Placement, Variant};
 
 /// Service time that a queue assumes until it has measured answers.
-const SERVICE_MS: f64 = 500.0;
+const INITIAL_SERVICE_MS: f64 = 500.0;
 
 /// A pool as one host sees it.
 #[derive(Clone, Debug)]
@@ -61,7 +61,7 @@
             let pool = Pool {
                 servers: (0..count).map(|i| Server::new(format!("{name}-{i}"))).collect(),
                 health: vec![Health::default(); count],
-                queue: Queue::new(limit, SERVICE_MS),
+                queue: Queue::new(limit, INITIAL_SERVICE_MS),
                 waiting: BTreeMap::new(),
                 retries: Budget::default(),
                 slots: settings.slots,
@@ -93,7 +93,7 @@
     }
 
     /// Records load reports that the servers made at `at`; `None` is a server that is down.
-    pub fn reported(&mut self, loads: &[Option<u32>], at: Millis) {
+    pub fn record_reports(&mut self, loads: &[Option<u32>], at: Millis) {
         let servers = self.servers.iter_mut().zip(&mut self.health);
         for ((server, health), load) in servers.zip(loads) {
             if let Some(in_flight) = *load {
@@ -126,7 +126,7 @@
 
     /// Records that a server refused or broke a connection; new calls avoid the server for a
     /// while.
-    pub fn refused(&mut self, server: usize, now: Millis) {
+    pub fn record_refusal(&mut self, server: usize, now: Millis) {
         self.health[server].record_failure(now);
         self.servers[server].ill_until = self.health[server].ill_until;
     }
--- a/crates/replay/src/run/life.rs
+++ b/crates/replay/src/run/job.rs
@@ -8,18 +8,18 @@
 use policy::time::Millis;
 use wire::configuration::Task;
 
-use super::knowledge::Rated;
-use super::pool::Taken;
+use super::knowledge::Rating;
+use super::pool::Outcome;
 use super::tally::Refusals;
-use super::{Step, World};
+use super::{Replay, Step};
 use crate::trace::Request;
 
 /// Maximum number of backend servers that one call is sent to.
-const TRIES: usize = 3;
+const ATTEMPTS_MAX: usize = 3;
 
 /// The state of a request from arrival to answer or refusal.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct Job {
     request: usize,
     host: usize,
     plan: Plan,
@@ -27,13 +27,13 @@
     escalated: bool,
     deadline: Millis,
     may_repeat: bool,
-    over: bool,
+    is_finished: bool,
 }
 
 /// A call of a version on a backend server.
 #[derive(Clone, Debug)]
 pub struct Call {
-    life: usize,
+    job: usize,
     /// Index of the entry host that made the call.
     pub host: usize,
     /// Version that the call runs on.
@@ -42,36 +42,36 @@
     worker: usize,
     sent: Millis,
     /// Whether the version had already turned bad when the call was made.
-    pub exposed: bool,
+    pub is_exposed: bool,
     /// Whether the call has ended or broken off.
-    pub over: bool,
+    pub is_finished: bool,
 }
 
-impl World<'_> {
+impl Replay<'_> {
     pub(super) fn arrive(&mut self, index: usize) {
         let trace = self.trace;
         let request = &trace.requests[index];
         let Some(task) = trace.task(request) else { return };
         let host = self.draw.below(self.hosts.len() as u64) as usize;
-        let life = Life {
+        let job = Job {
             request: index,
             host,
             plan: Plan::Single(Name::default()),
             escalated: false,
             deadline: self.now + request.deadline_ms.unwrap_or(task.deadline_ms),
             may_repeat: task.may_repeat && request.may_repeat.unwrap_or(true),
-            over: false,
+            is_finished: false,
         };
-        self.lives.push(life);
-        let life = self.lives.len() - 1;
-        match self.limited(life, request) {
-            limit::Verdict::Granted => self.choose(life, request, task),
-            limit::Verdict::Refused { .. } => self.refuse(life, |refusals| &mut refusals.limit),
+        self.jobs.push(job);
+        let job = self.jobs.len() - 1;
+        match self.acquire_limit(job, request) {
+            limit::Verdict::Granted => self.choose(job, request, task),
+            limit::Verdict::Refused { .. } => self.refuse(job, |refusals| &mut refusals.limit),
         }
     }
 
-    fn limited(&mut self, life: usize, request: &Request) -> limit::Verdict {
-        let entries = self.entries();
+    fn acquire_limit(&mut self, job: usize, request: &Request) -> limit::Verdict {
+        let entries = self.host_count();
         let account = self.trace.header.configuration.accounts.get(&request.account);
         let limit = account.map(|account| account.limit.clone()).unwrap_or_default();
         let limit = limit::Limit {
@@ -79,24 +79,24 @@
             in_flight: limit.in_flight,
         };
         let jitter = self.draw.unit();
-        let host = &mut self.hosts[self.lives[life].host];
+        let host = &mut self.hosts[self.jobs[job].host];
         host.retries.entry(request.account.clone()).or_default().fill();
         let usage = host.usage.entry(request.account.clone()).or_default();
         usage.acquire(&limit, entries, jitter, self.now)
     }
 
-    fn choose(&mut self, life: usize, request: &Request, task: &Task) {
-        match self.plan(life, request) {
+    fn choose(&mut self, job: usize, request: &Request, task: &Task) {
+        match self.plan(job, request) {
             Ok(plan) => {
-                self.lives[life].plan = plan;
-                self.ask(life, task.priority);
+                self.jobs[job].plan = plan;
+                self.request_slot(job, task.priority);
             }
-            Err(reason) => self.refuse(life, reason),
+            Err(reason) => self.refuse(job, reason),
         }
     }
 
-    fn plan(&mut self, life: usize, request: &Request) -> Result<Plan, Reason> {
-        let (host, may_repeat) = (self.lives[life].host, self.lives[life].may_repeat);
+    fn plan(&mut self, job: usize, request: &Request) -> Result<Plan, Reason> {
+        let (host, may_repeat) = (self.jobs[job].host, self.jobs[job].may_repeat);
         let knowledge = &mut self.hosts[host].knowledge;
         let pinned = request.session.as_ref().and_then(|session| self.sessions.get(session));
         match (&request.session, pinned) {
@@ -124,113 +124,120 @@
     }
 
     /// Requests a slot in the pool of the current version: sends the call, queues or refuses it.
-    fn ask(&mut self, life: usize, priority: u8) {
-        let version = self.version(life);
-        let Some(pool) = self.pool_of(&version) else { return self.refuse(life, no_version) };
-        let task = self.trace.requests[self.lives[life].request].task.clone();
-        let Life { host, deadline, escalated, .. } = self.lives[life];
-        let account = self.trace.requests[self.lives[life].request].account.clone();
-        let (jitter, entries, now) = (self.draw.unit(), self.entries(), self.now);
-        let service_ms = self.hosts[host].knowledge.time(&version, &task);
-        let ask = Arrival::new(account, priority, deadline).with_service(service_ms);
-        let ask = if escalated { ask.continued() } else { ask };
-        let Some(known) = self.hosts[host].pools.get_mut(&pool) else { return };
-        let load = known.load(entries, now);
-        match known.queue.offer(&ask, load, jitter, now) {
-            Verdict::Admit => self.launch(life),
+    fn request_slot(&mut self, job: usize, priority: u8) {
+        let version = self.version(job);
+        let Some(pool) = self.pool_of(&version) else { return self.refuse(job, no_version) };
+        let task = self.trace.requests[self.jobs[job].request].task.clone();
+        let Job { host, deadline, escalated, .. } = self.jobs[job];
+        let account = self.trace.requests[self.jobs[job].request].account.clone();
+        let (jitter, entries, now) = (self.draw.unit(), self.host_count(), self.now);
+        let service_ms = self.hosts[host].knowledge.mean_latency_ms(&version, &task);
+        let arrival = Arrival::new(account, priority, deadline).with_service(service_ms);
+        let arrival = if escalated { arrival.continued() } else { arrival };
+        let Some(view) = self.hosts[host].pools.get_mut(&pool) else { return };
+        let load = view.load(entries, now);
+        match view.queue.offer(&arrival, load, jitter, now) {
+            Verdict::Admit => self.launch(job),
             Verdict::Wait { ticket, evicted } => {
-                known.waiting.insert(ticket, life);
+                view.waiting.insert(ticket, job);
                 evicted.into_iter().for_each(|evicted| self.evict(host, &pool, evicted));
             }
-            Verdict::Refuse { .. } => self.give_up(life, |refusals| &mut refusals.overload),
+            Verdict::Refuse { .. } => self.give_up(job, |refusals| &mut refusals.overload),
         }
     }
 
     /// Sends a call to a backend server. If the server refuses the connection, tries another one.
-    fn launch(&mut self, life: usize) {
-        let (host, request) = (self.lives[life].host, self.lives[life].request);
-        let version = self.version(life);
-        let Some(pool) = self.pool_of(&version) else { return self.refuse(life, no_version) };
+    fn launch(&mut self, job: usize) {
+        let (host, request) = (self.jobs[job].host, self.jobs[job].request);
+        let version = self.version(job);
+        let Some(pool) = self.pool_of(&version) else { return self.refuse(job, no_version) };
         if !self.hosts[host].knowledge.takes_work(&version) {
-            return self.give_up(life, |refusals| &mut refusals.session_ended);
+            return self.give_up(job, |refusals| &mut refusals.session_ended);
         }
         let affinity = self.affinity(request);
         let mut except = None;
-        for _ in 0..TRIES {
+        for _ in 0..ATTEMPTS_MAX {
             let (draw, now) = (self.draw.bits(), self.now);
-            let Some(known) = self.hosts[host].pools.get_mut(&pool) else { return };
+            let Some(view) = self.hosts[host].pools.get_mut(&pool) else { return };
             let placement = self.options.variant.placement;
-            let Some(worker) = known.place(placement, except, affinity, draw, now) else { break };
+            let Some(worker) = view.place(placement, except, affinity, draw, now) else { break };
             let call = self.calls.len();
             let Some(servers) = self.pools.get_mut(&pool) else { return };
-            match servers.take(worker, call) {
-                Taken::Refused => {
-                    known.refused(worker, now);
+            match servers.accept(worker, call) {
+                Outcome::Refused => {
+                    view.record_refusal(worker, now);
                     except = Some(worker);
                 }
-                taken => {
-                    known.servers[worker].in_flight += 1;
-                    return self.sent(life, version, pool, worker, taken);
+                outcome => {
+                    view.servers[worker].in_flight += 1;
+                    return self.record_call(job, version, pool, worker, outcome);
                 }
             }
         }
-        self.give_up(life, |refusals| &mut refusals.overload);
+        self.give_up(job, |refusals| &mut refusals.overload);
     }
 
-    fn sent(&mut self, life: usize, version: Name, pool: Name, worker: usize, taken: Taken) {
-        let exposed = self.bad.contains_key(&version);
-        match exposed {
-            true if self.found.contains_key(&version) => self.tally.exposure.spread += 1,
+    fn record_call(
+        &mut self,
+        job: usize,
+        version: Name,
+        pool: Name,
+        worker: usize,
+        outcome: Outcome,
+    ) {
+        let is_exposed = self.bad.contains_key(&version);
+        match is_exposed {
+            true if self.detected_at.contains_key(&version) => self.tally.exposure.spread += 1,
             true => self.tally.exposure.test += 1,
             false => {}
         }
         let document = &self.trace.header.configuration;
-        let request = &self.trace.requests[self.lives[life].request];
+        let request = &self.trace.requests[self.jobs[job].request];
         let allowed = document.accounts.get(&request.account);
         let allowed = allowed.is_some_and(|account| account.versions.contains(&version));
         self.tally.violations += u64::from(!allowed);
         let cost = document.versions.get(&version).map_or(0.0, |version| version.cost);
         self.tally.spend(&request.task, cost);
-        let (host, sent) = (self.lives[life].host, self.now);
-        let call = Call { life, host, version, pool, worker, sent, exposed, over: false };
+        let (host, sent) = (self.jobs[job].host, self.now);
+        let call = Call { job, host, version, pool, worker, sent, is_exposed, is_finished: false };
         self.calls.push(call);
-        if taken == Taken::Running {
-            self.started(self.calls.len() - 1);
+        if outcome == Outcome::Running {
+            self.start_call(self.calls.len() - 1);
         }
     }
 
-    fn started(&mut self, call: usize) {
+    fn start_call(&mut self, call: usize) {
         let now = self.now;
         let started = &self.calls[call];
         self.tally.server_waits.push(now.since(started.sent));
-        let request = &self.trace.requests[self.lives[started.life].request];
+        let request = &self.trace.requests[self.jobs[started.job].request];
         let ms = request.ms.get(&started.version).copied().unwrap_or(0);
         self.clock.push(now + ms, Step::Ended(call));
     }
 
-    pub(super) fn ended(&mut self, call: usize) {
-        if self.calls[call].over {
+    pub(super) fn end_call(&mut self, call: usize) {
+        if self.calls[call].is_finished {
             return;
         }
-        let Call { life, host, version, pool, worker, sent, .. } = self.calls[call].clone();
-        self.calls[call].over = true;
-        let next = self.pools.get_mut(&pool).and_then(|pool| pool.end(worker, call));
-        next.into_iter().for_each(|next| self.started(next));
-        let task = self.trace.requests[self.lives[life].request].task.clone();
+        let Call { job, host, version, pool, worker, sent, .. } = self.calls[call].clone();
+        self.calls[call].is_finished = true;
+        let next = self.pools.get_mut(&pool).and_then(|pool| pool.end_call(worker, call));
+        next.into_iter().for_each(|next| self.start_call(next));
+        let task = self.trace.requests[self.jobs[job].request].task.clone();
         let took = self.now.since(sent) as f64;
-        let known = &mut self.hosts[host];
-        known.knowledge.took(&version, &task, took);
-        if let Some(known) = known.pools.get_mut(&pool) {
-            known.servers[worker].in_flight -= 1;
-            known.queue.record_service_ms(took);
+        let sender = &mut self.hosts[host];
+        sender.knowledge.record_latency(&version, &task, took);
+        if let Some(view) = sender.pools.get_mut(&pool) {
+            view.servers[worker].in_flight -= 1;
+            view.queue.record_service_ms(took);
         }
-        self.pump(host, &pool);
-        self.answered(life, version);
+        self.drain_queue(host, &pool);
+        self.handle_answer(job, version);
     }
 
     /// Handles a version's answer: returns it to the caller, in a cascade after a rating.
-    fn answered(&mut self, life: usize, version: Name) {
-        let Life { host, deadline, ref plan, escalated, .. } = self.lives[life];
+    fn handle_answer(&mut self, job: usize, version: Name) {
+        let Job { host, deadline, ref plan, escalated, .. } = self.jobs[job];
         let cascade = matches!(plan, Plan::Cascade { .. }) && !escalated;
         let in_time = self.now + self.rate_ms < deadline;
         let unit = self.draw.unit();
@@ -243,40 +250,40 @@
             self.hosts[host].knowledge.rater_up = self.rater_up;
         }
         match wanted && self.rater_up {
-            true if cascade && in_time => self.rate(life, version, Some(life)),
+            true if cascade && in_time => self.request_rating(job, version, Some(job)),
             true => {
-                self.rate(life, version.clone(), None);
-                self.finish(life, &version);
+                self.request_rating(job, version.clone(), None);
+                self.finish(job, &version);
             }
-            false => self.finish(life, &version),
+            false => self.finish(job, &version),
         }
     }
 
-    fn rate(&mut self, life: usize, version: Name, cascade: Option<usize>) {
-        let request = &self.trace.requests[self.lives[life].request];
+    fn request_rating(&mut self, job: usize, version: Name, cascade: Option<usize>) {
+        let request = &self.trace.requests[self.jobs[job].request];
         let good = request.good.get(&version).copied().unwrap_or(false);
-        let rated = Rated { version, task: request.task.clone(), good };
-        let (host, asked) = (self.lives[life].host, self.now);
-        self.clock.push(asked + self.rate_ms, Step::Rated { host, rated, cascade, asked });
+        let rated = Rating { version, task: request.task.clone(), good };
+        let (host, asked) = (self.jobs[job].host, self.now);
+        self.clock.push(asked + self.rate_ms, Step::OwnRating { host, rated, cascade, asked });
     }
 
-    pub(super) fn cascade_rated(&mut self, life: Option<usize>, good: bool) {
-        let Some(life) = life else { return };
-        let request = &self.trace.requests[self.lives[life].request];
+    pub(super) fn continue_cascade(&mut self, job: Option<usize>, good: bool) {
+        let Some(job) = job else { return };
+        let request = &self.trace.requests[self.jobs[job].request];
         match self.trace.task(request) {
             Some(task) if !good => {
-                self.lives[life].escalated = true;
-                self.ask(life, task.priority);
+                self.jobs[job].escalated = true;
+                self.request_slot(job, task.priority);
             }
-            _ => self.finish(life, &self.version(life)),
+            _ => self.finish(job, &self.version(job)),
         }
     }
 
     /// Returns the version that the request currently uses.
-    fn version(&self, life: usize) -> Name {
-        match &self.lives[life].plan {
+    fn version(&self, job: usize) -> Name {
+        match &self.jobs[job].plan {
             Plan::Single(version) => version.clone(),
-            Plan::Cascade { then, .. } if self.lives[life].escalated => then.clone(),
+            Plan::Cascade { then, .. } if self.jobs[job].escalated => then.clone(),
             Plan::Cascade { first, .. } => first.clone(),
         }
     }
@@ -288,83 +295,83 @@
 
     /// Ends a request whose call can't be made or repeated. A cascade in its second stage still
     /// returns its first answer; any other request is refused.
-    fn give_up(&mut self, life: usize, reason: Reason) {
-        match self.lives[life].plan.clone() {
-            Plan::Cascade { first, .. } if self.lives[life].escalated => self.finish(life, &first),
-            _ => self.refuse(life, reason),
+    fn give_up(&mut self, job: usize, reason: Reason) {
+        match self.jobs[job].plan.clone() {
+            Plan::Cascade { first, .. } if self.jobs[job].escalated => self.finish(job, &first),
+            _ => self.refuse(job, reason),
         }
     }
 
     /// Handles a call whose backend server crashed: retries it elsewhere or gives up.
-    pub(super) fn broken(&mut self, call: usize) {
-        let Call { life, host, worker, ref pool, .. } = self.calls[call];
+    pub(super) fn break_call(&mut self, call: usize) {
+        let Call { job, host, worker, ref pool, .. } = self.calls[call];
         let (pool, now) = (pool.clone(), self.now);
-        self.calls[call].over = true;
-        let account = self.trace.requests[self.lives[life].request].account.clone();
+        self.calls[call].is_finished = true;
+        let account = self.trace.requests[self.jobs[job].request].account.clone();
         let attempt = Attempt {
-            may_repeat: self.lives[life].may_repeat,
+            may_repeat: self.jobs[job].may_repeat,
             first_byte_written: true,
             answer_begun: false,
-            left_ms: self.lives[life].deadline.since(now),
+            left_ms: self.jobs[job].deadline.since(now),
             expected_ms: 0,
         };
         let Host { pools, retries, .. } = &mut self.hosts[host];
-        let Some(known) = pools.get_mut(&pool) else { return };
-        known.servers[worker].in_flight -= 1;
-        known.refused(worker, now);
+        let Some(view) = pools.get_mut(&pool) else { return };
+        view.servers[worker].in_flight -= 1;
+        view.record_refusal(worker, now);
         let account = retries.entry(account).or_default();
-        let again = retry::may_retry_elsewhere(&attempt)
-            && retry::take_from_both(account, &mut known.retries);
-        match again {
-            true => self.launch(life),
-            false => self.give_up(life, |refusals| &mut refusals.broken),
+        let may_retry = retry::may_retry_elsewhere(&attempt)
+            && retry::take_from_both(account, &mut view.retries);
+        match may_retry {
+            true => self.launch(job),
+            false => self.give_up(job, |refusals| &mut refusals.broken),
         }
     }
 
     /// Sends queued requests of a pool as long as the pool has free slots.
-    pub(super) fn pump(&mut self, host: usize, pool: &Name) {
+    pub(super) fn drain_queue(&mut self, host: usize, pool: &Name) {
         loop {
-            let (entries, now) = (self.entries(), self.now);
-            let Some(known) = self.hosts[host].pools.get_mut(pool) else { return };
-            if known.load(entries, now).free() == 0 {
+            let (entries, now) = (self.host_count(), self.now);
+            let Some(view) = self.hosts[host].pools.get_mut(pool) else { return };
+            if view.load(entries, now).free() == 0 {
                 return;
             }
-            let Some(ticket) = known.queue.pop() else { return };
-            match known.waiting.remove(&ticket) {
-                Some(life) => self.launch(life),
+            let Some(ticket) = view.queue.pop() else { return };
+            match view.waiting.remove(&ticket) {
+                Some(job) => self.launch(job),
                 None => return,
             }
         }
     }
 
     pub(super) fn sweep_queue(&mut self, host: usize, pool: &Name) {
-        let (entries, now) = (self.entries(), self.now);
-        let Some(known) = self.hosts[host].pools.get_mut(pool) else { return };
-        if known.queue.is_empty() {
+        let (entries, now) = (self.host_count(), self.now);
+        let Some(view) = self.hosts[host].pools.get_mut(pool) else { return };
+        if view.queue.is_empty() {
             return;
         }
-        let load = known.load(entries, now);
-        for evicted in known.queue.evict_overdue(load, 0.0, now) {
+        let load = view.load(entries, now);
+        for evicted in view.queue.evict_overdue(load, 0.0, now) {
             self.evict(host, pool, evicted);
         }
     }
 
     fn evict(&mut self, host: usize, pool: &Name, evicted: Evicted) {
-        let known = self.hosts[host].pools.get_mut(pool);
-        let life = known.and_then(|known| known.waiting.remove(&evicted.ticket));
-        life.into_iter().for_each(|life| self.give_up(life, |refusals| &mut refusals.evicted));
+        let view = self.hosts[host].pools.get_mut(pool);
+        let job = view.and_then(|view| view.waiting.remove(&evicted.ticket));
+        job.into_iter().for_each(|job| self.give_up(job, |refusals| &mut refusals.evicted));
     }
 
     /// Returns an answer to the caller; counts the request as refused if the answer is late.
-    fn finish(&mut self, life: usize, version: &Name) {
-        let Life { request: index, deadline, .. } = self.lives[life];
+    fn finish(&mut self, job: usize, version: &Name) {
+        let Job { request: index, deadline, .. } = self.jobs[job];
         if self.now > deadline {
-            return self.refuse(life, |refusals| &mut refusals.late);
+            return self.refuse(job, |refusals| &mut refusals.late);
         }
         let request = &self.trace.requests[index];
         let good = u64::from(request.good.get(version).copied().unwrap_or(false));
         let now = self.now;
-        self.over(life);
+        self.close(job);
         self.tally.answered.push(index);
         self.tally.times.push(now.since(Millis(request.at_ms)));
         for served in [
@@ -376,18 +383,18 @@
         }
     }
 
-    fn refuse(&mut self, life: usize, reason: Reason) {
-        let request = &self.trace.requests[self.lives[life].request];
-        self.over(life);
+    fn refuse(&mut self, job: usize, reason: Reason) {
+        let request = &self.trace.requests[self.jobs[job].request];
+        self.close(job);
         *reason(&mut self.tally.refusals) += 1;
         self.tally.tasks.entry(request.task.clone()).or_default().refused += 1;
         self.tally.accounts.entry(request.account.clone()).or_default().refused += 1;
     }
 
-    fn over(&mut self, life: usize) {
-        let Life { request, host, ref mut over, .. } = self.lives[life];
-        debug_assert!(!*over, "a request ends once");
-        *over = true;
+    fn close(&mut self, job: usize) {
+        let Job { request, host, ref mut is_finished, .. } = self.jobs[job];
+        debug_assert!(!*is_finished, "a request ends once");
+        *is_finished = true;
         let account = &self.trace.requests[request].account;
         if let Some(usage) = self.hosts[host].usage.get_mut(account) {
             usage.release();
--- a/crates/replay/src/run/knowledge.rs
+++ b/crates/replay/src/run/knowledge.rs
@@ -16,16 +16,16 @@
 use crate::variant::{Detection, Selection, Variant};
 
 /// Weight of a new sample in the moving averages of answer and rating times, 0 to 1.
-const TIME_GAIN: f64 = 0.1;
+const LATENCY_GAIN_FRACTION: f64 = 0.1;
 /// Factor on the mean answer time for planning, so that most answers come within the planned time.
-const TIME_MARGIN: f64 = 2.0;
+const LATENCY_FACTOR: f64 = 2.0;
 /// Age at which a table of plans is built again.
-const TABLE_MS: u64 = 1_000;
+const TABLE_MAX_AGE_MS: u64 = 1_000;
 
 domain! {
     /// One rated answer.
     #[derive(Eq)]
-    pub struct Rated {
+    pub struct Rating {
         /// Version that gave the answer.
         pub version: Name,
         /// Task of the answered request.
@@ -37,7 +37,7 @@
 
 /// What the host knows of one version.
 #[derive(Clone, Debug)]
-struct Known {
+struct Record {
     model: Name,
     cost: f64,
     takes_work: bool,
@@ -61,9 +61,9 @@
 #[derive(Clone, Debug)]
 pub struct Knowledge {
     variant: Variant,
-    versions: BTreeMap<Name, Known>,
+    versions: BTreeMap<Name, Record>,
     estimates: BTreeMap<(Name, Name), Estimate>,
-    times: BTreeMap<(Name, Name), f64>,
+    latencies_ms: BTreeMap<(Name, Name), f64>,
     tables: BTreeMap<(Name, Name, bool), (Millis, Table)>,
     /// Whether the rating service was reachable when the host last selected an answer for rating.
     pub rater_up: bool,
@@ -81,7 +81,7 @@
                 estimates.insert((name.clone(), task.clone()), Estimate::prior(*quality));
             }
         }
-        let known = |version: &Version| Known {
+        let record = |version: &Version| Record {
             model: version.model.clone(),
             cost: version.cost,
             takes_work: version.accepts_new_sessions(),
@@ -93,9 +93,9 @@
         };
         Self {
             variant,
-            versions: document.versions.iter().map(|(n, v)| (n.clone(), known(v))).collect(),
+            versions: document.versions.iter().map(|(n, v)| (n.clone(), record(v))).collect(),
             estimates,
-            times: BTreeMap::new(),
+            latencies_ms: BTreeMap::new(),
             tables: BTreeMap::new(),
             rater_up: true,
             rate_ms: rate_ms as f64,
@@ -112,7 +112,7 @@
         now: Millis,
     ) -> &Table {
         let key = (account.clone(), task.clone(), may_repeat);
-        let fresh = |(built, _): &(Millis, Table)| now.since(*built) < TABLE_MS;
+        let fresh = |(built, _): &(Millis, Table)| now.since(*built) < TABLE_MAX_AGE_MS;
         if !self.tables.get(&key).is_some_and(fresh) {
             let table = self.plan(document, (account, task), may_repeat, now);
             self.tables.insert(key.clone(), (now, table));
@@ -149,14 +149,14 @@
     }
 
     fn candidate(&self, version: &Name, task: &Name) -> Option<Candidate> {
-        let known = self.versions.get(version).filter(|known| known.takes_work)?;
+        let record = self.versions.get(version).filter(|record| record.takes_work)?;
         let key = (version.clone(), task.clone());
         let quality = self.estimates.get(&key).copied().unwrap_or_default();
-        let time = self.times.get(&key).copied().unwrap_or(0.0);
-        let candidate = Candidate::live(version.clone(), known.cost, quality)
-            .with_model(known.model.clone())
-            .with_latency(time * TIME_MARGIN);
-        Some(match known.share {
+        let latency_ms = self.latencies_ms.get(&key).copied().unwrap_or(0.0);
+        let candidate = Candidate::live(version.clone(), record.cost, quality)
+            .with_model(record.model.clone())
+            .with_latency(latency_ms * LATENCY_FACTOR);
+        Some(match record.share {
             Some(share) => candidate.with_share(share),
             None => candidate,
         })
@@ -164,23 +164,23 @@
 
     /// Records a rating from this host or another one. Returns true if the test now finds the
     /// version bad and the version still takes work.
-    pub fn observe(&mut self, rated: &Rated, now: Millis) -> bool {
+    pub fn observe(&mut self, rated: &Rating, now: Millis) -> bool {
         let key = (rated.version.clone(), rated.task.clone());
         let estimate = self.estimates.entry(key).or_default();
-        let Some(known) = self.versions.get_mut(&rated.version) else { return false };
-        let expected = known.expected.entry(rated.task.clone()).or_default();
-        let (verdict, prior) = (known.test.verdict(), estimate.prior_mean);
-        let expecting = expected.hypotheses(verdict, prior, estimate.mean(now));
+        let Some(record) = self.versions.get_mut(&rated.version) else { return false };
+        let expected = record.expected.entry(rated.task.clone()).or_default();
+        let (verdict, prior) = (record.test.verdict(), estimate.prior_mean);
+        let hypotheses = expected.hypotheses(verdict, prior, estimate.mean(now));
         estimate.observe(rated.good, now);
-        known.rated += 1;
-        known.good += u64::from(rated.good);
-        known.test.observe(rated.good, &expecting) == Verdict::Bad && known.takes_work
+        record.rated += 1;
+        record.good += u64::from(rated.good);
+        record.test.observe(rated.good, &hypotheses) == Verdict::Bad && record.takes_work
     }
 
     /// Stops a version on quarantine or withdrawal, so that it gets no new requests.
     pub fn stop(&mut self, version: &Name) {
-        if let Some(known) = self.versions.get_mut(version) {
-            known.takes_work = false;
+        if let Some(record) = self.versions.get_mut(version) {
+            record.takes_work = false;
             self.tables.clear();
         }
     }
@@ -188,39 +188,39 @@
     /// Returns whether the version gets new requests; false if it is unknown.
     #[must_use]
     pub fn takes_work(&self, version: &Name) -> bool {
-        self.versions.get(version).is_some_and(|known| known.takes_work)
+        self.versions.get(version).is_some_and(|record| record.takes_work)
     }
 
     /// Sets the share of requests that a roll-out gives to a candidate, 0 to 1.
-    pub fn share(&mut self, version: &Name, share: f64) {
-        if let Some(known) = self.versions.get_mut(version) {
-            known.share = Some(share);
+    pub fn set_share(&mut self, version: &Name, share: f64) {
+        if let Some(record) = self.versions.get_mut(version) {
+            record.share = Some(share);
             self.tables.clear();
         }
     }
 
     /// Records the time that an answer took, in milliseconds.
-    pub fn took(&mut self, version: &Name, task: &Name, ms: f64) {
-        let time = self.times.entry((version.clone(), task.clone())).or_insert(ms);
-        *time += TIME_GAIN * (ms - *time);
+    pub fn record_latency(&mut self, version: &Name, task: &Name, ms: f64) {
+        let latency_ms = self.latencies_ms.entry((version.clone(), task.clone())).or_insert(ms);
+        *latency_ms += LATENCY_GAIN_FRACTION * (ms - *latency_ms);
     }
 
     /// Returns the mean time of a version's answers for a task, in milliseconds; 0 if unknown.
     #[must_use]
-    pub fn time(&self, version: &Name, task: &Name) -> f64 {
-        self.times.get(&(version.clone(), task.clone())).copied().unwrap_or(0.0)
+    pub fn mean_latency_ms(&self, version: &Name, task: &Name) -> f64 {
+        self.latencies_ms.get(&(version.clone(), task.clone())).copied().unwrap_or(0.0)
     }
 
     /// Records the time that a rating took, in milliseconds.
-    pub fn rating_took(&mut self, ms: u64) {
-        self.rate_ms += TIME_GAIN * (ms as f64 - self.rate_ms);
+    pub fn record_rating_latency(&mut self, ms: u64) {
+        self.rate_ms += LATENCY_GAIN_FRACTION * (ms as f64 - self.rate_ms);
     }
 
     /// Returns how much further ratings of a version matter.
     #[must_use]
     pub fn interest(&self, version: &Name) -> Interest {
         match self.versions.get(version) {
-            Some(known) => Interest::new(known.share.is_some(), known.test.verdict()),
+            Some(record) => Interest::new(record.share.is_some(), record.test.verdict()),
             None => Interest::Steady,
         }
     }
@@ -228,11 +228,11 @@
     /// Returns the version's ratings so far, and whether the test found the version bad.
     #[must_use]
     pub fn ratings(&self, version: &Name) -> policy::rollout::Ratings {
-        let known = self.versions.get(version);
+        let record = self.versions.get(version);
         policy::rollout::Ratings {
-            good: known.map_or(0, |known| known.good),
-            rated: known.map_or(0, |known| known.rated),
-            quarantined: known.is_some_and(|known| known.test.verdict() == Verdict::Bad),
+            good: record.map_or(0, |record| record.good),
+            rated: record.map_or(0, |record| record.rated),
+            quarantined: record.is_some_and(|record| record.test.verdict() == Verdict::Bad),
         }
     }
 }
@@ -246,10 +246,10 @@
         }
     }
 
-    fn observe(&mut self, good: bool, expecting: &Hypotheses) -> Verdict {
+    fn observe(&mut self, good: bool, hypotheses: &Hypotheses) -> Verdict {
         match self {
-            Self::Cusum(test) => test.observe(good, expecting),
-            Self::Likelihood(test) => test.observe(good, expecting),
+            Self::Cusum(test) => test.observe(good, hypotheses),
+            Self::Likelihood(test) => test.observe(good, hypotheses),
             Self::None => Verdict::Good,
         }
     }
--- a/crates/replay/src/run/pool.rs
+++ b/crates/replay/src/run/pool.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Worker {
     /// Whether the server runs; if not, it refuses connections.
-    pub up: bool,
+    pub is_up: bool,
     /// Indices of the calls that the server works on.
     pub running: Vec<usize>,
     /// Indices of the calls in the server's queue, oldest first.
@@ -27,7 +27,7 @@
 
 /// What a backend server does with a new call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum Outcome {
     /// The server starts to work on the call.
     Running,
     /// All slots are busy, and the server queues the call.
@@ -40,28 +40,28 @@
     /// Creates a pool with all servers up and idle.
     #[must_use]
     pub fn new(settings: trace::Pool) -> Self {
-        let worker = Worker { up: true, ..Worker::default() };
+        let worker = Worker { is_up: true, ..Worker::default() };
         Self { settings, workers: vec![worker; settings.workers as usize] }
     }
 
     /// Sends a call to a server.
-    pub fn take(&mut self, worker: usize, call: usize) -> Taken {
+    pub fn accept(&mut self, worker: usize, call: usize) -> Outcome {
         let slots = self.settings.slots as usize;
         match &mut self.workers[worker] {
-            gone if !gone.up => Taken::Refused,
-            free if free.running.len() < slots => {
-                free.running.push(call);
-                Taken::Running
+            down if !down.is_up => Outcome::Refused,
+            idle if idle.running.len() < slots => {
+                idle.running.push(call);
+                Outcome::Running
             }
             full => {
                 full.waiting.push_back(call);
-                Taken::Waiting
+                Outcome::Waiting
             }
         }
     }
 
     /// Ends a call and returns the queued call that starts in its place, if any.
-    pub fn end(&mut self, worker: usize, call: usize) -> Option<usize> {
+    pub fn end_call(&mut self, worker: usize, call: usize) -> Option<usize> {
         let worker = &mut self.workers[worker];
         worker.running.retain(|running| *running != call);
         let next = worker.waiting.pop_front()?;
@@ -70,11 +70,11 @@
     }
 
     /// Stops `count` servers, or all for `None`, and returns the calls that break off.
-    pub fn down(&mut self, count: Option<u32>) -> Vec<usize> {
+    pub fn stop(&mut self, count: Option<u32>) -> Vec<usize> {
         let count = count.map_or(usize::MAX, |count| count as usize);
         let mut broken = Vec::new();
-        for worker in self.workers.iter_mut().filter(|worker| worker.up).take(count) {
-            worker.up = false;
+        for worker in self.workers.iter_mut().filter(|worker| worker.is_up).take(count) {
+            worker.is_up = false;
             broken.append(&mut worker.running);
             broken.extend(worker.waiting.drain(..));
         }
@@ -82,14 +82,14 @@
     }
 
     /// Brings all servers up again.
-    pub fn up(&mut self) {
-        self.workers.iter_mut().for_each(|worker| worker.up = true);
+    pub fn restart(&mut self) {
+        self.workers.iter_mut().for_each(|worker| worker.is_up = true);
     }
 
     /// Returns the load that each server reports now; `None` for a server that is down.
     #[must_use]
     pub fn loads(&self) -> Vec<Option<u32>> {
         let load = |worker: &Worker| (worker.running.len() + worker.waiting.len()) as u32;
-        self.workers.iter().map(|worker| worker.up.then(|| load(worker))).collect()
+        self.workers.iter().map(|worker| worker.is_up.then(|| load(worker))).collect()
     }
 }
--- a/crates/replay/src/trace.rs
+++ b/crates/replay/src/trace.rs
@@ -204,12 +204,12 @@
     let fault = |line: usize, message: String| Fault { file: file.to_owned(), line, message };
     let mut lines = text.lines().enumerate().map(|(index, line)| (index + 1, line));
     let (_, first) = lines.next().ok_or_else(|| fault(1, "the file is empty".to_owned()))?;
-    let header = header(first).map_err(|message| fault(1, message))?;
+    let header = parse_header(first).map_err(|message| fault(1, message))?;
     let mut trace = Trace { header, requests: Vec::new(), events: Vec::new() };
     let mut latest = 0;
     for (number, line) in lines.filter(|(_, line)| !line.trim().is_empty()) {
-        let read = read(line).and_then(|line| checked(&trace, line, latest));
-        match read.map_err(|message| fault(number, message))? {
+        let parsed = parse_line(line).and_then(|line| check_line(&trace, line, latest));
+        match parsed.map_err(|message| fault(number, message))? {
             Line::Request(request) => {
                 latest = request.at_ms;
                 trace.requests.push(request);
@@ -223,7 +223,7 @@
     Ok(trace)
 }
 
-fn header(line: &str) -> Result<Header, String> {
+fn parse_header(line: &str) -> Result<Header, String> {
     let value: Value = serde_json::from_str(line).map_err(|e| e.to_string())?;
     let document = value.get("configuration").ok_or("no `configuration` in the first line")?;
     if let Err(faults) = check::parse(&document.to_string()) {
@@ -249,7 +249,7 @@
     Some(format!("`pools` has no {missing}"))
 }
 
-fn read(line: &str) -> Result<Line, String> {
+fn parse_line(line: &str) -> Result<Line, String> {
     let value: Value = serde_json::from_str(line).map_err(|e| e.to_string())?;
     match value.get("event") {
         Some(_) => serde_json::from_value(value).map(Line::Event).map_err(|e| e.to_string()),
@@ -257,16 +257,16 @@
     }
 }
 
-fn checked(trace: &Trace, line: Line, latest: u64) -> Result<Line, String> {
+fn check_line(trace: &Trace, line: Line, latest: u64) -> Result<Line, String> {
     match &line {
-        Line::Request(request) if request.at_ms < latest => Err(earlier(request.at_ms, latest)),
-        Line::Event(event) if event.at_ms < latest => Err(earlier(event.at_ms, latest)),
+        Line::Request(request) if request.at_ms < latest => Err(unsorted(request.at_ms, latest)),
+        Line::Event(event) if event.at_ms < latest => Err(unsorted(event.at_ms, latest)),
         Line::Request(request) => check_request(trace, request).map(|()| line),
         Line::Event(event) => check_event(trace, event).map(|()| line),
     }
 }
 
-fn earlier(at_ms: u64, latest: u64) -> String {
+fn unsorted(at_ms: u64, latest: u64) -> String {
     format!("`at_ms` {at_ms} is earlier than {latest} of a previous line")
 }
 
@@ -278,11 +278,11 @@
     if !account.tasks.contains_key(&request.task) {
         return Err(format!("account {} has no task {}", request.account, request.task));
     }
-    let lacking = account
+    let missing = account
         .versions
         .iter()
         .find(|v| !request.good.contains_key(*v) || !request.ms.contains_key(*v));
-    match lacking {
+    match missing {
         Some(version) => Err(format!("`good` or `ms` lacks version {version}")),
         None => Ok(()),
     }
