--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -57,9 +57,9 @@
     Ended(usize),
     /// A rating arrives at the host that requested it. `cascade` is the request that waits for the
     /// rating, if any; `asked` is when the rating was requested.
-    OwnRating { host: usize, rated: Rating, cascade: Option<usize>, asked: Millis },
+    OwnRating { host: usize, rating: Rating, cascade: Option<usize>, asked: Millis },
     /// A rating that another host requested arrives at a host.
-    PeerRating { host: usize, rated: Rating },
+    PeerRating { host: usize, rating: Rating },
     /// A host learns that a version is stopped.
     Stopped { host: usize, version: Name },
     /// A host learns the current share of a roll-out.
@@ -165,13 +165,13 @@
             Step::Request(index) => self.arrive(index),
             Step::Event(index) => self.apply_event(index),
             Step::Ended(call) => self.end_call(call),
-            Step::OwnRating { host, rated, cascade, asked } => {
+            Step::OwnRating { host, rating, cascade, asked } => {
                 let took = self.now.since(asked);
                 self.hosts[host].knowledge.record_rating_latency(took);
-                self.receive_rating(host, &rated);
-                self.continue_cascade(cascade, rated.good);
+                self.receive_rating(host, &rating);
+                self.continue_cascade(cascade, rating.good);
             }
-            Step::PeerRating { host, rated } => self.record_rating(host, &rated),
+            Step::PeerRating { host, rating } => self.record_rating(host, &rating),
             Step::Stopped { host, version } => self.stop_version(host, &version),
             Step::Share { host, version, share } => {
                 self.hosts[host].knowledge.set_share(&version, share);
--- a/crates/replay/src/run/events.rs
+++ b/crates/replay/src/run/events.rs
@@ -50,24 +50,24 @@
 
     /// Handles a rating at the host that requested it, and forwards it to the other hosts, which
     /// receive it after the evidence delay.
-    pub(super) fn receive_rating(&mut self, host: usize, rated: &Rating) {
+    pub(super) fn receive_rating(&mut self, host: usize, rating: &Rating) {
         self.tally.rated += 1;
         self.tally.rate_cost += self.trace.header.rate_cost;
-        self.tally.spend(&rated.task, self.trace.header.rate_cost);
-        match self.bad.get_mut(&rated.version) {
-            Some(count) if !self.detected_at.contains_key(&rated.version) => *count += 1,
+        self.tally.spend(&rating.task, self.trace.header.rate_cost);
+        match self.bad.get_mut(&rating.version) {
+            Some(count) if !self.detected_at.contains_key(&rating.version) => *count += 1,
             _ => {}
         }
-        self.record_rating(host, rated);
-        self.notify_peers(host, |host| Step::PeerRating { host, rated: rated.clone() });
+        self.record_rating(host, rating);
+        self.notify_peers(host, |host| Step::PeerRating { host, rating: rating.clone() });
     }
 
-    pub(super) fn record_rating(&mut self, host: usize, rated: &Rating) {
+    pub(super) fn record_rating(&mut self, host: usize, rating: &Rating) {
         let now = self.now;
-        if !self.hosts[host].knowledge.observe(rated, now) {
+        if !self.hosts[host].knowledge.observe(rating, now) {
             return;
         }
-        let version = rated.version.clone();
+        let version = rating.version.clone();
         if !self.detected_at.contains_key(&version) {
             self.detected_at.insert(version.clone(), now);
             match self.bad.get(&version) {
--- a/crates/replay/src/run/job.rs
+++ b/crates/replay/src/run/job.rs
@@ -262,9 +262,9 @@
     fn request_rating(&mut self, job: usize, version: Name, cascade: Option<usize>) {
         let request = &self.trace.requests[self.jobs[job].request];
         let good = request.good.get(&version).copied().unwrap_or(false);
-        let rated = Rating { version, task: request.task.clone(), good };
+        let rating = Rating { version, task: request.task.clone(), good };
         let (host, asked) = (self.jobs[job].host, self.now);
-        self.clock.push(asked + self.rate_ms, Step::OwnRating { host, rated, cascade, asked });
+        self.clock.push(asked + self.rate_ms, Step::OwnRating { host, rating, cascade, asked });
     }
 
     pub(super) fn continue_cascade(&mut self, job: Option<usize>, good: bool) {
--- a/crates/replay/src/run/knowledge.rs
+++ b/crates/replay/src/run/knowledge.rs
@@ -16,7 +16,7 @@
 use crate::variant::{Detection, Selection, Variant};
 
 /// Weight of a new sample in the moving averages of answer and rating times, 0 to 1.
-const LATENCY_GAIN_FRACTION: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// Factor on the mean answer time for planning, so that most answers come within the planned time.
 const LATENCY_FACTOR: f64 = 2.0;
 /// Age at which a table of plans is built again.
@@ -164,17 +164,17 @@
 
     /// Records a rating from this host or another one. Returns true if the test now finds the
     /// version bad and the version still takes work.
-    pub fn observe(&mut self, rated: &Rating, now: Millis) -> bool {
-        let key = (rated.version.clone(), rated.task.clone());
+    pub fn observe(&mut self, rating: &Rating, now: Millis) -> bool {
+        let key = (rating.version.clone(), rating.task.clone());
         let estimate = self.estimates.entry(key).or_default();
-        let Some(record) = self.versions.get_mut(&rated.version) else { return false };
-        let expected = record.expected.entry(rated.task.clone()).or_default();
+        let Some(record) = self.versions.get_mut(&rating.version) else { return false };
+        let expected = record.expected.entry(rating.task.clone()).or_default();
         let (verdict, prior) = (record.test.verdict(), estimate.prior_mean);
         let hypotheses = expected.hypotheses(verdict, prior, estimate.mean(now));
-        estimate.observe(rated.good, now);
+        estimate.observe(rating.good, now);
         record.rated += 1;
-        record.good += u64::from(rated.good);
-        record.test.observe(rated.good, &hypotheses) == Verdict::Bad && record.takes_work
+        record.good += u64::from(rating.good);
+        record.test.observe(rating.good, &hypotheses) == Verdict::Bad && record.takes_work
     }
 
     /// Stops a version on quarantine or withdrawal, so that it gets no new requests.
@@ -202,7 +202,7 @@
     /// Records the time that an answer took, in milliseconds.
     pub fn record_latency(&mut self, version: &Name, task: &Name, ms: f64) {
         let latency_ms = self.latencies_ms.entry((version.clone(), task.clone())).or_insert(ms);
-        *latency_ms += LATENCY_GAIN_FRACTION * (ms - *latency_ms);
+        *latency_ms += SAMPLE_WEIGHT * (ms - *latency_ms);
     }
 
     /// Returns the mean time of a version's answers for a task, in milliseconds; 0 if unknown.
@@ -213,7 +213,7 @@
 
     /// Records the time that a rating took, in milliseconds.
     pub fn record_rating_latency(&mut self, ms: u64) {
-        self.rate_ms += LATENCY_GAIN_FRACTION * (ms as f64 - self.rate_ms);
+        self.rate_ms += SAMPLE_WEIGHT * (ms as f64 - self.rate_ms);
     }
 
     /// Returns how much further ratings of a version matter.
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn report_committed_traces_hold() {
+fn report_committed_traces_meet_expectations() {
     let traces = committed();
     assert!(traces.len() >= 8);
     let missed: Vec<String> = traces
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn report_same_twice() {
+fn report_is_deterministic() {
     let trace = generate::trace(Kind::Flood, 5);
     let once = serde_json::to_string(&replay("t", &trace, "planned")).unwrap();
     let twice = serde_json::to_string(&replay("t", &trace, "planned")).unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn report_baselines_miss() {
+fn report_baselines_fall_short() {
     let trace = generate::trace(Kind::Sudden, 1);
     let best = replay("t", &trace, "best");
     let cheapest = replay("t", &trace, "cheapest");
--- a/crates/replay/tests/trace.rs
+++ b/crates/replay/tests/trace.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn parse_generated_comes_back() {
+fn parse_generated_round_trip() {
     for (name, kind) in KINDS {
         let trace = generate::trace(kind, 3);
         let read = parse(name, &generate::lines(&trace)).unwrap();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn parse_malformed_names_line() {
+fn parse_malformed_line_reports_position() {
     let good = text();
     let with = |line: &str| {
         let mut lines: Vec<&str> = good.lines().take(3).collect();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn parse_header_faults() {
+fn parse_invalid_header_rejected() {
     assert_eq!(fault(""), "t.jsonl:1: the file is empty");
     assert!(fault("{}").contains("t.jsonl:1: no `configuration`"));
     let good = text();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn parse_time_runs_backwards() {
+fn parse_decreasing_time_rejected() {
     let good = text();
     let mut lines: Vec<&str> = good.lines().take(6).collect();
     lines.swap(2, 5);
@@ -68,7 +68,7 @@
 
 /// For any bytes, the parser returns a trace or a fault whose line number is in the file.
 #[test]
-fn parse_any() {
+fn parse_arbitrary_bytes() {
     let header = text().lines().next().unwrap().to_owned();
     fuzz::check(2000, |(after_header, bytes): &(bool, Vec<u8>)| {
         let noise = String::from_utf8_lossy(bytes);
