--- a/crates/replay/src/generate.rs
+++ b/crates/replay/src/generate.rs
@@ -1,4 +1,4 @@
-//! Generated traces: a kind of trouble and a seed give a trace, always the same one.
+//! Generates traces. A scenario and a seed always give the same trace.
 
 pub mod deployment;
 pub mod draw;
@@ -13,24 +13,25 @@
 use draw::Draw;
 pub use kind::Kind;
 
-/// Requests of a trace.
-const REQUESTS: u64 = 1400;
-/// Of a version's answers, this share depends on the request's difficulty, which all versions
-/// share; the rest is the version's own luck.
-const COMMON_LUCK: f64 = 0.6;
-/// Spread of times, as the standard deviation of their logarithm.
-const TIME_SPREAD: f64 = 0.35;
-/// Requests of one session.
+/// Number of requests in a generated trace.
+const REQUEST_COUNT: u64 = 1400;
+/// Fraction of a version's answers that depend on the request's difficulty, which is the same for
+/// all versions; the other answers are drawn for each version independently.
+const SHARED_LUCK_FRACTION: f64 = 0.6;
+/// Standard deviation of the logarithm of answer times.
+const LOG_LATENCY_DEVIATION: f64 = 0.35;
+/// Mean number of requests for one session number: each block of ten times as many requests draws
+/// from ten session numbers.
 const SESSION_REQUESTS: u64 = 4;
 
-/// Makes a trace.
+/// Generates the trace of a scenario.
 #[must_use]
 pub fn trace(kind: Kind, seed: u64) -> Trace {
     let scenario = kind.scenario();
     let mut header = scenario.deployment.header(seed);
-    scenario.arrange(&mut header);
+    scenario.configure(&mut header);
     let mut draw = Draw::new(scenario.seed(seed));
-    let times = scenario.times(REQUESTS, &mut draw);
+    let times = scenario.times(REQUEST_COUNT, &mut draw);
     let requests = times
         .iter()
         .enumerate()
@@ -39,7 +40,7 @@
     Trace { header, requests, events: scenario.events }
 }
 
-/// The trace as JSON lines, events among requests by time.
+/// Formats a trace as JSON lines, with requests and events merged by time.
 #[must_use]
 pub fn lines(trace: &Trace) -> String {
     let mut text = json!(trace.header).to_string() + "\n";
@@ -66,9 +67,9 @@
     let mut good = BTreeMap::new();
     let mut ms = BTreeMap::new();
     for version in &deployment.versions {
-        let luck = if draw.unit() < COMMON_LUCK { difficulty } else { draw.unit() };
+        let luck = if draw.unit() < SHARED_LUCK_FRACTION { difficulty } else { draw.unit() };
         let quality = scenario.quality(version, task, at_ms);
-        let time = version.ms * task.size * (TIME_SPREAD * draw.normal()).exp();
+        let time = version.ms * task.size * (LOG_LATENCY_DEVIATION * draw.normal()).exp();
         good.insert(Name::from(version.name), luck < quality);
         ms.insert(Name::from(version.name), time.round().max(1.0) as u64);
     }
--- a/crates/replay/src/generate/deployment.rs
+++ b/crates/replay/src/generate/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments at today's size.
+//! The two deployments that traces are generated for, at their current size.
 
 use std::collections::BTreeMap;
 
@@ -8,73 +8,73 @@
 use super::draw::Draw;
 use crate::trace::{Expect, Header, Pool};
 
-/// Stands for the key that signs session tokens; traces hold no real one.
+/// Placeholder for the key that signs session tokens, because traces must not hold a real key.
 const SESSION_KEY: &str = "00000000000000000000000000000000000000000000000000000000000000ff";
-/// Ratings cost this, in units of the cheapest version's call.
+/// Cost of one rating; a call of the cheapest version costs 1.
 const RATE_COST: f64 = 0.1;
 
-/// A version as the generator knows it.
+/// A model version, with the true quality that the generator draws answers from.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
-    /// Its name.
+pub struct VersionSpec {
+    /// Name of the version.
     pub name: &'static str,
-    /// Its model's.
+    /// Name of the model that the version belongs to.
     pub model: &'static str,
-    /// Cost of one call.
+    /// Cost of one call, in units of the cheapest version's call.
     pub cost: f64,
-    /// Mean time of a request of size 1, in milliseconds.
+    /// Median answer time for a task of size 1, in milliseconds.
     pub ms: f64,
-    /// Share of good answers by task, in the order of [`Deployment::tasks`].
+    /// True share of good answers by task, in the order of [`Deployment::tasks`].
     pub quality: [f64; 3],
-    /// What the document says of it, less what is true.
-    pub misjudged: [f64; 3],
-    /// Whether it is still a candidate.
-    pub candidate: bool,
+    /// Quality stated in the configuration minus the true quality, by task.
+    pub quality_error: [f64; 3],
+    /// Whether the version is a candidate, which only a roll-out brings into use.
+    pub is_candidate: bool,
 }
 
-/// A task as the generator knows it.
+/// A task that every client account has.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
-    /// Its name.
+pub struct TaskSpec {
+    /// Name of the task.
     pub name: &'static str,
-    /// Part of all requests, 0 to 1.
-    pub part: f64,
-    /// Times are multiplied by this.
+    /// Fraction of all requests that belong to the task, 0 to 1.
+    pub share: f64,
+    /// Factor on the versions' answer times for the task.
     pub size: f64,
-    /// Share of good answers promised.
+    /// Target for the share of good answers, 0 to 1.
     pub target: f64,
-    /// Whether its requests may run more than once.
+    /// Whether requests of the task may run more than once.
     pub may_repeat: bool,
-    /// Longest time, in milliseconds.
+    /// Time allowed for an answer, in milliseconds.
     pub deadline_ms: u64,
-    /// 0 is served first.
+    /// Priority in queues; 0 is served first.
     pub priority: u8,
-    /// Whether its requests come in sessions.
+    /// Whether requests of the task belong to sessions.
     pub in_session: bool,
 }
 
-/// A deployment.
+/// A deployment of the router: its hosts, backend servers, client accounts and versions.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub entry_hosts: u32,
-    /// The model pool's name.
+    /// Name of the only pool, which runs all versions.
     pub pool: &'static str,
-    /// Its backend servers.
+    /// Number of backend servers in the pool.
     pub workers: u32,
-    /// Client accounts; the first three are large.
+    /// Client accounts; the first three send most of the requests.
     pub accounts: [&'static str; 10],
-    /// Tasks, which all accounts have.
-    pub tasks: [Work; 3],
-    /// Versions.
-    pub versions: Vec<Kind>,
+    /// Tasks, the same for all accounts.
+    pub tasks: [TaskSpec; 3],
+    /// Model versions that all accounts may use, the cheapest first.
+    pub versions: Vec<VersionSpec>,
 }
 
-/// A task that may be repeated, without a session and without haste.
-fn work(name: &'static str, part: f64, size: f64, target: f64) -> Work {
-    Work {
+/// A task with the usual settings: repeatable, no sessions, normal priority and deadline.
+fn task_spec(name: &'static str, share: f64, size: f64, target: f64) -> TaskSpec {
+    TaskSpec {
         name,
-        part,
+        share,
         size,
         target,
         may_repeat: true,
@@ -85,7 +85,7 @@
 }
 
 impl Deployment {
-    /// The benefit office: latency and exposure weigh most.
+    /// The benefit office, for which latency and exposure to bad versions matter most.
     #[must_use]
     pub fn benefit() -> Self {
         Self {
@@ -97,15 +97,19 @@
                 "hoorn", "venlo",
             ],
             tasks: [
-                Work { deadline_ms: 4_000, priority: 0, ..work("tag", 0.4, 0.6, 0.90) },
-                work("summarise", 0.3, 1.5, 0.92),
-                Work { may_repeat: false, in_session: true, ..work("draft", 0.3, 1.0, 0.92) },
+                TaskSpec { deadline_ms: 4_000, priority: 0, ..task_spec("tag", 0.4, 0.6, 0.90) },
+                task_spec("summarise", 0.3, 1.5, 0.92),
+                TaskSpec {
+                    may_repeat: false,
+                    in_session: true,
+                    ..task_spec("draft", 0.3, 1.0, 0.92)
+                },
             ],
             versions: versions(),
         }
     }
 
-    /// The feed cooperative: cost weighs most.
+    /// The feed cooperative, for which cost matters most.
     #[must_use]
     pub fn feed() -> Self {
         Self {
@@ -125,42 +129,43 @@
                 "grange",
             ],
             tasks: [
-                Work { in_session: true, priority: 0, ..work("question", 0.4, 0.6, 0.90) },
-                work("plan", 0.3, 1.5, 0.92),
-                Work { may_repeat: false, ..work("order", 0.3, 1.0, 0.92) },
+                TaskSpec { in_session: true, priority: 0, ..task_spec("question", 0.4, 0.6, 0.90) },
+                task_spec("plan", 0.3, 1.5, 0.92),
+                TaskSpec { may_repeat: false, ..task_spec("order", 0.3, 1.0, 0.92) },
             ],
             versions: versions(),
         }
     }
 
-    /// Adds a candidate that would follow the cheap version.
+    /// Adds a candidate that is to replace the cheapest version and is as good.
     #[must_use]
     pub fn with_candidate(mut self) -> Self {
         let small = self.versions[0];
-        self.versions.push(Kind { name: "small-2", candidate: true, ..small });
+        self.versions.push(VersionSpec { name: "small-2", is_candidate: true, ..small });
         self
     }
 
-    /// Has the document praise the cheap version's worst task and blame the next one's.
+    /// Makes the configuration overstate the cheapest version's quality on its two worst tasks and
+    /// understate it on its best, and misstate the next version's quality slightly.
     #[must_use]
     pub fn misjudged(mut self) -> Self {
-        self.versions[0].misjudged = [-0.04, 0.06, 0.06];
-        self.versions[1].misjudged = [0.0, -0.03, 0.02];
+        self.versions[0].quality_error = [-0.04, 0.06, 0.06];
+        self.versions[1].quality_error = [0.0, -0.03, 0.02];
         self
     }
 
-    /// A task by its part of all requests.
-    pub fn task(&self, draw: &mut Draw) -> &Work {
+    /// Draws a task, weighted by the tasks' shares of all requests.
+    pub fn task(&self, draw: &mut Draw) -> &TaskSpec {
         let unit = draw.unit();
         let mut sum = 0.0;
         let found = self.tasks.iter().find(|task| {
-            sum += task.part;
+            sum += task.share;
             unit < sum
         });
         found.unwrap_or(&self.tasks[0])
     }
 
-    /// The first line of a trace, with the outcomes that every trace states.
+    /// Builds the header of a trace, with the expected outcomes that every scenario starts from.
     #[must_use]
     pub fn header(&self, seed: u64) -> Header {
         let pool = Pool { workers: self.workers, slots: 8, report_lag_ms: 1_000 };
@@ -198,13 +203,13 @@
         }
     }
 
-    fn version(&self, kind: &Kind) -> Version {
-        let stated = [0, 1, 2].map(|i| hundredths(kind.quality[i] + kind.misjudged[i]));
+    fn version(&self, spec: &VersionSpec) -> Version {
+        let stated = [0, 1, 2].map(|i| hundredths(spec.quality[i] + spec.quality_error[i]));
         let tasks = self.tasks.iter().zip(stated);
         Version {
-            model: kind.model.into(),
-            state: if kind.candidate { VersionState::Candidate } else { VersionState::Live },
-            cost: kind.cost,
+            model: spec.model.into(),
+            state: if spec.is_candidate { VersionState::Candidate } else { VersionState::Live },
+            cost: spec.cost,
             pool: self.pool.into(),
             quality: tasks.map(|(task, quality)| (task.name.into(), quality)).collect(),
             first_byte_ms: 10_000,
@@ -226,39 +231,39 @@
     }
 }
 
-/// Rounded, so that a document says 0.88 and not 0.8799999999999999.
+/// Rounds to hundredths, so that a configuration says 0.88 and not 0.8799999999999999.
 fn hundredths(share: f64) -> f64 {
     (share * 100.0).round() / 100.0
 }
 
-/// A hash of its own for each account, from the bytes of its name.
+/// Makes up a distinct key hash for each account from the bytes of the account's name.
 fn key_hash(name: &str) -> Name {
     let digits: String = name.bytes().map(|byte| format!("{byte:02x}")).collect();
     format!("{digits:0>64}").into()
 }
 
-fn task(work: &Work) -> Task {
+fn task(spec: &TaskSpec) -> Task {
     Task {
-        quality_target: work.target,
-        may_repeat: work.may_repeat,
-        deadline_ms: work.deadline_ms,
-        priority: work.priority,
+        quality_target: spec.target,
+        may_repeat: spec.may_repeat,
+        deadline_ms: spec.deadline_ms,
+        priority: spec.priority,
     }
 }
 
-fn versions() -> Vec<Kind> {
-    let kind = |name, model, cost, ms, quality| Kind {
+fn versions() -> Vec<VersionSpec> {
+    let spec = |name, model, cost, ms, quality| VersionSpec {
         name,
         model,
         cost,
         ms,
         quality,
-        misjudged: [0.0; 3],
-        candidate: false,
+        quality_error: [0.0; 3],
+        is_candidate: false,
     };
     vec![
-        kind("small-1", "small", 1.0, 250.0, [0.95, 0.82, 0.82]),
-        kind("mid-1", "mid", 3.0, 450.0, [0.96, 0.94, 0.95]),
-        kind("large-1", "large", 10.0, 900.0, [0.98, 0.97, 0.97]),
+        spec("small-1", "small", 1.0, 250.0, [0.95, 0.82, 0.82]),
+        spec("mid-1", "mid", 3.0, 450.0, [0.96, 0.94, 0.95]),
+        spec("large-1", "large", 10.0, 900.0, [0.98, 0.97, 0.97]),
     ]
 }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -1,4 +1,4 @@
-//! The committed traces hold what they state, and a replay is the same each time.
+//! Replays of the committed traces meet their expected outcomes, and replays are deterministic.
 
 use std::path::PathBuf;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn report_committed_traces_hold() {
+fn report_committed_traces_meet_expectations() {
     let traces = committed();
     assert!(traces.len() >= 8);
     let missed: Vec<String> = traces
@@ -41,14 +41,15 @@
 }
 
 #[test]
-fn report_same_twice() {
+fn report_is_deterministic() {
     let trace = generate::trace(Kind::Flood, 5);
     let once = serde_json::to_string(&replay("t", &trace, "planned")).unwrap();
     let twice = serde_json::to_string(&replay("t", &trace, "planned")).unwrap();
     assert_eq!(once, twice);
 }
 
-/// Whatever the policy, each request ends exactly once, on a version that its account allows.
+/// With every policy, each request ends exactly once, and runs only on versions that its account
+/// may use.
 #[test]
 fn run_every_request_ends_once() {
     for kind in [Kind::Capacity, Kind::Flood, Kind::Sudden, Kind::Ratings] {
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn report_baselines_miss() {
+fn report_baselines_fall_short() {
     let trace = generate::trace(Kind::Sudden, 1);
     let best = replay("t", &trace, "best");
     let cheapest = replay("t", &trace, "cheapest");
