--- a/crates/experiment/src/engine.rs
+++ b/crates/experiment/src/engine.rs
@@ -1,70 +1,72 @@
-//! An engine: a batch that runs in steps, prompts read in chunks between them, a queue.
+//! Model of an inference engine: generates tokens in batched steps, reads prompts in chunks between
+//! the steps, and queues what exceeds its slots.
 //!
-//! Of equally urgent requests the one that came first goes first. A prompt that is being read is
-//! not broken off. A request that is preempted gives its memory back, and reads its prompt and what
-//! it has generated once more, but for what caches still hold.
+//! Requests of equal rank run in order of arrival. A prompt is never interrupted while it is being
+//! read. A preempted request releases its memory; when it runs again, it reads its prompt and the
+//! tokens generated so far once more, except for the share that caches still hold.
 
 use crate::scenario::Engines;
 
-/// A request as an engine gets it.
+/// A request as an engine receives it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Names the try.
+    /// Identifies the attempt.
     pub id: u64,
-    /// Its place: 0 goes first.
+    /// Scheduling rank; 0 runs first.
     pub rank: u8,
-    /// Tokens to read.
+    /// Prompt length in tokens.
     pub prompt: u32,
-    /// Tokens to generate.
+    /// Answer length in tokens.
     pub answer: u32,
 }
 
-/// What an engine says at the end of a step.
+/// Output of an engine at the end of a step; each carries the id of its [`Job`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Sign {
-    /// The first token of a try.
+    /// First token of the answer.
     Head(u64),
-    /// A whole event.
+    /// A complete server-sent event of several tokens.
     Event(u64),
-    /// The last token.
+    /// Last token of the answer.
     End(u64),
 }
 
-/// A request in an engine.
+/// A request inside an engine, running or waiting.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     job: Job,
-    /// The order in which requests came.
+    /// Arrival number; breaks ties between equal ranks.
     number: u64,
-    /// Tokens that it holds in memory; while it waits, that caches hold for it.
+    /// Tokens of this request in the engine's memory; while the request waits, tokens that caches
+    /// still hold.
     held: u32,
-    /// Tokens still to be read.
+    /// Tokens still to be read: of the prompt and, after a preemption, of the answer so far.
     to_read: u32,
-    /// Tokens generated.
+    /// Answer tokens generated so far.
     made: u32,
-    /// It generates in the step under way.
+    /// Whether the request generates a token in the current step.
     steps: bool,
 }
 
-/// The engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     settings: Engines,
     running: Vec<Run>,
     waiting: Vec<Run>,
-    /// The number of the request whose prompt is being read.
+    /// Arrival number of the request whose prompt is being read.
     reading: Option<u64>,
-    /// Tokens that the step under way reads.
+    /// Prompt tokens read in the current step.
     chunk: u32,
     next: u64,
-    /// How many times slower it is than usual.
+    /// Factor on the duration of every step; 1 is normal speed.
     pub slowness: f64,
-    /// Requests preempted so far.
+    /// Number of preemptions so far.
     pub preempted: u64,
 }
 
 impl Engine {
-    /// One without requests.
+    /// Creates an idle engine.
     #[must_use]
     pub fn new(settings: &Engines) -> Self {
         Self {
@@ -79,13 +81,14 @@
         }
     }
 
-    /// Requests in it.
+    /// Number of requests running and waiting.
     #[must_use]
     pub fn load(&self) -> u32 {
         (self.running.len() + self.waiting.len()) as u32
     }
 
-    /// Takes a request; false if it is full.
+    /// Accepts a request; returns false if slots and queue are full, or if prompt and answer exceed
+    /// the whole memory.
     pub fn offer(&mut self, job: Job) -> bool {
         let is_full = self.load() >= self.settings.slots + self.settings.queue;
         let is_too_large = job.prompt + job.answer > self.settings.memory_tokens;
@@ -99,7 +102,7 @@
         true
     }
 
-    /// A request is no longer waited for.
+    /// Cancels a request, running or waiting, whose connection was closed.
     pub fn drop(&mut self, id: u64) {
         let reads = |run: &Run| run.job.id == id && self.reading == Some(run.number);
         if self.running.iter().any(reads) {
@@ -110,7 +113,7 @@
         self.waiting.retain(|run| run.job.id != id);
     }
 
-    /// It ends; the requests that were in it.
+    /// Stops the engine and returns the ids of the requests lost with it.
     pub fn end(&mut self) -> Vec<u64> {
         let lost = self.running.drain(..).chain(self.waiting.drain(..));
         let lost = lost.map(|run| run.job.id).collect();
@@ -118,7 +121,7 @@
         lost
     }
 
-    /// Begins a step; how long it takes, in milliseconds, or none if there is nothing to do.
+    /// Begins a step and returns its duration in milliseconds, or `None` if no request is running.
     pub fn begin(&mut self) -> Option<f64> {
         self.admit();
         self.free_memory();
@@ -140,7 +143,7 @@
         (!self.running.is_empty()).then_some(self.slowness * (step_ms + read_ms))
     }
 
-    /// Ends the step under way, and tells what came of it.
+    /// Ends the current step and appends its output to `signs`.
     pub fn finish(&mut self, signs: &mut Vec<Sign>) {
         for run in &mut self.running {
             if self.reading == Some(run.number) {
@@ -165,7 +168,8 @@
         self.running.iter().map(|run| run.held + run.to_read).sum()
     }
 
-    /// Lets requests in, the most urgent first, also in place of less urgent ones.
+    /// Starts waiting requests, lowest rank first; preempts running requests of a higher rank value
+    /// if the engine allows preemption.
     fn admit(&mut self) {
         loop {
             let first = self.waiting.iter().enumerate();
@@ -181,7 +185,7 @@
         }
     }
 
-    /// Preempts while what the next step generates finds no room.
+    /// Preempts requests until the tokens of the next step fit into memory.
     fn free_memory(&mut self) {
         while self.used() + self.running.len() as u32 > self.settings.memory_tokens {
             if self.running.len() < 2 || !self.preempt(None) {
@@ -190,7 +194,8 @@
         }
     }
 
-    /// Preempts the newest of the least urgent; if a rank is given, only for one of that rank.
+    /// Preempts the newest request of the highest rank value. With `by`, does so only if that value
+    /// is higher than `by`. Returns whether a request was preempted.
     fn preempt(&mut self, by: Option<u8>) -> bool {
         let others = self.running.iter().enumerate();
         let others = others.filter(|(_, run)| self.reading != Some(run.number));
@@ -208,7 +213,7 @@
     }
 }
 
-/// What a run says after a token more.
+/// Appends the output that follows from one more generated token.
 fn tell(run: &Run, event_tokens: u32, signs: &mut Vec<Sign>) {
     let id = run.job.id;
     if run.made == 1 {
--- a/crates/experiment/src/host.rs
+++ b/crates/experiment/src/host.rs
@@ -1,7 +1,7 @@
-//! A host of the router: its own view of each engine, and its decisions.
+//! A simulated host of the router: its view of each engine, and its decisions.
 //!
-//! The view is kept as `gateway` keeps it, by the same functions of `policy`; which numbers go into
-//! them is what `gateway::pick`, `gateway::attempt` and `gateway::blame` put there.
+//! The host updates its view with the same `policy` functions as the gateway. The values passed to
+//! them are those that `gateway::pick`, `gateway::attempt` and `gateway::blame` pass.
 
 pub mod view;
 
@@ -23,43 +23,45 @@
 use crate::scenario::{Kind, Repeats, Scenario};
 use crate::way::{self, Pick, Way};
 
-/// What another failure domain costs, as a part of the objective; the same as the router's.
+/// Cost of an engine in another failure domain, as a fraction of the objective; same value as in
+/// the router.
 const FAR_PART: f64 = 1.0 / 8.0;
-/// Connections that may time out before a request is given up; the same as the router's.
+/// Connection timeouts after which the host gives up a request; same value as in the router.
 const UNSENT_MAX: u32 = 4;
 
-/// Keeps hashes of engines apart from those of hosts.
+/// Added to engine indices before hashing, so that their hashes differ from those of host indices.
 const ENGINES: u64 = 1 << 32;
 
-/// A host.
+/// A simulated host.
 pub struct Host {
-    /// Its failure domain.
+    /// Index of the host's failure domain.
     pub domain: usize,
-    /// What it believes of each engine.
+    /// The host's view of each engine, by engine index.
     pub views: Vec<View>,
-    /// Times of answers, by kind.
+    /// Measured answer times, by request kind.
     pub timings: Vec<Timing>,
-    /// Streams under way whose callers have their beginnings.
+    /// Open streams whose callers have received the beginning of the answer.
     pub streams: usize,
     speed: Speed,
     window: Window,
     allowance: Allowance,
     attempts_max: u32,
     domains: usize,
-    /// Hosts of its failure domain, itself included.
+    /// Number of hosts in the failure domain, including this one.
     hosts: usize,
 }
 
-/// What became of the search for an engine.
+/// Result of choosing an engine.
 pub enum Choice {
-    /// This one.
+    /// Index of the chosen engine.
     Engine(usize),
-    /// None that the request may be sent to; requests a second that limited ones take.
+    /// No engine may receive the request; holds the requests per second that rate-limited engines
+    /// accept in total.
     None(f64),
 }
 
 impl Host {
-    /// One that has just started, one of several in its failure domain.
+    /// Creates a newly started host; `index` decides its failure domain.
     #[must_use]
     pub fn new(scenario: &Scenario, index: usize) -> Self {
         let domains = scenario.domains as usize;
@@ -87,12 +89,12 @@
         }
     }
 
-    /// A request came in.
+    /// Records a received request, which adds to the retry quota.
     pub fn came(&mut self, now: Millis) {
         self.window.record_request(&self.allowance, now);
     }
 
-    /// Where engines put a prompt among others.
+    /// Scheduling rank that the host gives a request; engines run lower ranks first.
     #[must_use]
     pub fn rank(&self, way: &Way, kind: &Kind, tries: &Tries, received: u32) -> u8 {
         way.order.place(&Request {
@@ -103,19 +105,21 @@
         })
     }
 
-    /// Prompt tokens that it believes an engine to read in a millisecond.
+    /// Estimated speed at which an engine reads prompts, in tokens per millisecond.
     #[must_use]
     pub fn tokens_per_ms(&self) -> f64 {
         self.speed.tokens_per_ms()
     }
 
-    /// An answer began; what it says of the engines' speed and of the kind.
+    /// Records the time to the beginning of an answer, for the request kind and for the estimated
+    /// prompt speed.
     pub fn began(&mut self, kind: usize, ms: f64, wait_ms: f64, tokens: f64, now: Millis) {
         self.timings[kind].first.record(ms, now);
         self.speed.record(ms, wait_ms, tokens);
     }
 
-    /// The engine that a request goes to.
+    /// Chooses the engine for the next attempt and records the attempt against the engine's rate
+    /// limit.
     pub fn choose(
         &mut self,
         way: &Way,
@@ -140,7 +144,8 @@
         Choice::Engine(chosen)
     }
 
-    /// Engines listed, not tried and not at their limit.
+    /// Engines that are listed, have not been tried by this request and have room under their rate
+    /// limit.
     fn open(&self, tries: &Tries, now: Millis) -> Vec<usize> {
         let all = 0..self.views.len();
         all.filter(|engine| {
@@ -175,7 +180,7 @@
         }
     }
 
-    /// How long a caller is asked to stay away whose request every engine tried was too full for.
+    /// Milliseconds after which a caller is asked to come back when every engine tried was full.
     pub fn return_ms(&mut self, way: &Way, kind: (usize, &Kind), now: Millis, draw: f64) -> u64 {
         let service_ms = self.timings[kind.0].whole.mean_ms(0.0);
         let backlog_ms = match way.returns {
@@ -185,7 +190,7 @@
         way.returns.after_ms(service_ms, backlog_ms, draw)
     }
 
-    /// Mean expected time to the beginning of an answer.
+    /// Mean expected time to the beginning of an answer over all listed engines, in milliseconds.
     fn backlog_ms(&mut self, way: &Way, kind: (usize, &Kind), now: Millis) -> f64 {
         let rank = self.rank(way, kind.1, &Tries::default(), 0);
         let ask = self.ask(kind, 0);
@@ -194,7 +199,8 @@
         costs.iter().sum::<f64>() / costs.len().max(1) as f64
     }
 
-    /// Whether a request may be tried again; pays for it.
+    /// Returns whether the request may be sent to another engine; takes the retry from the quota
+    /// unless it is already paid for.
     pub fn may_go_on(
         &mut self,
         way: &Way,
@@ -226,7 +232,8 @@
         }
     }
 
-    /// Leaves a silent engine, if the request has another way; pays for the repeat.
+    /// Decides whether to abandon a silent engine: only if another engine can take the request and
+    /// the quota pays for the retry.
     pub fn leave(&mut self, way: &Way, tries: &mut Tries, engine: usize, now: Millis) -> bool {
         let mut others = self.views.iter().enumerate();
         let way_on = tries.sent < self.attempts_max
@@ -241,14 +248,15 @@
         paid
     }
 
-    /// An engine was left, since it said nothing.
+    /// Records an abandoned wait for the beginning of an answer, so that measured times don't omit
+    /// the slow cases.
     pub fn was_left(&mut self, (index, kind): (usize, &Kind), now: Millis) {
         let waited = kind.objective_ms as f64 * STREAM_BUSY_SHARE;
         self.timings[index].first.record_abandoned(waited, now);
     }
 
-    /// What to do about an engine that has said nothing for a time; none if it is waited for to the
-    /// end.
+    /// Decides what to do about an engine that has been silent for `silent_ms`; `None` means to
+    /// wait for it until the deadline.
     #[must_use]
     pub fn silence(
         &self,
@@ -271,7 +279,7 @@
     }
 }
 
-/// The engine chosen, as an index into those known.
+/// Picks an engine and returns its index in `known`.
 fn pick(pick: Pick, known: &[Engine], ask: &Demand, draw: u64) -> Option<usize> {
     let count = known.len() as u64;
     let any = |salt: u64| (mix(draw ^ salt) % count.max(1)) as usize;
--- a/crates/experiment/src/host/view.rs
+++ b/crates/experiment/src/host/view.rs
@@ -1,4 +1,4 @@
-//! One engine as one host sees it.
+//! The view that one host has of one engine.
 
 use policy::backlog::{Backlog, Prompt};
 use policy::engine::{self, Engine};
@@ -7,19 +7,21 @@
 use policy::throttle::{Limit, Place, Throttle};
 use policy::time::Millis;
 
-/// Connections in a row that must time out before an engine is held ill; the same as the router's.
+/// Consecutive connection timeouts after which an engine counts as unhealthy; same value as in the
+/// router.
 const TIMEOUTS_TO_ILL: u32 = 2;
 
-/// What is believed of an engine.
+/// What a host believes about an engine.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// It is on the host's list.
+    /// Whether the engine is on the host's list of backend servers.
     pub is_listed: bool,
-    /// It stands in the host's failure domain.
+    /// Whether the engine is in the host's failure domain.
     pub is_near: bool,
-    /// Hosts of the failure domain whose turn comes before this one's while it takes only so many.
+    /// Number of hosts in the failure domain that are ranked before this one when a rate-limited
+    /// engine's quota is divided.
     pub before: usize,
-    /// When it last said anything.
+    /// Time of the last message from the engine.
     pub heard_at: Millis,
     slots: u32,
     own: u32,
@@ -34,13 +36,14 @@
 }
 
 impl View {
-    /// Of an engine that nothing is known of yet.
+    /// Creates the view of a listed engine without any observations.
     #[must_use]
     pub fn new(is_near: bool, before: usize, slots: u32) -> Self {
         Self { is_listed: true, is_near, before, slots, ..Self::default() }
     }
 
-    /// It is listed afresh, having started again: what was believed of it is forgotten.
+    /// Resets the view after the engine restarted and was listed again; `warmup` limits the rate of
+    /// a cold engine.
     pub fn restarted(&mut self, warmup: Option<Limit>, now: Millis) {
         *self = Self::new(self.is_near, self.before, self.slots);
         if let Some(limit) = warmup {
@@ -48,38 +51,39 @@
         }
     }
 
-    /// Whether it is not held ill.
+    /// Whether the engine is listed and not marked unhealthy.
     #[must_use]
     pub fn takes_work(&self, now: Millis) -> bool {
         self.is_listed && self.health.ill_until <= now
     }
 
-    /// Whether it takes only so many requests a second.
+    /// Whether the engine's request rate is limited now.
     #[must_use]
     pub fn is_limited(&self, now: Millis) -> bool {
         self.throttle.is_limited(now)
     }
 
-    /// See [`Throttle::has_room`].
+    /// Whether the rate limit admits one more request from this host; see [`Throttle::has_room`].
     #[must_use]
     pub fn has_room(&self, place: &Place, now: Millis) -> bool {
         self.throttle.has_room(place, now)
     }
 
-    /// See [`Throttle::per_second`].
+    /// Requests per second that the engine accepts; `None` without a limit. See
+    /// [`Throttle::per_second`].
     #[must_use]
     pub fn per_second(&self, now: Millis) -> Option<f64> {
         self.throttle.per_second(now)
     }
 
-    /// A request goes there.
+    /// Counts a request against the engine's rate limit, if it has one.
     pub fn sent_to(&mut self, place: &Place, now: Millis) {
         if self.throttle.is_limited(now) {
             self.throttle.record_sent(place, now);
         }
     }
 
-    /// As the policy is given it, for a prompt of a rank.
+    /// Returns the engine as input to the policy, for a prompt of the given rank.
     #[must_use]
     pub fn known(&mut self, rank: u8, now: Millis) -> Engine {
         Engine {
@@ -97,18 +101,18 @@
         }
     }
 
-    /// A prompt was sent there; its number.
+    /// Records a prompt sent to the engine and returns its number in the backlog.
     pub fn sent(&mut self, prompt: Prompt, now: Millis) -> u64 {
         self.own += 1;
         self.backlog.add_own(prompt, now)
     }
 
-    /// Another host has sent a long prompt.
+    /// Records a long prompt that another host announced.
     pub fn announced(&mut self, prompt: Prompt, now: Millis) {
         self.backlog.add_announced(prompt, now);
     }
 
-    /// It said how many requests it has.
+    /// Records the engine's report of its number of requests.
     pub fn reported(&mut self, load: u32, now: Millis) {
         self.heard_at = now;
         self.reported = load;
@@ -117,18 +121,18 @@
         self.health.record_report(now);
     }
 
-    /// An answer began.
+    /// Records the beginning of the answer to prompt `number`.
     pub fn began(&mut self, number: u64, now: Millis) {
         self.backlog.record_answer_start(number, now);
     }
 
-    /// A try has ended, well or not.
+    /// Removes an attempt that ended, successfully or not.
     pub fn left(&mut self, number: u64) {
         self.own = self.own.saturating_sub(1);
         self.backlog.remove(number);
     }
 
-    /// A request that it worked on ended well, or did not.
+    /// Records the result of a request that the engine worked on.
     pub fn note(&mut self, failed: bool, now: Millis) {
         self.suspicion.record(failed, now);
         if !failed {
@@ -137,13 +141,13 @@
         }
     }
 
-    /// It refuses connections.
+    /// Records a refused connection.
     pub fn refused(&mut self, now: Millis) {
         self.suspicion.record(true, now);
         self.health.record_failure(now);
     }
 
-    /// A connection to it timed out.
+    /// Records a connection timeout.
     pub fn timed_out(&mut self, now: Millis) {
         self.suspicion.record(true, now);
         self.timeouts += 1;
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,7 +1,7 @@
-//! A fleet under overload in simulated time, and ways to decide compared on it.
+//! Simulates a fleet under overload and compares strategies of deciding.
 //!
-//! Engines, callers and the network are models; what a host decides is decided by the functions of
-//! `policy` that the router itself calls. A run depends on its scenario, way and seed alone.
+//! Engines, callers and the network are models. Hosts decide with the `policy` functions that the
+//! router itself calls. The result depends only on scenario, strategy and seed.
 
 pub mod engine;
 pub mod host;
--- a/crates/experiment/src/plot.rs
+++ b/crates/experiment/src/plot.rs
@@ -1,4 +1,4 @@
-//! A picture of an experiment, as SVG.
+//! Draws the results of an experiment as SVG.
 
 use plotters::prelude::{
     BLACK, ChartBuilder, Color, IntoDrawingArea, IntoFont, LineSeries, Palette, Palette99,
@@ -12,19 +12,19 @@
 
 type Drawn = Result<(), Box<dyn std::error::Error>>;
 
-/// Which requests a line shows the share of.
+/// Which requests a chart shows the share of.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Shown {
-    /// Answered, in time or not.
+    /// Requests answered in full, in time or late.
     Served,
-    /// Answered in time.
+    /// Requests answered in full and in time.
     InTime,
 }
 
-/// The share of requests served, by the second in which they came; one line for each way.
+/// Draws the share of requests served, by the second of their first sending; one line per strategy.
 ///
 /// # Errors
-/// When the plotting library refuses; the message is its own.
+/// The plotting library's message, if it fails.
 pub fn shares(rows: &[Row], shown: Shown) -> Result<String, String> {
     let mut text = String::new();
     draw(&mut text, rows, shown).map_err(|error| error.to_string())?;
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -1,4 +1,4 @@
-//! Ways beside each other: what became of requests, and how soon all were served again.
+//! Compares strategies: outcomes of requests, and the time until all are served again.
 
 use std::fmt::Write as _;
 
@@ -10,37 +10,38 @@
 use crate::way::Way;
 
 domain! {
-    /// One way, its runs taken together.
+    /// Results of one strategy, summed over its runs.
     pub struct Row {
-        /// Its name.
+        /// Name of the strategy.
         pub way: String,
-        /// How many runs.
+        /// Number of runs, one per seed.
         pub runs: u32,
-        /// What became of requests in all runs.
+        /// Outcomes of requests in all runs.
         pub counts: Counts,
-        /// Of those, by second.
+        /// Outcomes by the second in which callers first sent the requests.
         pub seconds: Vec<Counts>,
-        /// Requests that engines preempted.
+        /// Number of preemptions in engines.
         pub preempted: u64,
-        /// Second tries that hosts sent.
+        /// Number of retries that hosts sent.
         pub repeats: u64,
-        /// Callers that came back.
+        /// Number of times that callers came back after a rejection or failure.
         pub returns: u64,
-        /// Requests that engines rejected.
+        /// Number of attempts that engines rejected because they had no room.
         pub full: u64,
-        /// Requests that engines worked off for callers that had left.
+        /// Number of requests that engines completed after nobody waited for them any more.
         pub wasted: u64,
-        /// Seconds from the last cause's end until all requests are served for good, in the worst
-        /// run; none if some run did not come to it.
+        /// Seconds from the end of the last cause until all later requests are served, in the worst
+        /// run; `None` if some run did not recover.
         pub recovered_s: Option<f64>,
-        /// Runs that did.
+        /// Number of runs that recovered.
         pub recovered_runs: u32,
-        /// The same as `recovered_s` for 99 in 100 requests served in time.
+        /// Like `recovered_s`, but until at least 99 % of each second's requests are served in
+        /// time.
         pub in_time_s: Option<f64>,
     }
 }
 
-/// Plays every way of a scenario from every seed.
+/// Runs every strategy of a scenario once per seed.
 #[must_use]
 pub fn rows(scenario: &Scenario) -> Vec<Row> {
     let row = |way: &Way| {
@@ -74,12 +75,12 @@
     }
 }
 
-/// The longest; none if one is missing.
+/// Returns the longest time, or `None` if one is missing.
 fn worst(mut times: impl Iterator<Item = Option<f64>>) -> Option<f64> {
     times.try_fold(0.0, |most: f64, time| time.map(|time| most.max(time)))
 }
 
-/// One line for each way.
+/// Formats the results as a text table with one line per strategy.
 #[must_use]
 pub fn table(scenario: &Scenario, rows: &[Row]) -> String {
     let load = scenario.load_per_s;
--- a/crates/experiment/src/request.rs
+++ b/crates/experiment/src/request.rs
@@ -1,98 +1,100 @@
-//! A request from its caller's first sending to its end.
+//! A request from its caller's first sending to its outcome.
 
-/// Microseconds of simulated time.
+/// Simulated time in microseconds since the start of the run.
 pub type Micros = u64;
 
-/// How a request ended, for its caller.
+/// Outcome of a request, as its caller sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Answered in full and in time.
+    /// Answered in full, first event and every pause within the objective.
     InTime,
-    /// Answered in full, but late or with too long a pause.
+    /// Answered in full, but with a late first event or too long a pause.
     Late,
-    /// Not run, and not asked for again.
+    /// Rejected without having run, and not sent again by the caller.
     Rejected,
-    /// Broken off, or its caller has left.
+    /// Interrupted, or abandoned by the caller.
     Failed,
 }
 
-/// A try under way.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Try {
-    /// The engine that it was sent to.
+    /// Index of the engine that the attempt was sent to.
     pub engine: usize,
-    /// Its number in the host's backlog of that engine.
+    /// Number of the prompt in the host's backlog of that engine; 0 if no connection opens.
     pub number: u64,
-    /// Its place there; 0 goes first.
+    /// Scheduling rank in the engine; 0 runs first.
     pub rank: u8,
-    /// When it was sent.
+    /// Time at which the host sent the attempt.
     pub sent: Micros,
-    /// Time until its prompt would be read, as expected then, in milliseconds.
+    /// Expected wait before the engine reads the prompt, estimated when the attempt was sent, in
+    /// milliseconds.
     pub wait_ms: f64,
-    /// Tokens of its prompt.
+    /// Tokens of the prompt, including the part of the answer already received.
     pub tokens: f64,
-    /// Its answer has begun.
+    /// Whether the answer has begun.
     pub has_begun: bool,
-    /// It reached the engine's queue.
+    /// Whether a connection opens, so that the attempt counts as sent to the engine.
     pub is_there: bool,
 }
 
-/// What the tries of one host came to.
+/// State of the attempts that one host made for a request.
 #[derive(Clone, Debug, Default)]
 pub struct Tries {
-    /// Engines that it was sent to.
+    /// Number of attempts that an engine received.
     pub sent: u32,
-    /// Connections that timed out.
+    /// Number of connections that timed out.
     pub unsent: u32,
-    /// Engines that said that they had not run it.
+    /// Number of engines that rejected the request without running it.
     pub not_run: u32,
-    /// It may have run.
+    /// Whether an engine may have run the request; if the host gives up, the request then counts as
+    /// failed and not as rejected.
     pub may_have_run: bool,
-    /// Its caller has the beginning of its answer.
+    /// Whether the caller has received the beginning of the answer.
     pub is_passed_on: bool,
-    /// Engines not to be tried again.
+    /// Engines excluded from further attempts.
     pub tried: Vec<usize>,
-    /// The next try is paid for.
+    /// Whether the next attempt is already paid for from the retry quota.
     pub paid: bool,
-    /// The one under way.
+    /// Attempt in flight, if any.
     pub current: Option<Try>,
 }
 
-/// A request.
+/// A request in the simulation.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its kind, as an index.
+    /// Index of the request's kind in the scenario.
     pub kind: usize,
-    /// When its caller first sent it.
+    /// Time at which the caller first sent the request.
     pub came: Micros,
-    /// When its caller sent it last.
+    /// Time at which the caller last sent the request.
     pub asked: Micros,
-    /// How long its caller waits at most.
+    /// Deadline after which the caller no longer waits.
     pub until: Micros,
-    /// The host that carries it.
+    /// Index of the host that handles the request.
     pub host: usize,
-    /// Times that its caller has come back.
+    /// Number of times that the caller has come back.
     pub returned: u32,
-    /// Tokens of whole events that the caller has.
+    /// Tokens of complete events that the caller has received.
     pub received: u32,
-    /// When the first event came, for the caller.
+    /// Time at which the caller received the first event; `None` before.
     pub first: Option<Micros>,
-    /// When the last event came, for the caller.
+    /// Time at which the caller received the latest event; `None` before.
     pub last: Option<Micros>,
-    /// The longest pause so far.
+    /// Longest pause between events so far.
     pub pause: Micros,
-    /// Counts tries, so that what is said of earlier ones is known.
+    /// Number of the latest attempt; replies to earlier attempts are recognized by it and ignored.
     pub serial: u16,
-    /// Counts looks, so that outdated ones are known.
+    /// Number of the latest scheduled check; earlier ones are recognized by it and ignored.
     pub look: u32,
-    /// See [`Tries`].
+    /// State of the attempts at the current host.
     pub tries: Tries,
-    /// Once it has ended.
+    /// How the request ended; `None` while it is open.
     pub outcome: Option<Outcome>,
 }
 
 impl Request {
-    /// A new one.
+    /// Creates a request that its caller first sends at `came` and waits for until `until`.
     #[must_use]
     pub fn new(kind: usize, came: Micros, until: Micros, host: usize) -> Self {
         Self {
@@ -113,7 +115,7 @@
         }
     }
 
-    /// An event came.
+    /// Records an event that the caller receives at time `at`.
     pub fn event(&mut self, tokens: u32, at: Micros) {
         let pause = self.last.map_or(0, |last| at.saturating_sub(last));
         self.pause = self.pause.max(pause);
@@ -122,13 +124,13 @@
         self.received += tokens;
     }
 
-    /// Since when its caller has heard nothing.
+    /// Time since which the caller has received nothing.
     #[must_use]
     pub fn quiet_since(&self) -> Micros {
         self.last.unwrap_or_default().max(self.asked)
     }
 
-    /// How it ended, its answer being whole.
+    /// Returns the outcome of a request whose answer is complete.
     #[must_use]
     pub fn answered(&self, objective_ms: u64, gap_ms: u64) -> Outcome {
         let begun = self.first.unwrap_or(self.came) - self.came;
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a scenario by one way from one seed, event by event in simulated time.
+//! Runs a scenario with one strategy and one seed, as a discrete-event simulation.
 
 mod agenda;
 mod carry;
@@ -17,21 +17,22 @@
 use crate::tally::Tally;
 use crate::way::Way;
 
-/// Hosts take a time of 0 for never.
+/// Clock of hosts at the start of a run; not 0, since hosts take a time of 0 for never.
 const START_MS: u64 = 1_000;
 
-/// An engine and what stands around it.
+/// An engine and its state in the simulation.
 struct Place {
     engine: Engine,
     domain: usize,
     is_alive: bool,
-    /// A step is under way.
+    /// Whether a step is in progress.
     is_busy: bool,
-    /// Counts its starts, so that steps of earlier ones are known.
+    /// Incremented at each start and loss, so that events of an earlier life of the engine are
+    /// ignored.
     start: u32,
 }
 
-/// Everything in a run.
+/// State of a run.
 struct World<'a> {
     scenario: &'a Scenario,
     way: &'a Way,
@@ -41,17 +42,17 @@
     hosts: Vec<Host>,
     engines: Vec<Place>,
     requests: Vec<Request>,
-    /// No request comes in from then on.
+    /// Time from which no new request arrives.
     end: Micros,
-    /// How many times larger the traffic is than usual.
+    /// Factor on the usual arrival rate.
     traffic: f64,
-    /// Until then the first failure domain is cut off.
+    /// Time until which the first failure domain is cut off from the others.
     cut_until: Micros,
     weights: f64,
     tally: Tally,
 }
 
-/// Plays a scenario by one way from one seed.
+/// Runs a scenario with one strategy and one seed.
 #[must_use]
 pub fn run(scenario: &Scenario, way: &Way, seed: u64) -> Tally {
     let mut world = World::new(scenario, way, seed);
@@ -126,7 +127,7 @@
         self.tally
     }
 
-    /// As hosts see it.
+    /// Current time on the hosts' clock.
     fn clock(&self) -> Millis {
         Millis(START_MS + self.now / 1_000)
     }
@@ -139,7 +140,7 @@
         }
     }
 
-    /// A caller sends a request.
+    /// A caller sends a new request.
     fn arrive(&mut self) {
         self.next_arrival();
         let kind = self.draw_kind();
@@ -174,20 +175,21 @@
         (index, &self.scenario.kinds[index])
     }
 
-    /// One way between hosts and engines.
+    /// One-way latency between hosts and engines.
     fn hop(&self) -> Micros {
         micros(self.scenario.network.engine_ms)
     }
 }
 
-/// When requests cease. Those beyond the scenario's length are not counted: the fleet must not
-/// recover by the traffic's end, so they come for as long as callers of its last ones may wait.
+/// Time at which requests stop arriving. Requests after the scenario's length are not counted; they
+/// keep arriving for as long as callers of the last counted requests may wait, because the fleet
+/// must not recover merely because the traffic ends.
 fn end(scenario: &Scenario) -> Micros {
     let waits = scenario.kinds.iter().map(|kind| kind.patience_ms().min(kind.budget_ms));
     (u64::from(scenario.length_s) * 1_000 + waits.max().unwrap_or_default()) * 1_000
 }
 
-/// Milliseconds as they stand in a scenario.
+/// Converts milliseconds, the unit of scenarios.
 fn micros(ms: f64) -> Micros {
     (ms * 1_000.0) as Micros
 }
--- a/crates/experiment/src/run/agenda.rs
+++ b/crates/experiment/src/run/agenda.rs
@@ -1,51 +1,52 @@
-//! What is to happen, in the order of its time; at one time in the order in which it was noted.
+//! Queue of future events, ordered by time; events of equal time keep the order in which they were
+//! added.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 use crate::request::Micros;
 
-/// What happens.
+/// An event in the simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A new request.
+    /// A caller sends a new request.
     Arrive,
-    /// A request reaches its host, for the first time or again.
+    /// A request reaches its host, for the first time or after the caller came back.
     Ask { request: usize },
-    /// A try reaches its engine.
+    /// An attempt reaches its engine.
     Reach { request: usize, serial: u16 },
-    /// A host hears of a try.
+    /// A host receives the reply to an attempt.
     Reply { request: usize, serial: u16, reply: Reply },
-    /// An engine learns that a connection was closed.
+    /// An engine detects that a connection was closed.
     Close { engine: usize, id: u64 },
-    /// An engine's step ends.
+    /// A step of an engine ends.
     Step { engine: usize, start: u32 },
-    /// A request is looked at: whether its caller leaves, or its host the engine.
+    /// A request without news is checked: its caller may leave, or its host may abandon the engine.
     Look { request: usize, look: u32 },
-    /// A cause begins or ends.
+    /// A cause of the scenario begins or ends.
     Cause { index: usize, begins: bool },
-    /// Hosts take an engine off their lists, or put it there again.
+    /// Hosts remove an engine from their lists, or list it again.
     List { engine: usize, start: u32 },
 }
 
-/// What a host hears.
+/// Reply that a host receives for an attempt.
 #[derive(Clone, Copy, Debug)]
 pub enum Reply {
-    /// No connection was taken.
+    /// The connection was refused.
     Refused,
-    /// No connection opened in time.
+    /// The connection attempt timed out.
     Silent,
-    /// The engine is full and has so many requests.
+    /// The engine is full; holds its number of requests.
     Full(u32),
-    /// The answer began, and the engine has so many requests.
+    /// The answer began; holds the engine's number of requests.
     Head(u32),
-    /// The connection broke.
+    /// The connection broke before the answer's end.
     Lost,
-    /// The answer ended.
+    /// The answer is complete.
     End,
 }
 
-/// What is to happen.
+/// Events that have not happened yet.
 #[derive(Debug, Default)]
 pub struct Agenda {
     heap: BinaryHeap<Entry>,
@@ -60,20 +61,21 @@
 }
 
 impl Agenda {
-    /// Notes what happens then.
+    /// Schedules an event at a time.
     pub fn at(&mut self, at: Micros, event: Event) {
         self.next += 1;
         self.heap.push(Entry { at, number: self.next, event });
     }
 
-    /// What happens next, and when.
+    /// Removes and returns the next event and its time.
     pub fn next(&mut self) -> Option<(Micros, Event)> {
         self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 }
 
 impl Ord for Entry {
-    /// The earliest is the greatest, for the heap.
+    /// Reverses the order, since [`BinaryHeap`] returns the greatest entry and the earliest is
+    /// needed.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
--- a/crates/experiment/src/run/carry.rs
+++ b/crates/experiment/src/run/carry.rs
@@ -1,4 +1,4 @@
-//! A host carries a request: which engine, again or not, what its caller hears.
+//! A host handles a request: chooses engines, retries, and answers the caller.
 
 use policy::backlog::Prompt;
 
@@ -7,19 +7,20 @@
 use crate::host::Choice;
 use crate::request::{Outcome, Tries, Try};
 
-/// Longest wait for a connection, in milliseconds, and the part of the time left that it may use;
-/// both the router's.
+/// Connection timeout in milliseconds, and the divisor of the remaining time that bounds the
+/// timeout; both values are the router's.
 const CONNECT_MS: u64 = 250;
 const CONNECT_PART: u64 = 4;
-/// Reading times from which a prompt is announced to the other hosts, in milliseconds; the router's.
+/// Prompts whose reading takes at least this long are announced to the other hosts, in
+/// milliseconds; same value as in the router.
 const TOLD_MS: f64 = 60.0;
-/// After a failure a caller comes back within this time, in milliseconds.
+/// Upper bound on the time after which a caller comes back after a failure, in milliseconds.
 const FAILED_RETURN_MS: f64 = 100.0;
-/// Part of the time left that a caller stays away at most, when asked to.
+/// A caller that is asked to come back later waits at most the remaining time divided by this.
 const AWAY_PART: u64 = 3;
 
 impl World<'_> {
-    /// A request has reached its host.
+    /// Handles a request that has reached its host.
     pub(super) fn ask(&mut self, request: usize) {
         let now = self.clock();
         let host = self.requests[request].host;
@@ -30,7 +31,7 @@
         self.go_on(request);
     }
 
-    /// Tries the next engine.
+    /// Sends the request to the next engine, or gives up if there is none.
     fn go_on(&mut self, request: usize) {
         let (now, draw, kind) = (self.clock(), self.draw.bits(), self.kind(request));
         let held = &self.requests[request];
@@ -67,7 +68,8 @@
         self.look_soon(request);
     }
 
-    /// Notes what the host then knows of the engine, unless no connection opens.
+    /// Creates an attempt and, unless its connection doesn't open, records the prompt in the host's
+    /// view of the engine.
     fn begin_try(&mut self, request: usize, engine: usize, opens: bool) -> Try {
         let (now, kind) = (self.clock(), self.kind(request).1);
         let held = &self.requests[request];
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Tells the other hosts of the failure domain.
+    /// Announces a prompt to the other hosts of the failure domain.
     fn announce(&mut self, request: usize, engine: usize, prompt: Prompt) {
         let (now, from) = (self.clock(), self.requests[request].host);
         let domain = self.hosts[from].domain;
@@ -105,7 +107,7 @@
         }
     }
 
-    /// A host hears of a try.
+    /// Handles the reply to an attempt; ignores replies to earlier attempts.
     pub(super) fn reply(&mut self, request: usize, serial: u16, reply: Reply) {
         let held = &self.requests[request];
         let Some(current) = held.tries.current.filter(|_| held.serial == serial) else { return };
@@ -145,7 +147,7 @@
         self.end(request, outcome);
     }
 
-    /// A try has failed: who is to blame, and what is known of the request now.
+    /// Handles a failed attempt: records the failure against the engine, then retries or gives up.
     pub(super) fn failed(&mut self, request: usize, current: Try, reply: Reply) {
         let now = self.clock();
         let host = &mut self.hosts[self.requests[request].host];
@@ -172,7 +174,7 @@
                 tries.may_have_run = true;
             }
         }
-        // Nothing arrived anywhere, so a repeat that was paid for is still to be made.
+        // The request reached no engine, so a retry that was paid for is still available.
         tries.paid |= matches!(reply, Reply::Refused | Reply::Silent) && tries.sent > 0;
         let left_ms = self.requests[request].until.saturating_sub(self.now) / 1_000;
         let has_begun = current.has_begun;
@@ -186,7 +188,8 @@
         }
     }
 
-    /// No engine is tried any more; `per_second` is what limited ones take in all.
+    /// Ends the attempts and answers the caller; `per_second` is the total rate that rate-limited
+    /// engines accept.
     fn give_up(&mut self, request: usize, per_second: f64) {
         let (now, kind, draw) = (self.clock(), self.kind(request), self.draw.unit());
         let held = &self.requests[request];
@@ -205,7 +208,8 @@
         self.come_back(request, after, Outcome::Rejected);
     }
 
-    /// The caller hears that it may come back after so many milliseconds, and does if it will.
+    /// The caller is asked to come back after `after_ms`; it does so if its deadline and the
+    /// scenario's limit allow, else the request ends with `else_outcome`.
     fn come_back(&mut self, request: usize, after_ms: u64, else_outcome: Outcome) {
         let host = self.draw_host();
         let way = micros(self.scenario.network.caller_ms);
@@ -225,14 +229,14 @@
         self.send_to_host(request, way + wait);
     }
 
-    /// Its host is done with it.
+    /// Releases the request from its host.
     fn leave_host(&mut self, request: usize) {
         let held = &mut self.requests[request];
         let was_passed_on = std::mem::take(&mut held.tries.is_passed_on);
         self.hosts[held.host].streams -= usize::from(was_passed_on);
     }
 
-    /// It has come to its end.
+    /// Ends a request with its outcome.
     pub(super) fn end(&mut self, request: usize, outcome: Outcome) {
         self.leave_host(request);
         let held = &mut self.requests[request];
--- a/crates/experiment/src/run/cause.rs
+++ b/crates/experiment/src/run/cause.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and how hosts come to know of engines that end and start.
+//! Causes of overload, and how hosts learn of engines that end and start.
 
 use policy::throttle::Limit;
 
@@ -7,7 +7,7 @@
 use crate::scenario::{Cause, What};
 
 impl World<'_> {
-    /// A cause begins or ends.
+    /// Begins or ends a cause.
     pub(super) fn cause(&mut self, index: usize, begins: bool) {
         let cause = self.scenario.causes[index];
         match cause.what {
@@ -29,7 +29,8 @@
         }
     }
 
-    /// The engines that a cause concerns: the first ones, which stand in all failure domains.
+    /// Engines affected by a cause: the first ones by index, which are spread over all failure
+    /// domains.
     fn concerned(&self, cause: &Cause) -> std::ops::Range<usize> {
         0..(self.engines.len() as f64 * cause.share).round() as usize
     }
@@ -48,7 +49,8 @@
         self.agenda.at(self.now + after_ms * 1_000, Event::List { engine, start });
     }
 
-    /// Hosts hear that an engine is gone, or that it has started again.
+    /// Updates the hosts' lists after an engine ended or started; ignored if the engine has changed
+    /// since.
     pub(super) fn list(&mut self, engine: usize, start: u32) {
         if self.engines[engine].start != start {
             return;
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Whether a host can't reach an engine.
+    /// Whether a network cut separates a host from an engine.
     pub(super) fn is_cut(&self, host: usize, engine: usize) -> bool {
         self.now < self.cut_until
             && self.hosts[host].domain == 0
--- a/crates/experiment/src/run/deliver.rs
+++ b/crates/experiment/src/run/deliver.rs
@@ -1,4 +1,4 @@
-//! Engines step, and what they say reaches hosts and callers.
+//! Engine steps, and the delivery of their output to hosts and callers.
 
 use super::agenda::{Event, Reply};
 use super::{World, micros};
@@ -6,12 +6,13 @@
 use crate::request::Micros;
 
 impl World<'_> {
-    /// Names a try at its engine.
+    /// Identifies the current attempt at its engine: the request in the upper bits, the attempt's
+    /// number in the lower 16.
     pub(super) fn id(&self, request: usize) -> u64 {
         (request as u64) << 16 | u64::from(self.requests[request].serial)
     }
 
-    /// A try reaches its engine.
+    /// Handles an attempt that reaches its engine.
     pub(super) fn reach(&mut self, request: usize, serial: u16) {
         let held = &self.requests[request];
         let Some(current) = held.tries.current.filter(|_| held.serial == serial) else { return };
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Begins a step if none is under way and there is something to do.
+    /// Begins a step if the engine is idle and has requests.
     fn wake(&mut self, engine: usize) {
         let place = &mut self.engines[engine];
         if place.is_busy {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// A step ends.
+    /// Ends a step, delivers its output and begins the next step.
     pub(super) fn step(&mut self, engine: usize, start: u32) {
         let place = &mut self.engines[engine];
         if place.start != start {
@@ -83,7 +84,8 @@
         }
     }
 
-    /// When the host hears what the engine of its try says now.
+    /// Time at which the host receives what the engine sends now; delayed until the end of a
+    /// network cut.
     fn heard_at(&self, request: usize) -> Micros {
         let held = &self.requests[request];
         let engine = held.tries.current.map(|current| current.engine);
@@ -92,13 +94,13 @@
         sent + self.hop()
     }
 
-    /// A host hears of a try.
+    /// Schedules the reply to an attempt at its host.
     fn tell(&mut self, request: usize, serial: u16, reply: Reply) {
         let at = self.heard_at(request);
         self.agenda.at(at, Event::Reply { request, serial, reply });
     }
 
-    /// All that was at an engine is lost with it.
+    /// Stops an engine; all requests in it are lost.
     pub(super) fn lose(&mut self, engine: usize) {
         let place = &mut self.engines[engine];
         place.is_alive = false;
--- a/crates/experiment/src/run/look.rs
+++ b/crates/experiment/src/run/look.rs
@@ -1,4 +1,4 @@
-//! Requests that hear nothing: their hosts leave engines, their callers leave.
+//! Checks of requests without news: hosts abandon silent engines, callers leave.
 
 use policy::silence::Action;
 use policy::time::Millis;
@@ -7,17 +7,19 @@
 use super::{World, micros};
 use crate::request::{Micros, Outcome, Try};
 
-/// Between two looks at an engine that lives, in milliseconds; the router's.
+/// Interval between checks of a silent engine that answers probes, in milliseconds; same value as
+/// in the router.
 const LOOK_MS: f64 = 100.0;
 
 impl World<'_> {
-    /// Looks at a request anew: something has come, or it was sent.
+    /// Schedules the next check of a request after something was sent or received.
     pub(super) fn look_soon(&mut self, request: usize) {
         let wait = self.wait(request).unwrap_or(Micros::MAX);
         self.look_after(request, wait);
     }
 
-    /// Looks at it after a time, or when its caller leaves if that is sooner.
+    /// Schedules a check after `wait`, or when the caller leaves if that is sooner. At least a
+    /// millisecond passes, except before the caller leaves.
     fn look_after(&mut self, request: usize, wait: Micros) {
         let leaves = self.leaves_at(request);
         let held = &mut self.requests[request];
@@ -26,14 +28,14 @@
         self.agenda.at(at, Event::Look { request, look: held.look });
     }
 
-    /// When its caller leaves if it hears nothing.
+    /// Time at which the caller leaves if it receives nothing more.
     fn leaves_at(&self, request: usize) -> Micros {
         let held = &self.requests[request];
         let patience = self.kind(request).1.patience_ms() * 1_000;
         held.until.min(held.quiet_since() + patience)
     }
 
-    /// Since when the host has heard nothing of a try.
+    /// Time since which the host has received nothing from an attempt.
     fn quiet_since(&self, request: usize, current: Try) -> Micros {
         match current.has_begun {
             true => self.requests[request].quiet_since().max(current.sent),
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Looks at a request.
+    /// Checks a request; ignores a check that a later one replaced.
     pub(super) fn look(&mut self, request: usize, look: u32) {
         if self.requests[request].look != look || self.requests[request].outcome.is_some() {
             return;
@@ -82,12 +84,12 @@
         self.look_after(request, micros(LOOK_MS));
     }
 
-    /// The host leaves the engine if the request has another way.
+    /// Abandons the engine if the host may send the request elsewhere, and waits on otherwise.
     fn leave(&mut self, request: usize, current: Try) {
         let now: Millis = self.clock();
         let held = &mut self.requests[request];
         let host = &mut self.hosts[held.host];
-        // The try under way counts as sent from its beginning.
+        // An attempt whose answer has not begun is not yet in `sent`; it counts for this decision.
         held.tries.sent += u32::from(!current.has_begun);
         let leaves = host.leave(self.way, &mut held.tries, current.engine, now);
         held.tries.sent -= u32::from(!current.has_begun);
@@ -112,7 +114,8 @@
         self.end(request, Outcome::Failed);
     }
 
-    /// Closes a try's connection, upon which its engine drops it.
+    /// Closes the connection of an attempt; the engine then cancels the request, if the scenario
+    /// says that engines do.
     fn close(&mut self, request: usize, current: Try) {
         if self.scenario.engines.drops {
             let id = self.id(request);
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What an experiment plays, as it stands in its file.
+//! The scenario of an experiment, as written in its file.
 
 mod check;
 
@@ -9,161 +9,162 @@
 use crate::way::Way;
 
 domain! {
-    /// All of it.
+    /// A whole scenario.
     pub struct Scenario {
-        /// Hosts of the router.
+        /// Number of hosts of the router.
         pub hosts: u32,
-        /// Failure domains that hosts and engines are dealt out to.
+        /// Number of failure domains; hosts and engines are assigned to them in turn.
         #[serde(default = "four")]
         pub domains: u32,
-        /// For how long requests come in, in seconds.
+        /// Duration for which requests arrive and are counted, in seconds.
         pub length_s: u32,
-        /// One run of each way for each.
+        /// Random seeds; each strategy runs once per seed.
         pub seeds: Vec<u64>,
-        /// Requests a second, of all kinds together.
+        /// Arrival rate of all kinds together, in requests per second.
         pub load_per_s: f64,
-        /// The engines.
+        /// Model of the engines.
         pub engines: Engines,
-        /// Time on the way.
+        /// Network latencies.
         #[serde(default)]
         pub network: Network,
-        /// How often a request may be sent again.
+        /// Limits of retries.
         #[serde(default)]
         pub repeats: Repeats,
-        /// Times that a caller comes back after a rejection or a failure, at most.
+        /// Maximum number of times that a caller comes back after a rejection or failure.
         #[serde(default = "one")]
         pub returns: u32,
-        /// The kinds of requests.
+        /// Kinds of requests, drawn by weight.
         pub kinds: Vec<Kind>,
-        /// What goes wrong, and when.
+        /// Causes of overload, with their times.
         #[serde(default)]
         pub causes: Vec<Cause>,
-        /// What is compared.
+        /// Strategies to compare.
         pub ways: Vec<Way>,
     }
 
-    /// The engines, all alike.
+    /// Settings of the engines, which are all alike.
     pub struct Engines {
-        /// How many.
+        /// Number of engines.
         pub count: u32,
-        /// Requests that each works on at once.
+        /// Number of requests that each engine runs at once.
         pub slots: u32,
-        /// Requests that may wait at each beyond those.
+        /// Number of requests that may wait at each engine in addition to those in slots.
         pub queue: u32,
-        /// Tokens that its memory holds.
+        /// Memory of each engine, in tokens.
         pub memory_tokens: u32,
-        /// Time of a step with no request in it, in milliseconds.
+        /// Fixed duration of a step, without what its requests add, in milliseconds.
         pub step_ms: f64,
-        /// What each request that generates adds to a step, in milliseconds.
+        /// Time that each generating request adds to a step, in milliseconds.
         pub step_ms_per_run: f64,
-        /// Prompt tokens that it reads in a millisecond.
+        /// Speed at which an engine reads prompts, in tokens per millisecond.
         pub read_tokens_per_ms: f64,
-        /// Prompt tokens that it reads between two steps, at most.
+        /// Maximum number of prompt tokens read between two steps.
         pub chunk_tokens: u32,
-        /// Tokens of an event.
+        /// Number of answer tokens per event.
         pub event_tokens: u32,
-        /// Whether a request that waits preempts a less urgent one.
+        /// Whether a waiting request preempts a less urgent one.
         #[serde(default = "yes")]
         pub preempts: bool,
-        /// Part of a preempted request's tokens that its caches still hold when it runs again.
+        /// Fraction of a preempted request's tokens, from 0 to 1, that caches still hold when it
+        /// runs again.
         #[serde(default)]
         pub kept: f64,
-        /// Whether it drops a request when the connection closes.
+        /// Whether an engine cancels a request when its connection closes.
         #[serde(default = "yes")]
         pub drops: bool,
-        /// What it takes while it is cold after a start; none if it is warm at once.
+        /// Rate limit while an engine is cold after a start; `None` if it is warm at once.
         #[serde(default)]
         pub warmup: Option<Warmup>,
     }
 
-    /// What an engine that has just started takes.
+    /// Rate limit of an engine that has just started.
     #[derive(Copy)]
     pub struct Warmup {
-        /// Requests a second, from all hosts together.
+        /// Requests per second that a cold engine accepts, from all hosts together.
         pub per_second: f64,
-        /// Until it is warm, in milliseconds.
+        /// Duration from the start until the engine is warm, in milliseconds.
         pub ms: u64,
     }
 
-    /// Time on the way.
+    /// Network latencies.
     #[derive(Copy)]
     #[serde(default)]
     pub struct Network {
-        /// Between hosts and engines, one way, in milliseconds.
+        /// One-way latency between hosts and engines, in milliseconds.
         pub engine_ms: f64,
-        /// Between hosts and callers, one way, in milliseconds.
+        /// One-way latency between hosts and callers, in milliseconds.
         pub caller_ms: f64,
-        /// To open a connection, beyond the way there and back, in milliseconds.
+        /// Time to open a connection in addition to the round trip, in milliseconds.
         pub open_ms: f64,
-        /// From an engine's start until hosts have it on their lists, in milliseconds.
+        /// Delay from an engine's start until hosts list it, in milliseconds.
         pub list_ms: u64,
-        /// From an engine's end until it is off their lists, in milliseconds.
+        /// Delay from an engine's end until hosts no longer list it, in milliseconds.
         pub lapse_ms: u64,
     }
 
-    /// How often a request may be sent again.
+    /// Limits of retries.
     #[derive(Copy)]
     #[serde(default)]
     pub struct Repeats {
-        /// Repeats for each request.
+        /// Retries allowed per request received in the window.
         pub share: f64,
-        /// Repeats beyond that, of each host.
+        /// Retries that each host may send in addition to the share.
         pub spare: f64,
-        /// The window in which they are counted, in milliseconds.
+        /// Length of the window in which requests and retries are counted, in milliseconds.
         pub window_ms: u64,
-        /// Engines that one request may be sent to.
+        /// Maximum number of engines that one request may be sent to.
         pub attempts_max: u32,
     }
 
-    /// A kind of requests.
+    /// A kind of requests with common sizes and objectives.
     pub struct Kind {
-        /// For people.
+        /// Name for readers of the file.
         pub name: String,
-        /// Its part of the load, in relation to the others'.
+        /// Weight of this kind in the load, relative to the other kinds.
         pub weight: f64,
-        /// Tokens of its prompts.
+        /// Prompt length in tokens.
         pub prompt_tokens: u32,
-        /// Tokens of its answers.
+        /// Answer length in tokens.
         pub answer_tokens: u32,
-        /// Time to the first event within which an answer is in time, in milliseconds.
+        /// Longest time to the first event for an answer to be in time, in milliseconds.
         pub objective_ms: u64,
-        /// Longest pause between events of an answer in time, in milliseconds.
+        /// Longest pause between events for an answer to be in time, in milliseconds.
         pub gap_ms: u64,
-        /// Longest time that its callers wait, in milliseconds.
+        /// Longest time that callers wait for a request, in milliseconds.
         pub budget_ms: u64,
-        /// Its urgency; 0 is the highest.
+        /// Urgency of the requests; 0 is the highest.
         #[serde(default)]
         pub priority: u8,
     }
 
-    /// Something that goes wrong for a time.
+    /// A temporary fault or surge.
     #[derive(Copy)]
     pub struct Cause {
-        /// What.
+        /// Type of the cause.
         pub what: What,
-        /// From then on, in seconds.
+        /// Start time in seconds.
         pub at_s: f64,
-        /// For so long, in seconds.
+        /// Duration in seconds.
         pub for_s: f64,
-        /// Part of the engines that it concerns.
+        /// Fraction of the engines affected, from 0 to 1; used by `lost` and `slow`.
         #[serde(default = "half")]
         pub share: f64,
-        /// How many times slower the engines are, or larger the traffic.
+        /// Factor by which engines are slower (`slow`) or traffic is larger (`traffic`).
         #[serde(default = "twice")]
         pub times: f64,
     }
 
-    /// What goes wrong.
+    /// Type of a cause.
     #[derive(Copy, Eq)]
     #[serde(rename_all = "snake_case")]
     pub enum What {
-        /// A part of the engines ends, and starts again empty.
+        /// Some engines stop, and start again empty when the cause ends.
         Lost,
-        /// A part of the engines has a version that is slower.
+        /// Some engines run a slower version.
         Slow,
-        /// The hosts of the first failure domain reach no engines of others.
+        /// Hosts of the first failure domain can't reach engines of the others.
         Cut,
-        /// The traffic is larger.
+        /// The arrival rate is larger.
         Traffic,
     }
 }
@@ -181,7 +182,7 @@
 }
 
 impl Kind {
-    /// Pause without an event after which a caller abandons a stream, in milliseconds.
+    /// Time without an event after which a caller abandons a stream, in milliseconds.
     #[must_use]
     pub fn patience_ms(&self) -> u64 {
         2_000.max(4 * self.objective_ms).max(8 * self.gap_ms)
@@ -189,7 +190,7 @@
 }
 
 impl Scenario {
-    /// Reads a scenario and checks all of it.
+    /// Parses and checks a scenario.
     ///
     /// # Errors
     /// Every fault found, each with its path.
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Requests a second that all engines together work off with every slot in use.
+    /// Requests per second that all engines together complete with every slot in use.
     #[must_use]
     pub fn capacity_per_s(&self) -> f64 {
         let engines = &self.engines;
@@ -222,7 +223,7 @@
         f64::from(engines.count) * 1_000.0 * weights / work.sum::<f64>()
     }
 
-    /// When the last cause ends, in seconds; 0 without causes.
+    /// End of the last cause in seconds; 0 without causes.
     #[must_use]
     pub fn causes_end_s(&self) -> f64 {
         self.causes.iter().map(|cause| cause.at_s + cause.for_s).fold(0.0, f64::max)
--- a/crates/experiment/src/scenario/check.rs
+++ b/crates/experiment/src/scenario/check.rs
@@ -1,16 +1,17 @@
-//! Rules that a scenario must keep beyond its form.
+//! Checks the values of a scenario beyond the types of its members.
 
 use wire::fault::{Fault, is_within};
 
 use super::Scenario;
 
-/// Hosts and engines that a run is quick enough for.
+/// Upper bounds on hosts and engines; larger runs take too long.
 const HOSTS_MAX: u32 = 400;
 const ENGINES_MAX: u32 = 1_000;
-/// Longest play, in seconds.
+/// Upper bound on a scenario's length in seconds.
 const LENGTH_MAX_S: u32 = 600;
 
-/// Faults of a scenario; what stands where another fault was mended is not looked at.
+/// Returns the faults of a scenario. Paths in `mended` had other faults and hold stand-in values,
+/// so they are not checked.
 pub fn faults(scenario: &Scenario, mended: &[String]) -> Vec<Fault> {
     let mut rules = Rules::default();
     whole(scenario, &mut rules);
--- a/crates/experiment/src/tally.rs
+++ b/crates/experiment/src/tally.rs
@@ -1,63 +1,63 @@
-//! What became of requests, by the second in which their callers first sent them.
+//! Outcomes of requests, by the second in which callers first sent them.
 
 use policy::domain;
 
 use crate::request::Outcome;
 
 domain! {
-    /// Counts of outcomes.
+    /// Number of requests by outcome.
     #[derive(Copy, Default)]
     pub struct Counts {
-        /// Answered in full and in time.
+        /// Requests answered in full and in time.
         pub in_time: u64,
-        /// Answered in full, late.
+        /// Requests answered in full, but late.
         pub late: u64,
-        /// Not run.
+        /// Requests rejected without having run.
         pub rejected: u64,
-        /// Broken off, or the caller left.
+        /// Requests interrupted, abandoned by their callers, or still open at the end of the run.
         pub failed: u64,
     }
 
-    /// One run.
+    /// Results of one run.
     #[derive(Default)]
     pub struct Tally {
-        /// By second.
+        /// Outcomes by the second in which callers first sent the requests.
         pub seconds: Vec<Counts>,
-        /// Requests that engines preempted.
+        /// Number of preemptions in engines.
         pub preempted: u64,
-        /// Second tries that hosts sent.
+        /// Number of retries that hosts sent.
         pub repeats: u64,
-        /// Callers that came back.
+        /// Number of times that callers came back after a rejection or failure.
         pub returns: u64,
-        /// Requests that engines rejected.
+        /// Number of attempts that engines rejected because they had no room.
         pub full: u64,
-        /// Streams that callers left before their end.
+        /// Number of requests that callers abandoned before the answer's end.
         pub left: u64,
-        /// Requests that engines worked off for callers that had left.
+        /// Number of requests that engines completed after nobody waited for them any more.
         pub wasted: u64,
     }
 }
 
 impl Counts {
-    /// All of them.
+    /// Number of requests of every outcome.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.in_time + self.late + self.rejected + self.failed
     }
 
-    /// Answered, in time or not.
+    /// Number of requests answered in full, in time or late.
     #[must_use]
     pub fn served(&self) -> u64 {
         self.in_time + self.late
     }
 
-    /// A part of all, from 0 to 1; 1 of none.
+    /// Fraction that `count` is of all requests, from 0 to 1; 1 if there are none.
     #[must_use]
     pub fn share(&self, count: u64) -> f64 {
         if self.total() == 0 { 1.0 } else { count as f64 / self.total() as f64 }
     }
 
-    /// One more.
+    /// Counts one request with its outcome.
     pub fn note(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::InTime => self.in_time += 1,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Both together.
+    /// Sum of both counts.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -80,26 +80,27 @@
 }
 
 impl Tally {
-    /// Of so many seconds.
+    /// Creates an empty tally of the given length in seconds.
     #[must_use]
     pub fn new(seconds: usize) -> Self {
         Self { seconds: vec![Counts::default(); seconds], ..Self::default() }
     }
 
-    /// The whole run.
+    /// Outcomes of the whole run.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.seconds.iter().copied().fold(Counts::default(), Counts::plus)
     }
 
-    /// Seconds from `end_s` until every request of a second is served, and of all that follow;
-    /// none if some request of the last second was not.
+    /// Seconds from `end_s` until every request of that second and of all later ones is served;
+    /// `None` if some request of the last second was not.
     #[must_use]
     pub fn recovered_s(&self, end_s: f64) -> Option<f64> {
         self.holds_from(end_s, |counts| counts.served() == counts.total())
     }
 
-    /// The same for 99 in 100 served in time.
+    /// Seconds from `end_s` until at least 99 % of the requests of that second and of each later
+    /// one are served in time; `None` if the last second falls short.
     #[must_use]
     pub fn in_time_s(&self, end_s: f64) -> Option<f64> {
         self.holds_from(end_s, |counts| counts.share(counts.in_time) >= 0.99)
--- a/crates/experiment/src/way.rs
+++ b/crates/experiment/src/way.rs
@@ -1,81 +1,82 @@
-//! Ways to decide: one enum for each decision, the router's own beside others.
+//! Strategies to compare: one enum per decision, each with the router's own strategy and
+//! alternatives.
 
 use policy::domain;
 use policy::precedence::{self, Request};
 
 domain! {
-    /// One way, as a whole.
+    /// A strategy: one choice for each decision.
     #[derive(Default)]
     #[serde(default)]
     pub struct Way {
-        /// For tables.
+        /// Name shown in tables and pictures.
         pub name: String,
-        /// How an engine is picked.
+        /// How a host picks an engine.
         pub pick: Pick,
-        /// In which order engines take requests.
+        /// Order in which engines run requests.
         pub order: Order,
-        /// How often a request is sent again.
+        /// How often hosts retry a request.
         pub repeats: Repeats,
         /// When callers are asked to come back.
         pub returns: Returns,
     }
 
-    /// How an engine is picked.
+    /// How a host picks an engine.
     #[derive(Copy, Eq, Default)]
     #[serde(rename_all = "snake_case")]
     pub enum Pick {
-        /// As the router does: the least expected time to the beginning of the answer.
+        /// As the router: the engine with the least expected time to the beginning of the answer.
         #[default]
         Ours,
-        /// Any.
+        /// A random engine.
         Random,
-        /// The least load that the host believes.
+        /// The engine with the least load, as the host believes.
         LeastLoad,
-        /// The less loaded of two drawn ones, as the host believes.
+        /// The less loaded of two random engines, as the host believes.
         TwoChoices,
     }
 
-    /// In which order engines take requests, and which preempt others.
+    /// Order in which engines run requests, and which requests preempt others.
     #[derive(Copy, Eq, Default)]
     #[serde(rename_all = "snake_case")]
     pub enum Order {
-        /// As the router names it: the shorter the prompt, the sooner.
+        /// As the router ranks them: shorter prompts first.
         #[default]
         Ours,
-        /// As they come: the router names none.
+        /// In order of arrival: the router sends no rank.
         Came,
     }
 
-    /// How often a request is sent again.
+    /// How often hosts retry a request.
     #[derive(Copy, Eq, Default)]
     #[serde(rename_all = "snake_case")]
     pub enum Repeats {
-        /// As the router does: within the share of the service's requests.
+        /// As the router: within a share of the requests received.
         #[default]
         Ours,
-        /// Never once an engine has been sent to.
+        /// No retry after an engine has received the request.
         Off,
     }
 
-    /// When the caller of a full service is asked to come back.
+    /// When callers are asked to come back if the engines are full.
     #[derive(Copy, Eq, Default)]
     #[serde(rename_all = "snake_case")]
     pub enum Returns {
-        /// As the router does: after once to twice the mean time of a request.
+        /// As the router: after one to two times the mean time of a request.
         #[default]
         Ours,
-        /// Spread over twice the expected time to the beginning of an answer.
+        /// At a random time within twice the expected time to the beginning of an answer.
         Backlog,
     }
 }
 
-/// The place that engines give a request whose host names none.
+/// Rank that engines give a request without a rank.
 const UNNAMED: u8 = 5;
-/// Least time after which a caller comes back that is asked to by backlog, in milliseconds.
+/// Minimum time after which a caller is asked to come back under `Backlog`, in milliseconds.
 const BACKLOG_MIN_MS: f64 = 100.0;
 
 impl Order {
-    /// The place of a request among others; 0 goes first.
+    /// Rank of a request; engines run lower ranks first.
     #[must_use]
     pub fn place(self, request: &Request) -> u8 {
         match self {
@@ -86,8 +87,9 @@
 }
 
 impl Returns {
-    /// After how many milliseconds a caller is asked to come back. `service_ms` is the mean time of
-    /// a request, `backlog_ms` the expected time to the beginning of an answer, `draw` uniform.
+    /// Milliseconds after which a caller is asked to come back. `service_ms` is the mean time of a
+    /// request, `backlog_ms` the expected time to the beginning of an answer, and `draw` is uniform
+    /// from 0 to 1.
     #[must_use]
     pub fn after_ms(self, service_ms: f64, backlog_ms: f64, draw: f64) -> u64 {
         match self {
--- a/crates/experiment/tests/model.rs
+++ b/crates/experiment/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model does what the published pages say of engines and callers.
+//! Checks the models of engines and callers against their published description.
 
 mod scene;
 
@@ -6,7 +6,7 @@
 use experiment::scenario::{Cause, Engines, Scenario, What};
 use experiment::tally::Tally;
 
-/// Few hosts and engines, for a short time.
+/// A small fleet and a short run; `load_part` is the load as a fraction of the capacity.
 fn small(load_part: f64) -> Scenario {
     let whole = scene::scenario(30);
     let engines = Engines { count: 16, ..whole.engines };
@@ -25,7 +25,7 @@
     Job { id, rank, prompt, answer }
 }
 
-/// Runs steps until there is nothing to do; what was said, and the time that it took.
+/// Runs steps until the engine is idle; returns its output and the time taken in milliseconds.
 fn finish(engine: &mut Engine) -> (Vec<Sign>, f64) {
     let (mut signs, mut ms) = (Vec::new(), 0.0);
     while let Some(step_ms) = engine.begin() {
@@ -40,7 +40,7 @@
     let mut engine = engine(|_| ());
     assert!(engine.offer(job(1, 5, 5_000, 20)));
     let (signs, ms) = finish(&mut engine);
-    // 40 ms for the prompt, whose end is the first token, and 19 steps of one request.
+    // The prompt takes 40 ms and ends with the first token; 19 steps with one request follow.
     assert!((ms - (40.0 + 19.0 * 3.37)).abs() < 1e-6, "{ms}");
     let expected = [Sign::Head(1), Sign::Event(1), Sign::Event(1), Sign::End(1)];
     assert_eq!(signs, expected);
@@ -71,7 +71,7 @@
     assert_eq!(engine.load(), 0);
 }
 
-/// Guards against memory that counts for nothing: both prompts fit, both answers don't.
+/// Guards against answers that use no memory: both prompts fit, but both answers don't.
 #[test]
 fn engine_out_of_memory_preempts_the_newest_of_the_least_urgent() {
     let mut engine = engine(|engines| engines.memory_tokens = 1_000);
@@ -99,7 +99,7 @@
     assert_eq!(engine.preempted, 1);
     let ends: Vec<_> = said.iter().filter(|sign| matches!(sign, Sign::End(_))).collect();
     assert_eq!(ends, [&Sign::End(2), &Sign::End(1)]);
-    // The first one's prompt and its ten tokens are read a second time.
+    // The preempted request's prompt and ten tokens are read a second time.
     let read_ms = (1_000.0 + 1_010.0) / 125.0;
     assert!((ms - (read_ms + 4.0 * 3.37 + 39.0 * 3.37)).abs() < 1e-6, "{ms}");
 }
@@ -114,7 +114,7 @@
         assert!(engine.offer(job(2, 3, 1_000, 1)));
         finish(&mut engine).1
     };
-    // The other's prompt, and 1,001 tokens or half of them again.
+    // The second request's prompt, then all 1,001 tokens of the first again, or half of them.
     assert!((read_again_ms(0.0) - 2_001.0 / 125.0).abs() < 1e-6, "{}", read_again_ms(0.0));
     assert!((read_again_ms(0.5) - 1_501.0 / 125.0).abs() < 1e-6, "{}", read_again_ms(0.5));
 }
@@ -158,7 +158,7 @@
     Cause { what, at_s: 2.0, for_s: 2.0, share: 0.5, times: 10.0 }
 }
 
-/// Each cause makes requests late, or unserved, that are in time without it.
+/// Requests that are in time without a cause become late or unserved with each.
 #[test]
 fn run_causes_are_felt() {
     let load = 0.7;
@@ -172,8 +172,9 @@
     }
 }
 
-/// Guards against a cut that nobody feels: a host whose own engine is lost sends to others, unless
-/// it is cut off from them; then its callers come back to other hosts.
+/// Guards against a network cut without effect. A host whose own engine is lost sends to engines of
+/// other failure domains, unless it is cut off from them; then its callers come back to other
+/// hosts.
 #[test]
 fn run_cut_hosts_reach_no_engine_elsewhere() {
     let mut scenario = small(0.5);
--- a/crates/experiment/tests/overload.rs
+++ b/crates/experiment/tests/overload.rs
@@ -1,20 +1,20 @@
 //! An overload must end with its cause.
 //!
-//! What is lost for some seconds comes back, and traffic has not grown; if requests go on being
-//! rejected, broken off or left by their callers, it is what the fleet does about the overload that
-//! keeps it up.
+//! The lost engines return after some seconds and traffic has not grown. If requests are still
+//! rejected, interrupted or abandoned by their callers, then the fleet's own reaction sustains the
+//! overload.
 
 mod scene;
 
 use experiment::scenario::Scenario;
 
-/// Time after a cause's end within which all are served again, in seconds.
+/// Time after the cause's end within which all requests must be served again, in seconds.
 const BOUND_S: f64 = 3.0;
-/// Long enough to tell, and short enough for CI.
+/// Long enough to show recovery, and short enough for CI.
 const LENGTH_S: u32 = 25;
 
-/// The committed scenario: half of the engines lost for five seconds, under a load that the test
-/// below shows to be borne by the whole fleet.
+/// The committed scenario: half of the engines are lost for five seconds, under a load that the
+/// whole fleet can serve, as `overload_has_a_cause` shows.
 fn lost(hosts: u32) -> Scenario {
     Scenario { length_s: LENGTH_S, ..scene::scenario(hosts) }
 }
@@ -35,21 +35,22 @@
     );
 }
 
-/// Guards against an overload that goes on by itself once half of the engines have been lost and
-/// are back.
+/// Guards against an overload that sustains itself after half of the engines were lost and have
+/// returned.
 #[test]
 fn overload_ends_with_its_cause_at_30_hosts() {
     assert_ends(30);
 }
 
-/// The same where each host knows little of what the others send.
+/// Guards against the same at 300 hosts, where each host knows little of what the others send.
 #[test]
 fn overload_ends_with_its_cause_at_300_hosts() {
     assert_ends(300);
 }
 
-/// What keeps it up: engines that put less urgent requests back for more urgent ones read the same
-/// prompts again and again. Without that the bound is kept, with all else as it stands.
+/// Preemption can sustain an overload: engines that put back less urgent requests for more urgent
+/// ones read the same prompts again and again. Without preemption, and all else equal, the fleet
+/// recovers in time.
 #[test]
 fn overload_is_kept_up_by_preemption() {
     for hosts in [30, 300] {
@@ -62,7 +63,7 @@
     }
 }
 
-/// The load of the tests above is no overload by itself: all is served while nothing goes wrong.
+/// The load of these tests is no overload by itself: all requests are served without a cause.
 #[test]
 fn overload_has_a_cause() {
     for hosts in [30, 300] {
@@ -73,8 +74,8 @@
     }
 }
 
-/// Their load is a part of what the engines can do, and more than half of them can: 0.7 at 30 hosts
-/// and, since hosts that know little bear less, 0.58 at 300.
+/// The load is 0.7 of the engines' capacity at 30 hosts, and 0.58 at 300, since hosts that know
+/// little sustain less. Both are more than half of the engines can serve.
 #[test]
 fn overload_is_more_than_half_of_the_engines_can_do() {
     for (hosts, part) in [(30, 0.7), (300, 0.58)] {
--- a/crates/experiment/tests/scenario.rs
+++ b/crates/experiment/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario's faults are named with their paths.
+//! Faults of a scenario are reported with their paths.
 
 use experiment::scenario::Scenario;
 
