--- a/crates/experiment/src/engine.rs
+++ b/crates/experiment/src/engine.rs
@@ -22,9 +22,9 @@
 
 /// Output of an engine at the end of a step; each carries the id of its [`Job`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Sign {
+pub enum Output {
     /// First token of the answer.
-    Head(u64),
+    FirstToken(u64),
     /// A complete server-sent event of several tokens.
     Event(u64),
     /// Last token of the answer.
@@ -33,7 +33,7 @@
 
 /// A request inside an engine, running or waiting.
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct Sequence {
     job: Job,
     /// Arrival number; breaks ties between equal ranks.
     number: u64,
@@ -43,22 +43,22 @@
     /// Tokens still to be read: of the prompt and, after a preemption, of the answer so far.
     to_read: u32,
     /// Answer tokens generated so far.
-    made: u32,
+    generated: u32,
     /// Whether the request generates a token in the current step.
-    steps: bool,
+    is_generating: bool,
 }
 
 /// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     settings: Engines,
-    running: Vec<Run>,
-    waiting: Vec<Run>,
+    running: Vec<Sequence>,
+    waiting: Vec<Sequence>,
     /// Arrival number of the request whose prompt is being read.
     reading: Option<u64>,
     /// Prompt tokens read in the current step.
     chunk: u32,
-    next: u64,
+    last_number: u64,
     /// Factor on the duration of every step; 1 is normal speed.
     pub slowness: f64,
     /// Number of preemptions so far.
@@ -75,7 +75,7 @@
             waiting: Vec::new(),
             reading: None,
             chunk: 0,
-            next: 0,
+            last_number: 0,
             slowness: 1.0,
             preempted: 0,
         }
@@ -95,46 +95,56 @@
         if is_full || is_too_large {
             return false;
         }
-        self.next += 1;
-        let number = self.next;
-        let run = Run { job, number, held: 0, to_read: job.prompt, made: 0, steps: false };
-        self.waiting.push(run);
+        self.last_number += 1;
+        let number = self.last_number;
+        let sequence = Sequence {
+            job,
+            number,
+            held: 0,
+            to_read: job.prompt,
+            generated: 0,
+            is_generating: false,
+        };
+        self.waiting.push(sequence);
         true
     }
 
     /// Cancels a request, running or waiting, whose connection was closed.
-    pub fn drop(&mut self, id: u64) {
-        let reads = |run: &Run| run.job.id == id && self.reading == Some(run.number);
+    pub fn cancel(&mut self, id: u64) {
+        let reads =
+            |sequence: &Sequence| sequence.job.id == id && self.reading == Some(sequence.number);
         if self.running.iter().any(reads) {
             self.reading = None;
             self.chunk = 0;
         }
-        self.running.retain(|run| run.job.id != id);
-        self.waiting.retain(|run| run.job.id != id);
+        self.running.retain(|sequence| sequence.job.id != id);
+        self.waiting.retain(|sequence| sequence.job.id != id);
     }
 
     /// Stops the engine and returns the ids of the requests lost with it.
-    pub fn end(&mut self) -> Vec<u64> {
+    pub fn stop(&mut self) -> Vec<u64> {
         let lost = self.running.drain(..).chain(self.waiting.drain(..));
-        let lost = lost.map(|run| run.job.id).collect();
+        let lost = lost.map(|sequence| sequence.job.id).collect();
         self.reading = None;
         lost
     }
 
     /// Begins a step and returns its duration in milliseconds, or `None` if no request is running.
-    pub fn begin(&mut self) -> Option<f64> {
+    pub fn begin_step(&mut self) -> Option<f64> {
         self.admit();
         self.free_memory();
         let mut steps = 0;
-        for run in &mut self.running {
-            run.steps = run.to_read == 0;
-            steps += u32::from(run.steps);
+        for sequence in &mut self.running {
+            sequence.is_generating = sequence.to_read == 0;
+            steps += u32::from(sequence.is_generating);
         }
-        let next = self.running.iter().filter(|run| run.to_read > 0);
-        let next = next.min_by_key(|run| (run.job.rank, run.number)).map(|run| run.number);
+        let next = self.running.iter().filter(|sequence| sequence.to_read > 0);
+        let next = next
+            .min_by_key(|sequence| (sequence.job.rank, sequence.number))
+            .map(|sequence| sequence.number);
         self.reading = self.reading.or(next);
-        let read = self.running.iter().find(|run| Some(run.number) == self.reading);
-        self.chunk = read.map_or(0, |run| run.to_read.min(self.settings.chunk_tokens));
+        let read = self.running.iter().find(|sequence| Some(sequence.number) == self.reading);
+        self.chunk = read.map_or(0, |sequence| sequence.to_read.min(self.settings.chunk_tokens));
         let step_ms = match steps {
             0 => 0.0,
             _ => self.settings.step_ms + self.settings.step_ms_per_run * f64::from(steps),
@@ -143,29 +153,29 @@
         (!self.running.is_empty()).then_some(self.slowness * (step_ms + read_ms))
     }
 
-    /// Ends the current step and appends its output to `signs`.
-    pub fn finish(&mut self, signs: &mut Vec<Sign>) {
-        for run in &mut self.running {
-            if self.reading == Some(run.number) {
-                run.held += self.chunk;
-                run.to_read -= self.chunk;
-                if run.to_read > 0 {
+    /// Ends the current step and appends its output to `outputs`.
+    pub fn end_step(&mut self, outputs: &mut Vec<Output>) {
+        for sequence in &mut self.running {
+            if self.reading == Some(sequence.number) {
+                sequence.held += self.chunk;
+                sequence.to_read -= self.chunk;
+                if sequence.to_read > 0 {
                     continue;
                 }
                 self.reading = None;
                 self.chunk = 0;
-            } else if !run.steps {
+            } else if !sequence.is_generating {
                 continue;
             }
-            run.held += 1;
-            run.made += 1;
-            tell(run, self.settings.event_tokens, signs);
+            sequence.held += 1;
+            sequence.generated += 1;
+            push_outputs(sequence, self.settings.event_tokens, outputs);
         }
-        self.running.retain(|run| run.made < run.job.answer);
+        self.running.retain(|sequence| sequence.generated < sequence.job.answer);
     }
 
-    fn used(&self) -> u32 {
-        self.running.iter().map(|run| run.held + run.to_read).sum()
+    fn used_tokens(&self) -> u32 {
+        self.running.iter().map(|sequence| sequence.held + sequence.to_read).sum()
     }
 
     /// Starts waiting requests, lowest rank first; preempts running requests of a higher rank value
@@ -173,13 +183,14 @@
     fn admit(&mut self) {
         loop {
             let first = self.waiting.iter().enumerate();
-            let first = first.min_by_key(|(_, run)| (run.job.rank, run.number));
-            let Some((index, &run)) = first else { return };
+            let first = first.min_by_key(|(_, sequence)| (sequence.job.rank, sequence.number));
+            let Some((index, &sequence)) = first else { return };
             let has_slot = (self.running.len() as u32) < self.settings.slots;
-            let has_memory = self.used() + run.held + run.to_read <= self.settings.memory_tokens;
+            let has_memory = self.used_tokens() + sequence.held + sequence.to_read
+                <= self.settings.memory_tokens;
             match () {
                 () if has_slot && has_memory => self.running.push(self.waiting.remove(index)),
-                () if self.settings.preempts && self.preempt(Some(run.job.rank)) => {}
+                () if self.settings.preempts && self.preempt(Some(sequence.job.rank)) => {}
                 () => return,
             }
         }
@@ -187,7 +198,7 @@
 
     /// Preempts requests until the tokens of the next step fit into memory.
     fn free_memory(&mut self) {
-        while self.used() + self.running.len() as u32 > self.settings.memory_tokens {
+        while self.used_tokens() + self.running.len() as u32 > self.settings.memory_tokens {
             if self.running.len() < 2 || !self.preempt(None) {
                 return;
             }
@@ -198,31 +209,32 @@
     /// is higher than `by`. Returns whether a request was preempted.
     fn preempt(&mut self, by: Option<u8>) -> bool {
         let others = self.running.iter().enumerate();
-        let others = others.filter(|(_, run)| self.reading != Some(run.number));
-        let last = others.max_by_key(|(_, run)| (run.job.rank, run.number));
-        let Some((index, run)) = last else { return false };
-        if by.is_some_and(|rank| run.job.rank <= rank) {
+        let others = others.filter(|(_, sequence)| self.reading != Some(sequence.number));
+        let last = others.max_by_key(|(_, sequence)| (sequence.job.rank, sequence.number));
+        let Some((index, sequence)) = last else { return false };
+        if by.is_some_and(|rank| sequence.job.rank <= rank) {
             return false;
         }
-        let run = self.running.remove(index);
+        let sequence = self.running.remove(index);
         self.preempted += 1;
-        let held = (f64::from(run.held) * self.settings.kept) as u32;
-        let to_read = run.to_read + run.held - held;
-        self.waiting.push(Run { held, to_read, steps: false, ..run });
+        let held = (f64::from(sequence.held) * self.settings.kept) as u32;
+        let to_read = sequence.to_read + sequence.held - held;
+        self.waiting.push(Sequence { held, to_read, is_generating: false, ..sequence });
         true
     }
 }
 
 /// Appends the output that follows from one more generated token.
-fn tell(run: &Run, event_tokens: u32, signs: &mut Vec<Sign>) {
-    let id = run.job.id;
-    if run.made == 1 {
-        signs.push(Sign::Head(id));
+fn push_outputs(sequence: &Sequence, event_tokens: u32, outputs: &mut Vec<Output>) {
+    let id = sequence.job.id;
+    if sequence.generated == 1 {
+        outputs.push(Output::FirstToken(id));
     }
-    if run.made.is_multiple_of(event_tokens) || run.made == run.job.answer {
-        signs.push(Sign::Event(id));
+    if sequence.generated.is_multiple_of(event_tokens) || sequence.generated == sequence.job.answer
+    {
+        outputs.push(Output::Event(id));
     }
-    if run.made == run.job.answer {
-        signs.push(Sign::End(id));
+    if sequence.generated == sequence.job.answer {
+        outputs.push(Output::End(id));
     }
 }
--- a/crates/experiment/src/host.rs
+++ b/crates/experiment/src/host.rs
@@ -19,18 +19,18 @@
 use policy::time::Millis;
 
 use self::view::View;
-use crate::request::Tries;
+use crate::request::Attempts;
 use crate::scenario::{Kind, Repeats, Scenario};
 use crate::way::{self, Pick, Way};
 
 /// Cost of an engine in another failure domain, as a fraction of the objective; same value as in
 /// the router.
-const FAR_PART: f64 = 1.0 / 8.0;
+const FAR_COST_FRACTION: f64 = 1.0 / 8.0;
 /// Connection timeouts after which the host gives up a request; same value as in the router.
-const UNSENT_MAX: u32 = 4;
+const CONNECT_TIMEOUTS_MAX: u32 = 4;
 
 /// Added to engine indices before hashing, so that their hashes differ from those of host indices.
-const ENGINES: u64 = 1 << 32;
+const ENGINE_HASH_OFFSET: u64 = 1 << 32;
 
 /// A simulated host.
 pub struct Host {
@@ -57,7 +57,7 @@
     Engine(usize),
     /// No engine may receive the request; holds the requests per second that rate-limited engines
     /// accept in total.
-    None(f64),
+    NoEngine(f64),
 }
 
 impl Host {
@@ -74,7 +74,7 @@
             domain,
             views: (0..scenario.engines.count as usize)
                 .map(|engine| {
-                    let before = peers.count_before(mix(ENGINES + engine as u64));
+                    let before = peers.count_before(mix(ENGINE_HASH_OFFSET + engine as u64));
                     View::new(engine % domains == domain, before, scenario.engines.slots)
                 })
                 .collect(),
@@ -90,17 +90,17 @@
     }
 
     /// Records a received request, which adds to the retry quota.
-    pub fn came(&mut self, now: Millis) {
+    pub fn record_received(&mut self, now: Millis) {
         self.window.record_request(&self.allowance, now);
     }
 
     /// Scheduling rank that the host gives a request; engines run lower ranks first.
     #[must_use]
-    pub fn rank(&self, way: &Way, kind: &Kind, tries: &Tries, received: u32) -> u8 {
-        way.order.place(&Request {
+    pub fn rank(&self, way: &Way, kind: &Kind, attempts: &Attempts, received: u32) -> u8 {
+        way.order.rank(&Request {
             read_ms: f64::from(kind.prompt_tokens) / self.speed.tokens_per_ms(),
             priority: kind.priority,
-            is_repeat: tries.sent > 0,
+            is_repeat: attempts.sent > 0,
             is_resumed: received > 0,
         })
     }
@@ -113,7 +113,14 @@
 
     /// Records the time to the beginning of an answer, for the request kind and for the estimated
     /// prompt speed.
-    pub fn began(&mut self, kind: usize, ms: f64, wait_ms: f64, tokens: f64, now: Millis) {
+    pub fn record_answer_start(
+        &mut self,
+        kind: usize,
+        ms: f64,
+        wait_ms: f64,
+        tokens: f64,
+        now: Millis,
+    ) {
         self.timings[kind].first.record(ms, now);
         self.speed.record(ms, wait_ms, tokens);
     }
@@ -124,34 +131,34 @@
         &mut self,
         way: &Way,
         kind: (usize, &Kind),
-        tries: &Tries,
+        attempts: &Attempts,
         received: u32,
         now: Millis,
         draw: u64,
     ) -> Choice {
-        let rank = self.rank(way, kind.1, tries, received);
-        let open = self.open(tries, now);
-        let well: Vec<usize> =
-            open.into_iter().filter(|engine| self.views[*engine].takes_work(now)).collect();
-        let ask = self.ask(kind, received);
+        let rank = self.rank(way, kind.1, attempts, received);
+        let candidates = self.candidates(attempts, now);
+        let healthy: Vec<usize> =
+            candidates.into_iter().filter(|engine| self.views[*engine].takes_work(now)).collect();
+        let demand = self.demand(kind, received);
         let known: Vec<Engine> =
-            well.iter().map(|engine| self.views[*engine].known(rank, now)).collect();
-        let Some(chosen) = pick(way.pick, &known, &ask, draw).map(|index| well[index]) else {
-            return Choice::None(self.limited(now));
+            healthy.iter().map(|engine| self.views[*engine].to_policy(rank, now)).collect();
+        let Some(chosen) = pick(way.pick, &known, &demand, draw).map(|index| healthy[index]) else {
+            return Choice::NoEngine(self.limited_per_s(now));
         };
         let place = self.place(chosen);
-        self.views[chosen].sent_to(&place, now);
+        self.views[chosen].record_sent(&place, now);
         Choice::Engine(chosen)
     }
 
     /// Engines that are listed, have not been tried by this request and have room under their rate
     /// limit.
-    fn open(&self, tries: &Tries, now: Millis) -> Vec<usize> {
+    fn candidates(&self, attempts: &Attempts, now: Millis) -> Vec<usize> {
         let all = 0..self.views.len();
         all.filter(|engine| {
             let view = &self.views[*engine];
             view.is_listed
-                && !tries.tried.contains(engine)
+                && !attempts.excluded.contains(engine)
                 && (!view.is_limited(now) || view.has_room(&self.place(*engine), now))
         })
         .collect()
@@ -163,19 +170,19 @@
         Place { before, hosts: self.hosts, is_near, domains: self.domains }
     }
 
-    fn limited(&self, now: Millis) -> f64 {
+    fn limited_per_s(&self, now: Millis) -> f64 {
         let takes_work = self.views.iter().filter(|view| view.takes_work(now));
         takes_work.filter_map(|view| view.per_second(now)).sum()
     }
 
-    fn ask(&self, (index, kind): (usize, &Kind), received: u32) -> Demand {
+    fn demand(&self, (index, kind): (usize, &Kind), received: u32) -> Demand {
         let objective = kind.objective_ms as f64;
         Demand {
             prompt: f64::from(kind.prompt_tokens + received),
             shared: 0.0,
             tokens_per_ms: self.speed.tokens_per_ms(),
             service_ms: self.timings[index].whole.mean_ms(objective),
-            far_ms: objective * FAR_PART,
+            far_ms: objective * FAR_COST_FRACTION,
             failure_ms: objective,
         }
     }
@@ -192,40 +199,42 @@
 
     /// Mean expected time to the beginning of an answer over all listed engines, in milliseconds.
     fn backlog_ms(&mut self, way: &Way, kind: (usize, &Kind), now: Millis) -> f64 {
-        let rank = self.rank(way, kind.1, &Tries::default(), 0);
-        let ask = self.ask(kind, 0);
+        let rank = self.rank(way, kind.1, &Attempts::default(), 0);
+        let demand = self.demand(kind, 0);
         let listed = self.views.iter_mut().filter(|view| view.is_listed);
-        let costs: Vec<f64> = listed.map(|view| view.known(rank, now).cost_ms(&ask)).collect();
+        let costs: Vec<f64> =
+            listed.map(|view| view.to_policy(rank, now).cost_ms(&demand)).collect();
         costs.iter().sum::<f64>() / costs.len().max(1) as f64
     }
 
     /// Returns whether the request may be sent to another engine; takes the retry from the quota
     /// unless it is already paid for.
-    pub fn may_go_on(
+    pub fn may_retry(
         &mut self,
         way: &Way,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         has_begun: bool,
         left_ms: u64,
         now: Millis,
     ) -> bool {
         let attempt = Attempt {
             may_repeat: true,
-            first_byte_written: tries.may_have_run || has_begun,
+            first_byte_written: attempts.may_have_run || has_begun,
             answer_begun: false,
             left_ms,
             expected_ms: 1,
         };
-        let has_room = tries.sent < self.attempts_max && tries.unsent < UNSENT_MAX;
+        let has_room =
+            attempts.sent < self.attempts_max && attempts.connect_timeouts < CONNECT_TIMEOUTS_MAX;
         has_room
             && retry::may_retry_elsewhere(&attempt)
-            && (tries.sent == 0
-                || std::mem::take(&mut tries.paid)
-                || self.take_repeat(way, tries, now))
+            && (attempts.sent == 0
+                || std::mem::take(&mut attempts.is_retry_paid)
+                || self.take_retry(way, attempts, now))
     }
 
-    fn take_repeat(&mut self, way: &Way, tries: &Tries, now: Millis) -> bool {
-        let streams = if tries.is_passed_on { 0 } else { self.streams };
+    fn take_retry(&mut self, way: &Way, attempts: &Attempts, now: Millis) -> bool {
+        let streams = if attempts.is_passed_on { 0 } else { self.streams };
         match way.repeats {
             way::Repeats::Ours => self.window.take_reserving(streams, &self.allowance, now),
             way::Repeats::Off => false,
@@ -234,23 +243,29 @@
 
     /// Decides whether to abandon a silent engine: only if another engine can take the request and
     /// the quota pays for the retry.
-    pub fn leave(&mut self, way: &Way, tries: &mut Tries, engine: usize, now: Millis) -> bool {
+    pub fn may_abandon(
+        &mut self,
+        way: &Way,
+        attempts: &mut Attempts,
+        engine: usize,
+        now: Millis,
+    ) -> bool {
         let mut others = self.views.iter().enumerate();
-        let way_on = tries.sent < self.attempts_max
+        let has_alternative = attempts.sent < self.attempts_max
             && others.any(|(other, view)| {
                 other != engine
                     && view.is_listed
-                    && !tries.tried.contains(&other)
+                    && !attempts.excluded.contains(&other)
                     && view.takes_work(now)
             });
-        let paid = way_on && self.take_repeat(way, tries, now);
-        tries.paid |= paid;
+        let paid = has_alternative && self.take_retry(way, attempts, now);
+        attempts.is_retry_paid |= paid;
         paid
     }
 
     /// Records an abandoned wait for the beginning of an answer, so that measured times don't omit
     /// the slow cases.
-    pub fn was_left(&mut self, (index, kind): (usize, &Kind), now: Millis) {
+    pub fn record_abandoned(&mut self, (index, kind): (usize, &Kind), now: Millis) {
         let waited = kind.objective_ms as f64 * STREAM_BUSY_SHARE;
         self.timings[index].first.record_abandoned(waited, now);
     }
@@ -258,19 +273,19 @@
     /// Decides what to do about an engine that has been silent for `silent_ms`; `None` means to
     /// wait for it until the deadline.
     #[must_use]
-    pub fn silence(
+    pub fn silence_action(
         &self,
         (index, kind): (usize, &Kind),
-        tries: &Tries,
+        attempts: &Attempts,
         silent_ms: f64,
         now: Millis,
     ) -> Option<Action> {
-        let current = tries.current?;
+        let current = attempts.current?;
         let first = self.timings[index].first.mean_ms(0.0);
         let objective = kind.objective_ms as f64;
         let (bounds, useful_ms): (&Bounds, f64) = match () {
             () if current.has_begun => (&silence::BETWEEN_EVENTS, kind.gap_ms as f64),
-            () if tries.sent + 1 >= self.attempts_max => return None,
+            () if attempts.sent + 1 >= self.attempts_max => return None,
             () if first > objective * STREAM_BUSY_SHARE => (&silence::FIRST_BYTE_BUSY, objective),
             () => (&silence::FIRST_BYTE, objective),
         };
@@ -280,19 +295,19 @@
 }
 
 /// Picks an engine and returns its index in `known`.
-fn pick(pick: Pick, known: &[Engine], ask: &Demand, draw: u64) -> Option<usize> {
+fn pick(pick: Pick, known: &[Engine], demand: &Demand, draw: u64) -> Option<usize> {
     let count = known.len() as u64;
     let any = |salt: u64| (mix(draw ^ salt) % count.max(1)) as usize;
-    let lighter = |a: &usize, b: &usize| known[*a].load().total_cmp(&known[*b].load());
+    let by_load = |a: &usize, b: &usize| known[*a].load().total_cmp(&known[*b].load());
     match pick {
         _ if known.is_empty() => None,
-        Pick::Ours => engine::choose(known, ask, draw),
+        Pick::Ours => engine::choose(known, demand, draw),
         Pick::Random => Some(any(0)),
-        Pick::TwoChoices => [any(1), any(2)].into_iter().min_by(lighter),
+        Pick::TwoChoices => [any(1), any(2)].into_iter().min_by(by_load),
         Pick::LeastLoad => {
             let tie = |index: &usize| mix(draw.wrapping_add(*index as u64));
             let all = 0..known.len();
-            all.min_by(|a, b| lighter(a, b).then_with(|| tie(a).cmp(&tie(b))))
+            all.min_by(|a, b| by_load(a, b).then_with(|| tie(a).cmp(&tie(b))))
         }
     }
 }
--- a/crates/experiment/src/host/view.rs
+++ b/crates/experiment/src/host/view.rs
@@ -9,7 +9,7 @@
 
 /// Consecutive connection timeouts after which an engine counts as unhealthy; same value as in the
 /// router.
-const TIMEOUTS_TO_ILL: u32 = 2;
+const UNHEALTHY_TIMEOUT_COUNT: u32 = 2;
 
 /// What a host believes about an engine.
 #[derive(Clone, Debug, Default)]
@@ -44,7 +44,7 @@
 
     /// Resets the view after the engine restarted and was listed again; `warmup` limits the rate of
     /// a cold engine.
-    pub fn restarted(&mut self, warmup: Option<Limit>, now: Millis) {
+    pub fn reset(&mut self, warmup: Option<Limit>, now: Millis) {
         *self = Self::new(self.is_near, self.before, self.slots);
         if let Some(limit) = warmup {
             self.throttle.learn(limit, now);
@@ -77,7 +77,7 @@
     }
 
     /// Counts a request against the engine's rate limit, if it has one.
-    pub fn sent_to(&mut self, place: &Place, now: Millis) {
+    pub fn record_sent(&mut self, place: &Place, now: Millis) {
         if self.throttle.is_limited(now) {
             self.throttle.record_sent(place, now);
         }
@@ -85,7 +85,7 @@
 
     /// Returns the engine as input to the policy, for a prompt of the given rank.
     #[must_use]
-    pub fn known(&mut self, rank: u8, now: Millis) -> Engine {
+    pub fn to_policy(&mut self, rank: u8, now: Millis) -> Engine {
         Engine {
             own: self.own,
             reported: self.reported,
@@ -102,18 +102,18 @@
     }
 
     /// Records a prompt sent to the engine and returns its number in the backlog.
-    pub fn sent(&mut self, prompt: Prompt, now: Millis) -> u64 {
+    pub fn add_prompt(&mut self, prompt: Prompt, now: Millis) -> u64 {
         self.own += 1;
         self.backlog.add_own(prompt, now)
     }
 
     /// Records a long prompt that another host announced.
-    pub fn announced(&mut self, prompt: Prompt, now: Millis) {
+    pub fn add_announced(&mut self, prompt: Prompt, now: Millis) {
         self.backlog.add_announced(prompt, now);
     }
 
     /// Records the engine's report of its number of requests.
-    pub fn reported(&mut self, load: u32, now: Millis) {
+    pub fn record_load(&mut self, load: u32, now: Millis) {
         self.heard_at = now;
         self.reported = load;
         self.own_then = self.own;
@@ -122,18 +122,18 @@
     }
 
     /// Records the beginning of the answer to prompt `number`.
-    pub fn began(&mut self, number: u64, now: Millis) {
+    pub fn record_answer_start(&mut self, number: u64, now: Millis) {
         self.backlog.record_answer_start(number, now);
     }
 
     /// Removes an attempt that ended, successfully or not.
-    pub fn left(&mut self, number: u64) {
+    pub fn remove_attempt(&mut self, number: u64) {
         self.own = self.own.saturating_sub(1);
         self.backlog.remove(number);
     }
 
     /// Records the result of a request that the engine worked on.
-    pub fn note(&mut self, failed: bool, now: Millis) {
+    pub fn record_result(&mut self, failed: bool, now: Millis) {
         self.suspicion.record(failed, now);
         if !failed {
             self.timeouts = 0;
@@ -142,16 +142,16 @@
     }
 
     /// Records a refused connection.
-    pub fn refused(&mut self, now: Millis) {
+    pub fn record_refused(&mut self, now: Millis) {
         self.suspicion.record(true, now);
         self.health.record_failure(now);
     }
 
     /// Records a connection timeout.
-    pub fn timed_out(&mut self, now: Millis) {
+    pub fn record_timeout(&mut self, now: Millis) {
         self.suspicion.record(true, now);
         self.timeouts += 1;
-        if self.timeouts >= TIMEOUTS_TO_ILL {
+        if self.timeouts >= UNHEALTHY_TIMEOUT_COUNT {
             self.health.record_failure(now);
         }
     }
--- a/crates/experiment/src/plot.rs
+++ b/crates/experiment/src/plot.rs
@@ -10,7 +10,7 @@
 const WIDTH: u32 = 900;
 const HEIGHT: u32 = 400;
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
 /// Which requests a chart shows the share of.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -31,7 +31,7 @@
     Ok(text)
 }
 
-fn draw(text: &mut String, rows: &[Row], shown: Shown) -> Drawn {
+fn draw(text: &mut String, rows: &[Row], shown: Shown) -> DrawResult {
     let caption = match shown {
         Shown::Served => "requests served",
         Shown::InTime => "requests served in time",
@@ -59,11 +59,11 @@
 }
 
 fn points(row: &Row, shown: Shown) -> impl Iterator<Item = (f64, f64)> + '_ {
-    row.seconds.iter().enumerate().map(move |(at, counts)| {
+    row.seconds.iter().enumerate().map(move |(second, counts)| {
         let count = match shown {
             Shown::Served => counts.served(),
             Shown::InTime => counts.in_time,
         };
-        (at as f64, counts.share(count))
+        (second as f64, counts.share(count))
     })
 }
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -52,10 +52,10 @@
 }
 
 fn row(scenario: &Scenario, way: &Way, runs: &[Tally]) -> Row {
-    let sum = |of: fn(&Tally) -> u64| runs.iter().map(of).sum();
+    let sum = |count: fn(&Tally) -> u64| runs.iter().map(count).sum();
     let end_s = scenario.causes_end_s();
     let recovered: Vec<Option<f64>> = runs.iter().map(|run| run.recovered_s(end_s)).collect();
-    let second = |at: usize| {
+    let counts_at = |at: usize| {
         let counts = runs.iter().filter_map(|run| run.seconds.get(at).copied());
         counts.fold(Counts::default(), Counts::plus)
     };
@@ -63,7 +63,7 @@
         way: way.name.clone(),
         runs: runs.len() as u32,
         counts: runs.iter().map(Tally::counts).fold(Counts::default(), Counts::plus),
-        seconds: (0..scenario.length_s as usize).map(second).collect(),
+        seconds: (0..scenario.length_s as usize).map(counts_at).collect(),
         preempted: sum(|run| run.preempted),
         repeats: sum(|run| run.repeats),
         returns: sum(|run| run.returns),
@@ -105,26 +105,26 @@
     );
     for row in rows {
         let counts = &row.counts;
-        let part = |count: u64| 100.0 * counts.share(count);
+        let percent = |count: u64| 100.0 * counts.share(count);
         let _ = writeln!(
             text,
             "{:<18} {:>7.2}% {:>6.2}% {:>8.2}% {:>6.2}% {:>10} {:>8} {:>8} {:>11} {:>9}",
             row.way,
-            part(counts.in_time),
-            part(counts.late),
-            part(counts.rejected),
-            part(counts.failed),
+            percent(counts.in_time),
+            percent(counts.late),
+            percent(counts.rejected),
+            percent(counts.failed),
             row.preempted,
             row.repeats,
             row.returns,
-            after(row.recovered_s, row.recovered_runs, row.runs),
+            recovery_text(row.recovered_s, row.recovered_runs, row.runs),
             row.in_time_s.map_or_else(|| "no".to_owned(), |seconds| format!("{seconds:.0} s")),
         );
     }
     text
 }
 
-fn after(recovered_s: Option<f64>, recovered: u32, runs: u32) -> String {
+fn recovery_text(recovered_s: Option<f64>, recovered: u32, runs: u32) -> String {
     match recovered_s {
         Some(seconds) => format!("{seconds:.0} s"),
         None => format!("{recovered} of {runs}"),
--- a/crates/experiment/src/run.rs
+++ b/crates/experiment/src/run.rs
@@ -21,7 +21,7 @@
 const START_MS: u64 = 1_000;
 
 /// An engine and its state in the simulation.
-struct Place {
+struct EngineState {
     engine: Engine,
     domain: usize,
     is_alive: bool,
@@ -29,50 +29,50 @@
     is_busy: bool,
     /// Incremented at each start and loss, so that events of an earlier life of the engine are
     /// ignored.
-    start: u32,
+    epoch: u32,
 }
 
 /// State of a run.
-struct World<'a> {
+struct Simulation<'a> {
     scenario: &'a Scenario,
     way: &'a Way,
     now: Micros,
     draw: Draw,
     agenda: Agenda,
     hosts: Vec<Host>,
-    engines: Vec<Place>,
+    engines: Vec<EngineState>,
     requests: Vec<Request>,
     /// Time from which no new request arrives.
-    end: Micros,
+    arrivals_end: Micros,
     /// Factor on the usual arrival rate.
     traffic: f64,
     /// Time until which the first failure domain is cut off from the others.
     cut_until: Micros,
-    weights: f64,
+    weight_sum: f64,
     tally: Tally,
 }
 
 /// Runs a scenario with one strategy and one seed.
 #[must_use]
 pub fn run(scenario: &Scenario, way: &Way, seed: u64) -> Tally {
-    let mut world = World::new(scenario, way, seed);
-    world.begin();
-    while let Some((at, event)) = world.agenda.next() {
-        world.now = at;
-        world.handle(event);
+    let mut simulation = Simulation::new(scenario, way, seed);
+    simulation.begin();
+    while let Some((at, event)) = simulation.agenda.next() {
+        simulation.now = at;
+        simulation.handle(event);
     }
-    world.finish()
+    simulation.finish()
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(scenario: &'a Scenario, way: &'a Way, seed: u64) -> Self {
         let domains = scenario.domains as usize;
-        let place = |index: usize| Place {
+        let engine_state = |index: usize| EngineState {
             engine: Engine::new(&scenario.engines),
             domain: index % domains,
             is_alive: true,
             is_busy: false,
-            start: 0,
+            epoch: 0,
         };
         Self {
             scenario,
@@ -81,21 +81,22 @@
             draw: Draw::new(seed),
             agenda: Agenda::default(),
             hosts: (0..scenario.hosts as usize).map(|host| Host::new(scenario, host)).collect(),
-            engines: (0..scenario.engines.count as usize).map(place).collect(),
+            engines: (0..scenario.engines.count as usize).map(engine_state).collect(),
             requests: Vec::new(),
-            end: end(scenario),
+            arrivals_end: arrivals_end(scenario),
             traffic: 1.0,
             cut_until: 0,
-            weights: scenario.kinds.iter().map(|kind| kind.weight).sum(),
+            weight_sum: scenario.kinds.iter().map(|kind| kind.weight).sum(),
             tally: Tally::new(scenario.length_s as usize),
         }
     }
 
     fn begin(&mut self) {
         for (index, cause) in self.scenario.causes.iter().enumerate() {
-            self.agenda.at(micros(cause.at_s * 1_000.0), Event::Cause { index, begins: true });
+            self.agenda
+                .schedule(micros(cause.at_s * 1_000.0), Event::Cause { index, begins: true });
             let end = micros((cause.at_s + cause.for_s) * 1_000.0);
-            self.agenda.at(end, Event::Cause { index, begins: false });
+            self.agenda.schedule(end, Event::Cause { index, begins: false });
         }
         self.next_arrival();
     }
@@ -103,27 +104,27 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive => self.arrive(),
-            Event::Ask { request } => self.ask(request),
-            Event::Reach { request, serial } => self.reach(request, serial),
+            Event::ReachHost { request } => self.reach_host(request),
+            Event::ReachEngine { request, serial } => self.reach_engine(request, serial),
             Event::Reply { request, serial, reply } => self.reply(request, serial, reply),
-            Event::Close { engine, id } => self.engines[engine].engine.drop(id),
-            Event::Step { engine, start } => self.step(engine, start),
-            Event::Look { request, look } => self.look(request, look),
+            Event::Close { engine, id } => self.engines[engine].engine.cancel(id),
+            Event::Step { engine, epoch } => self.step(engine, epoch),
+            Event::Check { request, check } => self.check(request, check),
             Event::Cause { index, begins } => self.cause(index, begins),
-            Event::List { engine, start } => self.list(engine, start),
+            Event::UpdateLists { engine, epoch } => self.update_lists(engine, epoch),
         }
     }
 
     fn finish(mut self) -> Tally {
         for request in &self.requests {
-            let second = (request.came / 1_000_000) as usize;
+            let second = (request.first_sent_at / 1_000_000) as usize;
             let outcome = request.outcome.unwrap_or(Outcome::Failed);
             if let Some(counts) = self.tally.seconds.get_mut(second) {
-                counts.note(outcome);
+                counts.record(outcome);
             }
         }
         self.tally.preempted +=
-            self.engines.iter().map(|place| place.engine.preempted).sum::<u64>();
+            self.engines.iter().map(|engine_state| engine_state.engine.preempted).sum::<u64>();
         self.tally
     }
 
@@ -135,8 +136,8 @@
     fn next_arrival(&mut self) {
         let mean_ms = 1_000.0 / (self.scenario.load_per_s * self.traffic);
         let at = self.now + micros(self.draw.exponential(mean_ms));
-        if at < self.end {
-            self.agenda.at(at, Event::Arrive);
+        if at < self.arrivals_end {
+            self.agenda.schedule(at, Event::Arrive);
         }
     }
 
@@ -144,15 +145,15 @@
     fn arrive(&mut self) {
         self.next_arrival();
         let kind = self.draw_kind();
-        let until = self.now + self.scenario.kinds[kind].budget_ms * 1_000;
+        let deadline = self.now + self.scenario.kinds[kind].budget_ms * 1_000;
         let request = self.requests.len();
         let host = self.draw_host();
-        self.requests.push(Request::new(kind, self.now, until, host));
+        self.requests.push(Request::new(kind, self.now, deadline, host));
         self.send_to_host(request, 0);
     }
 
     fn draw_kind(&mut self) -> usize {
-        let mut left = self.draw.unit() * self.weights;
+        let mut left = self.draw.unit() * self.weight_sum;
         let kinds = &self.scenario.kinds;
         let found = kinds.iter().position(|kind| {
             left -= kind.weight;
@@ -167,7 +168,7 @@
 
     fn send_to_host(&mut self, request: usize, wait: Micros) {
         let at = self.now + wait + micros(self.scenario.network.caller_ms);
-        self.agenda.at(at, Event::Ask { request });
+        self.agenda.schedule(at, Event::ReachHost { request });
     }
 
     fn kind(&self, request: usize) -> (usize, &'a Kind) {
@@ -184,7 +185,7 @@
 /// Time at which requests stop arriving. Requests after the scenario's length are not counted; they
 /// keep arriving for as long as callers of the last counted requests may wait, because the fleet
 /// must not recover merely because the traffic ends.
-fn end(scenario: &Scenario) -> Micros {
+fn arrivals_end(scenario: &Scenario) -> Micros {
     let waits = scenario.kinds.iter().map(|kind| kind.patience_ms().min(kind.budget_ms));
     (u64::from(scenario.length_s) * 1_000 + waits.max().unwrap_or_default()) * 1_000
 }
--- a/crates/experiment/src/run/agenda.rs
+++ b/crates/experiment/src/run/agenda.rs
@@ -12,21 +12,21 @@
     /// A caller sends a new request.
     Arrive,
     /// A request reaches its host, for the first time or after the caller came back.
-    Ask { request: usize },
+    ReachHost { request: usize },
     /// An attempt reaches its engine.
-    Reach { request: usize, serial: u16 },
+    ReachEngine { request: usize, serial: u16 },
     /// A host receives the reply to an attempt.
     Reply { request: usize, serial: u16, reply: Reply },
     /// An engine detects that a connection was closed.
     Close { engine: usize, id: u64 },
     /// A step of an engine ends.
-    Step { engine: usize, start: u32 },
+    Step { engine: usize, epoch: u32 },
     /// A request without news is checked: its caller may leave, or its host may abandon the engine.
-    Look { request: usize, look: u32 },
+    Check { request: usize, check: u32 },
     /// A cause of the scenario begins or ends.
     Cause { index: usize, begins: bool },
     /// Hosts remove an engine from their lists, or list it again.
-    List { engine: usize, start: u32 },
+    UpdateLists { engine: usize, epoch: u32 },
 }
 
 /// Reply that a host receives for an attempt.
@@ -35,11 +35,11 @@
     /// The connection was refused.
     Refused,
     /// The connection attempt timed out.
-    Silent,
+    Timeout,
     /// The engine is full; holds its number of requests.
     Full(u32),
     /// The answer began; holds the engine's number of requests.
-    Head(u32),
+    AnswerStart(u32),
     /// The connection broke before the answer's end.
     Lost,
     /// The answer is complete.
@@ -62,7 +62,7 @@
 
 impl Agenda {
     /// Schedules an event at a time.
-    pub fn at(&mut self, at: Micros, event: Event) {
+    pub fn schedule(&mut self, at: Micros, event: Event) {
         self.next += 1;
         self.heap.push(Entry { at, number: self.next, event });
     }
--- a/crates/experiment/src/run/cause.rs
+++ b/crates/experiment/src/run/cause.rs
@@ -3,22 +3,22 @@
 use policy::throttle::Limit;
 
 use super::agenda::Event;
-use super::{World, micros};
+use super::{Simulation, micros};
 use crate::scenario::{Cause, What};
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Begins or ends a cause.
     pub(super) fn cause(&mut self, index: usize, begins: bool) {
         let cause = self.scenario.causes[index];
         match cause.what {
             What::Lost => {
-                for engine in self.concerned(&cause) {
+                for engine in self.affected_engines(&cause) {
                     self.lose_or_start(engine, begins);
                 }
             }
             What::Slow => {
                 let slowness = if begins { cause.times } else { 1.0 };
-                for engine in self.concerned(&cause) {
+                for engine in self.affected_engines(&cause) {
                     self.engines[engine].engine.slowness = slowness;
                 }
             }
@@ -31,7 +31,7 @@
 
     /// Engines affected by a cause: the first ones by index, which are spread over all failure
     /// domains.
-    fn concerned(&self, cause: &Cause) -> std::ops::Range<usize> {
+    fn affected_engines(&self, cause: &Cause) -> std::ops::Range<usize> {
         0..(self.engines.len() as f64 * cause.share).round() as usize
     }
 
@@ -42,17 +42,17 @@
             true => self.lose(engine),
             false => {
                 self.engines[engine].is_alive = true;
-                self.engines[engine].start += 1;
+                self.engines[engine].epoch += 1;
             }
         }
-        let start = self.engines[engine].start;
-        self.agenda.at(self.now + after_ms * 1_000, Event::List { engine, start });
+        let epoch = self.engines[engine].epoch;
+        self.agenda.schedule(self.now + after_ms * 1_000, Event::UpdateLists { engine, epoch });
     }
 
     /// Updates the hosts' lists after an engine ended or started; ignored if the engine has changed
     /// since.
-    pub(super) fn list(&mut self, engine: usize, start: u32) {
-        if self.engines[engine].start != start {
+    pub(super) fn update_lists(&mut self, engine: usize, epoch: u32) {
+        if self.engines[engine].epoch != epoch {
             return;
         }
         let now = self.clock();
@@ -62,7 +62,7 @@
         let limit = warmup.map(|warmup| Limit::warmup(warmup.per_second, left(warmup.ms), now));
         for host in &mut self.hosts {
             match is_alive {
-                true => host.views[engine].restarted(limit, now),
+                true => host.views[engine].reset(limit, now),
                 false => host.views[engine].is_listed = false,
             }
         }
--- a/crates/experiment/src/tally.rs
+++ b/crates/experiment/src/tally.rs
@@ -58,7 +58,7 @@
     }
 
     /// Counts one request with its outcome.
-    pub fn note(&mut self, outcome: Outcome) {
+    pub fn record(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::InTime => self.in_time += 1,
             Outcome::Late => self.late += 1,
@@ -96,17 +96,17 @@
     /// `None` if some request of the last second was not.
     #[must_use]
     pub fn recovered_s(&self, end_s: f64) -> Option<f64> {
-        self.holds_from(end_s, |counts| counts.served() == counts.total())
+        self.seconds_until(end_s, |counts| counts.served() == counts.total())
     }
 
     /// Seconds from `end_s` until at least 99 % of the requests of that second and of each later
     /// one are served in time; `None` if the last second falls short.
     #[must_use]
     pub fn in_time_s(&self, end_s: f64) -> Option<f64> {
-        self.holds_from(end_s, |counts| counts.share(counts.in_time) >= 0.99)
+        self.seconds_until(end_s, |counts| counts.share(counts.in_time) >= 0.99)
     }
 
-    fn holds_from(&self, end_s: f64, holds: impl Fn(&Counts) -> bool) -> Option<f64> {
+    fn seconds_until(&self, end_s: f64, holds: impl Fn(&Counts) -> bool) -> Option<f64> {
         let first = self.seconds.iter().rposition(|counts| !holds(counts)).map_or(0, |at| at + 1);
         (first < self.seconds.len()).then(|| (first as f64 - end_s).max(0.0))
     }
--- a/crates/experiment/src/way.rs
+++ b/crates/experiment/src/way.rs
@@ -71,17 +71,17 @@
 }
 
 /// Rank that engines give a request without a rank.
-const UNNAMED: u8 = 5;
+const DEFAULT_RANK: u8 = 5;
 /// Minimum time after which a caller is asked to come back under `Backlog`, in milliseconds.
 const BACKLOG_MIN_MS: f64 = 100.0;
 
 impl Order {
     /// Rank of a request; engines run lower ranks first.
     #[must_use]
-    pub fn place(self, request: &Request) -> u8 {
+    pub fn rank(self, request: &Request) -> u8 {
         match self {
             Self::Ours => precedence::rank(request),
-            Self::Came => UNNAMED,
+            Self::Came => DEFAULT_RANK,
         }
     }
 }
