--- a/crates/experiment/tests/overload.rs
+++ b/crates/experiment/tests/overload.rs
@@ -48,7 +48,7 @@
     assert_recovers(300);
 }
 
-/// Preemption can sustain an overload: engines that put back less urgent requests for more urgent
+/// Preemption is what sustains the overload: engines that put back less urgent requests for more urgent
 /// ones read the same prompts again and again. Without preemption, and all else equal, the fleet
 /// recovers in time.
 #[test]
