--- a/crates/experiment/src/plot.rs
+++ b/crates/experiment/src/plot.rs
@@ -1,4 +1,4 @@
-//! A picture of an experiment, as SVG.
+//! Draws the results of an experiment as SVG.
 
 use plotters::prelude::{
     BLACK, ChartBuilder, Color, IntoDrawingArea, IntoFont, LineSeries, Palette, Palette99,
@@ -10,28 +10,28 @@
 const WIDTH: u32 = 900;
 const HEIGHT: u32 = 400;
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// Which requests a line shows the share of.
+/// Which requests a chart shows the share of.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Shown {
-    /// Answered, in time or not.
+    /// Requests answered in full, in time or late.
     Served,
-    /// Answered in time.
+    /// Requests answered in full and in time.
     InTime,
 }
 
-/// The share of requests served, by the second in which they came; one line for each way.
+/// Draws the share of requests served, by the second of their first sending; one line per strategy.
 ///
 /// # Errors
-/// When the plotting library refuses; the message is its own.
+/// The plotting library's message, if it fails.
 pub fn shares(rows: &[Row], shown: Shown) -> Result<String, String> {
     let mut text = String::new();
     draw(&mut text, rows, shown).map_err(|error| error.to_string())?;
     Ok(text)
 }
 
-fn draw(text: &mut String, rows: &[Row], shown: Shown) -> Drawn {
+fn draw(text: &mut String, rows: &[Row], shown: Shown) -> DrawResult {
     let caption = match shown {
         Shown::Served => "requests served",
         Shown::InTime => "requests served in time",
@@ -59,11 +59,11 @@
 }
 
 fn points(row: &Row, shown: Shown) -> impl Iterator<Item = (f64, f64)> + '_ {
-    row.seconds.iter().enumerate().map(move |(at, counts)| {
+    row.seconds.iter().enumerate().map(move |(second, counts)| {
         let count = match shown {
             Shown::Served => counts.served(),
             Shown::InTime => counts.in_time,
         };
-        (at as f64, counts.share(count))
+        (second as f64, counts.share(count))
     })
 }
--- a/crates/experiment/src/run/cause.rs
+++ b/crates/experiment/src/run/cause.rs
@@ -1,24 +1,24 @@
-//! What goes wrong, and how hosts come to know of engines that end and start.
+//! Causes of overload, and how hosts learn of engines that end and start.
 
 use policy::throttle::Limit;
 
 use super::agenda::Event;
-use super::{World, micros};
+use super::{Simulation, micros};
 use crate::scenario::{Cause, What};
 
-impl World<'_> {
-    /// A cause begins or ends.
+impl Simulation<'_> {
+    /// Begins or ends a cause.
     pub(super) fn cause(&mut self, index: usize, begins: bool) {
         let cause = self.scenario.causes[index];
         match cause.what {
             What::Lost => {
-                for engine in self.concerned(&cause) {
+                for engine in self.affected_engines(&cause) {
                     self.lose_or_start(engine, begins);
                 }
             }
             What::Slow => {
                 let slowness = if begins { cause.times } else { 1.0 };
-                for engine in self.concerned(&cause) {
+                for engine in self.affected_engines(&cause) {
                     self.engines[engine].engine.slowness = slowness;
                 }
             }
@@ -29,8 +29,9 @@
         }
     }
 
-    /// The engines that a cause concerns: the first ones, which stand in all failure domains.
-    fn concerned(&self, cause: &Cause) -> std::ops::Range<usize> {
+    /// Engines affected by a cause: the first ones by index, which are spread over all failure
+    /// domains.
+    fn affected_engines(&self, cause: &Cause) -> std::ops::Range<usize> {
         0..(self.engines.len() as f64 * cause.share).round() as usize
     }
 
@@ -41,16 +42,17 @@
             true => self.lose(engine),
             false => {
                 self.engines[engine].is_alive = true;
-                self.engines[engine].start += 1;
+                self.engines[engine].epoch += 1;
             }
         }
-        let start = self.engines[engine].start;
-        self.agenda.at(self.now + after_ms * 1_000, Event::List { engine, start });
+        let epoch = self.engines[engine].epoch;
+        self.agenda.schedule(self.now + after_ms * 1_000, Event::UpdateLists { engine, epoch });
     }
 
-    /// Hosts hear that an engine is gone, or that it has started again.
-    pub(super) fn list(&mut self, engine: usize, start: u32) {
-        if self.engines[engine].start != start {
+    /// Updates the hosts' lists after an engine ended or started; ignored if the engine has changed
+    /// since.
+    pub(super) fn update_lists(&mut self, engine: usize, epoch: u32) {
+        if self.engines[engine].epoch != epoch {
             return;
         }
         let now = self.clock();
@@ -60,13 +62,13 @@
         let limit = warmup.map(|warmup| Limit::warmup(warmup.per_second, left(warmup.ms), now));
         for host in &mut self.hosts {
             match is_alive {
-                true => host.views[engine].restarted(limit, now),
+                true => host.views[engine].reset(limit, now),
                 false => host.views[engine].is_listed = false,
             }
         }
     }
 
-    /// Whether a host can't reach an engine.
+    /// Whether a network cut separates a host from an engine.
     pub(super) fn is_cut(&self, host: usize, engine: usize) -> bool {
         self.now < self.cut_until
             && self.hosts[host].domain == 0
