--- a/crates/entry/src/filter/place.rs
+++ b/crates/entry/src/filter/place.rs
@@ -19,7 +19,8 @@
 ) -> Option<Arc<Server>> {
     let candidates: Vec<&Arc<Server>> =
         servers.iter().filter(|server| !excluded.contains(&server.name)).collect();
-    let placed: Vec<place::Server> = candidates.iter().map(|server| server.placement_record()).collect();
+    let placed: Vec<place::Server> =
+        candidates.iter().map(|server| server.placement_record()).collect();
     let index = place::choose(&placed, affinity, rand::random(), now)?;
     candidates.get(index).map(|server| Arc::clone(server))
 }
