--- a/crates/experiment/tests/overload.rs
+++ b/crates/experiment/tests/overload.rs
@@ -48,9 +48,9 @@
     assert_recovers(300);
 }
 
-/// Preemption is what sustains the overload: engines that put back less urgent requests for more urgent
-/// ones read the same prompts again and again. Without preemption, and all else equal, the fleet
-/// recovers in time.
+/// Preemption is what sustains the overload: engines that put back less urgent requests for more
+/// urgent ones read the same prompts again and again. Without preemption, and all else equal, the
+/// fleet recovers in time.
 #[test]
 fn overload_is_kept_up_by_preemption() {
     for hosts in [30, 300] {
