--- a/crates/entry/src/chat.rs
+++ b/crates/entry/src/chat.rs
@@ -25,7 +25,7 @@
 use crate::job::Job;
 use crate::rating;
 use crate::reply::{Content, Reply};
-use crate::respond::{self, Extra};
+use crate::respond::{self, OwnHeaders};
 
 const PATH: &str = "/v1/chat/completions";
 
@@ -56,7 +56,7 @@
     version: Name,
     cost: f64,
     place: Option<Place>,
-    rate: bool,
+    wants_rating: bool,
 }
 
 /// Answers a chat completion.
@@ -80,7 +80,7 @@
     let session = request.sign_token(&plan)?;
     let completion = request.run(plan).await?;
     let (reply, ending) = request.ending(completion, slot, grant);
-    respond::respond(ctx.state, reply, ending, Extra { session }).await
+    respond::respond(ctx.state, reply, ending, OwnHeaders { session }).await
 }
 
 impl Request<'_> {
@@ -185,15 +185,15 @@
                     .map_err(|then| if first.ran == Ran::No { then } else { run_unknown(then) });
             }
         };
-        if !cheap.rate || self.is_good(&cheap).await == Some(true) {
-            cheap.rate = false;
+        if !cheap.wants_rating || self.is_good(&cheap).await == Some(true) {
+            cheap.wants_rating = false;
             return Ok(cheap);
         }
         // The second call may need the place in the pool that the first call held.
         cheap.place = None;
         match self.call(then, Stage::Second).await {
             Ok(better) => Ok(Completion { cost: cheap.cost + better.cost, ..better }),
-            Err(_) => Ok(Completion { rate: false, ..cheap }),
+            Err(_) => Ok(Completion { wants_rating: false, ..cheap }),
         }
     }
 
@@ -228,19 +228,25 @@
 
     async fn call(&mut self, version: Name, stage: Stage) -> Result<Completion, Refusal> {
         let place = self.enter_pool(&version, stage == Stage::Second).await?;
-        let (rate, is_buffered) = match stage {
+        let (wants_rating, is_buffered) = match stage {
             Stage::Only => (self.ctx.state.ratings.wants(self.ctx.snapshot, &version), false),
             Stage::First => (true, true),
             // The second call gets the requests that the first could not answer well, so ratings of
             // its answers would make the version look worse than it is.
             Stage::Second => (false, false),
         };
-        let job = self.job(&version, rate, is_buffered)?;
+        let job = self.job(&version, wants_rating, is_buffered)?;
         let reply = dispatch::dispatch(self.ctx.state, &job).await?;
         // A 4xx status means that the model engine rejected the request: nothing to bill or rate.
         let refused = reply.head.status.is_client_error();
         let cost = if refused { 0.0 } else { self.version(&version)?.cost };
-        Ok(Completion { reply, version, cost, place: Some(place), rate: rate && !refused })
+        Ok(Completion {
+            reply,
+            version,
+            cost,
+            place: Some(place),
+            wants_rating: wants_rating && !refused,
+        })
     }
 
     fn job(&mut self, name: &Name, wants_text: bool, is_buffered: bool) -> Result<Job, Refusal> {
@@ -315,7 +321,7 @@
             started: call.started,
             first_byte: call.started.elapsed(),
             deadline: self.deadline,
-            rate: completion.rate,
+            wants_rating: completion.wants_rating,
             billing,
             permits: Permits { slot, grant, place: completion.place },
         };
--- a/crates/entry/src/ending.rs
+++ b/crates/entry/src/ending.rs
@@ -43,7 +43,7 @@
     /// The time after which the caller no longer waits.
     pub deadline: Instant,
     /// Whether the answer is sent to the rating service.
-    pub rate: bool,
+    pub wants_rating: bool,
     /// The pending bill of the request.
     pub billing: Billing,
     /// The capacity that is given back at the end.
@@ -72,7 +72,7 @@
             }
         }
         match (text, self.version) {
-            (Some(text), Some(version)) if self.rate => {
+            (Some(text), Some(version)) if self.wants_rating => {
                 rating::start(&state, self.id, version, self.task, text);
             }
             _ => {}
--- a/crates/entry/src/filter/admit.rs
+++ b/crates/entry/src/filter/admit.rs
@@ -50,12 +50,12 @@
 pub struct Place {
     state: Arc<State>,
     gate: Arc<Gate>,
-    since: Instant,
+    entered_at: Instant,
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let ms = self.since.elapsed().as_secs_f64() * 1000.0;
+        let ms = self.entered_at.elapsed().as_secs_f64() * 1000.0;
         {
             let mut inner = self.gate.lock();
             inner.admitted -= 1;
@@ -135,7 +135,7 @@
     }
 
     fn place(gate: &Arc<Self>, state: &Arc<State>) -> Place {
-        Place { state: Arc::clone(state), gate: Arc::clone(gate), since: Instant::now() }
+        Place { state: Arc::clone(state), gate: Arc::clone(gate), entered_at: Instant::now() }
     }
 
     fn refuse(&self, evicted: &[Evicted]) {
--- a/crates/entry/src/respond.rs
+++ b/crates/entry/src/respond.rs
@@ -18,7 +18,7 @@
 
 /// Values of the product's own headers on an answer.
 #[derive(Default)]
-pub struct Extra {
+pub struct OwnHeaders {
     /// The signed token of the session that began with this request; `None` if none began.
     pub session: Option<String>,
 }
@@ -32,12 +32,12 @@
     state: &Arc<State>,
     reply: Reply,
     ending: Ending,
-    extra: Extra,
+    own_headers: OwnHeaders,
 ) -> Result<Response<Answer>, Refusal> {
-    let head = head(&reply.head, &ending, extra);
+    let head = head(&reply.head, &ending, own_headers);
     match reply.content {
         Content::Whole(bytes) => {
-            let text = ending.rate.then(|| text(&reply.head, &bytes)).flatten();
+            let text = ending.wants_rating.then(|| text(&reply.head, &bytes)).flatten();
             match ending.record_whole(text).await {
                 true => Ok(Response::from_parts(head, Answer::whole(bytes))),
                 false => Err(Refusal::may_have_run(
@@ -66,13 +66,13 @@
     }
 }
 
-fn head(from: &Parts, ending: &Ending, extra: Extra) -> Parts {
+fn head(from: &Parts, ending: &Ending, own_headers: OwnHeaders) -> Parts {
     let (mut head, ()) = Response::new(()).into_parts();
     head.status = from.status;
     head.headers = forwarded_headers(&from.headers);
     let own = [
         (wire::backend::VERSION, ending.version.as_ref().map(ToString::to_string)),
-        (wire::backend::SESSION, extra.session),
+        (wire::backend::SESSION, own_headers.session),
     ];
     for (name, value) in own {
         if let Some(value) = value.and_then(|value| HeaderValue::try_from(value).ok()) {
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -17,7 +17,7 @@
 use crate::filter::open::Slot;
 use crate::filter::{admit, claim, service};
 use crate::job::Job;
-use crate::respond::{self, Extra};
+use crate::respond::{self, OwnHeaders};
 
 /// Priority of plain services in their pool.
 const PRIORITY: u8 = 0;
@@ -91,9 +91,9 @@
         started: call.started,
         first_byte: call.started.elapsed(),
         deadline,
-        rate: false,
+        wants_rating: false,
         billing,
         permits: Permits { slot, grant, place: Some(place) },
     };
-    respond::respond(state, reply, ending, Extra::default()).await
+    respond::respond(state, reply, ending, OwnHeaders::default()).await
 }
